--- a/heronstall/cli/tier.py
+++ b/heronstall/cli/tier.py
@@ -135,7 +135,7 @@
 async def _stay_up(plan: Plan, first: bool, pause: float, show: Callable[[], None]) -> None:
     """Start, show, and wait for a signal. Raises Missed where a node ends by itself or nothing gets ready."""
     from heronstall.lab.tier.tier import LocalTier
-    from heronstall.transport.waits import at_most
+    from heronstall.transport.waits import wait_at_most
 
     local = LocalTier(plan, pause=pause)
     ended = asyncio.Event()
@@ -149,7 +149,7 @@
             return
         show()
         while not ended.is_set():
-            await at_most(ended, LOOK)
+            await wait_at_most(ended, LOOK)
             _complain(local)
         orderly = True
     finally:
--- a/heronstall/controlplane/__main__.py
+++ b/heronstall/controlplane/__main__.py
@@ -1,9 +1,9 @@
-"""The control plane program. The role follows from the settings: a core node, or a storage node."""
+"""The control plane program. The settings decide whether it runs a core node or a storage node."""
 
 from __future__ import annotations
 
-import heronstall.early_signals  # before what takes time
-import heronstall.without_tls  # noqa: F401  (before what would import ssl)
+import heronstall.early_signals  # before the slow imports
+import heronstall.without_tls  # noqa: F401  (before modules that would import ssl)
 
 # isort: split
 import asyncio
@@ -12,12 +12,12 @@
 import click
 
 from heronstall.config import NodeSettings
-from heronstall.tier_process import ending, settings_option, settings_or_exit, tell_started
+from heronstall.tier_process import log_started, settings_option, settings_or_exit, termination_event
 
-LAST_MOMENT = 1.0  # seconds of the grace time that are kept for handing the leaderships over
+HANDOVER_RESERVE = 1.0  # seconds of the grace time reserved for handing over leadership
 
 
-async def _core(settings: NodeSettings, ended: asyncio.Event) -> None:
+async def _run_core_node(settings: NodeSettings, terminated: asyncio.Event) -> None:
     from heronstall.controlplane.api import CONFIG_BYTES, ControlApi
     from heronstall.controlplane.core import Core
     from heronstall.transport.http_server import HttpServer
@@ -26,32 +26,32 @@
     await core.start()
     api = HttpServer(ControlApi(core).handle, lambda: CONFIG_BYTES)
     await api.listen(settings.listen["control"])
-    tell_started("control", heronstall.early_signals.BEGAN)
-    await ended.wait()
-    await api.finish(time.monotonic() + settings.bounds.grace - LAST_MOMENT)
+    log_started("control", heronstall.early_signals.BEGAN)
+    await terminated.wait()
+    await api.drain(time.monotonic() + settings.bounds.grace - HANDOVER_RESERVE)
     await core.stop()
 
 
-async def _storage(settings: NodeSettings, ended: asyncio.Event) -> None:
+async def _run_storage_node(settings: NodeSettings, terminated: asyncio.Event) -> None:
     from heronstall.controlplane.store import Store
 
     store = Store(settings)
     await store.start()
-    tell_started("storage", heronstall.early_signals.BEGAN)
-    await ended.wait()
+    log_started("storage", heronstall.early_signals.BEGAN)
+    await terminated.wait()
     await store.stop()
 
 
 async def _run(settings: NodeSettings) -> None:
-    ended = ending()
-    await (_core if "control" in settings.listen else _storage)(settings, ended)
+    terminated = termination_event()
+    await (_run_core_node if "control" in settings.listen else _run_storage_node)(settings, terminated)
 
 
 @click.command()
 @settings_option
 def main(path: str) -> None:
     """Run a core or a storage node of the tier."""
-    settings = settings_or_exit(path, disk=True)
+    settings = settings_or_exit(path, needs_disk=True)
     asyncio.run(_run(settings))
 
 
--- a/heronstall/controlplane/store.py
+++ b/heronstall/controlplane/store.py
@@ -37,7 +37,7 @@
     ShardStatus,
     SubmitRequest,
 )
-from heronstall.transport.pulling import Puller
+from heronstall.transport.pulling import StatePuller
 
 log = structlog.get_logger()
 
@@ -121,7 +121,7 @@
         def seeds() -> list[str]:
             return settings.read_again().seed_addresses
 
-        self._puller = Puller(self.links, self.view, self._session, seeds, self._news)
+        self._puller = StatePuller(self.links, self.view, self._session, seeds, self._news)
 
     async def start(self) -> None:
         """Take the shards of the disk up and begin to serve other nodes."""
--- a/heronstall/controlplane/waiting.py
+++ b/heronstall/controlplane/waiting.py
@@ -11,7 +11,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from heronstall.transport.waits import at_most
+from heronstall.transport.waits import wait_at_most
 
 
 @dataclass(eq=False)
@@ -37,7 +37,7 @@
         named = self._named.setdefault(name, _Named())
         named.calls += 1
         try:
-            await at_most(named.event, seconds)
+            await wait_at_most(named.event, seconds)
         finally:
             named.calls -= 1
             if not named.calls and self._named.get(name) is named:
@@ -85,7 +85,7 @@
         self._held[call] = None
         self._latest[holder] = call
         try:
-            await at_most(call.event, seconds)
+            await wait_at_most(call.event, seconds)
         finally:
             if self._latest.get(holder) is call:
                 del self._latest[holder]
--- a/heronstall/dataplane/__main__.py
+++ b/heronstall/dataplane/__main__.py
@@ -11,16 +11,16 @@
 import click
 
 from heronstall.config import NodeSettings
-from heronstall.tier_process import ending, settings_option, settings_or_exit, tell_started
+from heronstall.tier_process import log_started, settings_option, settings_or_exit, termination_event
 
 
 async def _run(settings: NodeSettings) -> None:
     from heronstall.dataplane.node import EdgeNode
 
-    ended = ending()
+    ended = termination_event()
     node = EdgeNode(settings)
     await node.start()
-    tell_started("dispatcher", heronstall.early_signals.BEGAN)
+    log_started("dispatcher", heronstall.early_signals.BEGAN)
     await ended.wait()
     await node.stop()
 
@@ -29,7 +29,7 @@
 @settings_option
 def main(path: str) -> None:
     """Run a dispatcher of the tier."""
-    settings = settings_or_exit(path, listens=("front", "readiness"))
+    settings = settings_or_exit(path, required_listeners=("front", "readiness"))
     asyncio.run(_run(settings))
 
 
--- a/heronstall/dataplane/batch_runner.py
+++ b/heronstall/dataplane/batch_runner.py
@@ -37,7 +37,7 @@
     LeaseReply,
     LeaseRequest,
 )
-from heronstall.transport.waits import at_most
+from heronstall.transport.waits import wait_at_most
 
 log = structlog.get_logger()
 
@@ -178,7 +178,7 @@
             for leased in leases.items:
                 self._start(shard, leased)
             if leases.ended:
-                await at_most(freed, POLL_HOLD)  # until their runs have ended
+                await wait_at_most(freed, POLL_HOLD)  # until their runs have ended
 
     def _note_time_left(self, leases: LeaseReply, backlog: bool) -> None:
         """Tell the bounds how soon what was leased is due; what is late already is not urgent any more."""
--- a/heronstall/dataplane/node.py
+++ b/heronstall/dataplane/node.py
@@ -28,7 +28,7 @@
 from heronstall.transport.http_server import HttpServer
 from heronstall.transport.links import Links
 from heronstall.transport.messages import Session
-from heronstall.transport.pulling import Puller
+from heronstall.transport.pulling import StatePuller
 
 log = structlog.get_logger()
 
@@ -58,24 +58,24 @@
         forwarder = Forwarder(
             self.pool,
             self.admission,
-            lambda request: self.front.closes_after(request),
+            lambda request: self.front.closes_connection_after(request),
             self.misses,
             PromptPlacer(self.links, self.view),
         )
         bounds = settings.bounds
         self.ingress = Ingress(
             forwarder,
-            BatchFront(shards, self.misses, lambda: self.front.ending),
+            BatchFront(shards, self.misses, lambda: self.front.draining),
             self.deferred,
             rng,
-            lambda: time.monotonic() - self.puller.known_at,
+            lambda: time.monotonic() - self.puller.current_as_of,
             KnowledgeLimits.within(bounds.config_apply, bounds.max_skew, bounds.recover),
         )
 
         def seeds() -> list[str]:
             return settings.read_again().seed_addresses
 
-        self.puller = Puller(self.links, self.view, self._session, seeds, self._news, self._answered)
+        self.puller = StatePuller(self.links, self.view, self._session, seeds, self._news, self._answered)
         self._tasks: list[asyncio.Task[None]] = []
         self.front = HttpServer(
             self.ingress.handle,
@@ -104,17 +104,17 @@
         """Leave without a cut answer: out of the platform's list, then no more connections, then the end."""
         began = time.monotonic()
         until = began + self.settings.bounds.grace - LAST_MOMENT
-        self.front.ending = True
+        self.front.draining = True
         self._tell_drain("begun", began)
         await self.runner.stop()
         await asyncio.sleep(LEAVE_AFTER)
         self._tell_drain("front closes", began)
-        await self.front.finish(until)
+        await self.front.drain(until)
         await self.runner.finish(until)
         if self.front.connections:
             self._tell_drain("gives up", began)
             self.ingress.give_up()
-            await self.front.finish(time.monotonic() + GIVEN_UP_WITHIN)
+            await self.front.drain(time.monotonic() + GIVEN_UP_WITHIN)
         self.pool.close()
         await asyncio.sleep(CLOSED_WITHIN)
         self.misses.tell()
@@ -129,7 +129,7 @@
             step=step,
             seconds=round(time.monotonic() - began, 3),
             connections=len(connections),
-            resting=sum(connection.rests for connection in connections),
+            resting=sum(connection.is_idle for connection in connections),
             requests=self.ingress.active,
         )
 
@@ -137,7 +137,7 @@
         """Close connections on which no whole head has come for the configured time."""
         while True:
             await asyncio.sleep(SWEEP)
-            self.front.close_idle(self.ingress.routes.limits.idle_timeout + SWEEP)
+            self.front.close_idle_connections(self.ingress.routes.limits.idle_timeout + SWEEP)
 
     def _session(self) -> Session:
         address = f"{self.settings.ip}:{self.settings.port}"
@@ -162,5 +162,5 @@
             self.pool.update(self.view.all_workers())
 
     async def _ready(self, request: web.BaseRequest) -> web.StreamResponse:
-        ready = self.ingress.may_serve and not self.front.ending
+        ready = self.ingress.may_serve and not self.front.draining
         return web.Response(status=200 if ready else 503)
--- a/heronstall/dataplane/shard_client.py
+++ b/heronstall/dataplane/shard_client.py
@@ -8,7 +8,7 @@
 from heronstall.distribution.view import View
 from heronstall.replication.protocol import address_of
 from heronstall.transport.frames import Kind, Status
-from heronstall.transport.links import LOST, Links, Reply
+from heronstall.transport.links import CALL_FAILED, Links, Reply
 from heronstall.transport.messages import Hint
 
 TRY_WITHIN = 0.7  # seconds for a call that need not wait
@@ -50,8 +50,8 @@
             hint = Hint().parse(reply.body).leader if reply.status == Status.NOT_OWNER else ""
             if hint:
                 self._owner[shard] = hint
-            if reply is LOST:
-                self._links.to(address).drop_if_silent(began)
+            if reply is CALL_FAILED:
+                self._links.to(address).disconnect_if_silent(began)
             await asyncio.sleep(PAUSE if not hint else 0.01)
         return worst
 
--- a/heronstall/tier_process.py
+++ b/heronstall/tier_process.py
@@ -1,4 +1,4 @@
-"""What the tier's programs share as processes: settings at the start, signals, logs."""
+"""Process setup shared by the tier's programs: settings, signals and logging."""
 
 from __future__ import annotations
 
@@ -15,7 +15,8 @@
 
 from heronstall.config import ConfigError, NodeSettings, node_settings
 
-# structlog loads rich for its console, which is not used here, where it finds it: a third of a restart's time
+# structlog imports rich for its console renderer if it is installed. The renderer is not used here, and the
+# import takes a third of a process's restart time.
 _rich = sys.modules.get("rich")
 sys.modules["rich"] = None  # type: ignore[assignment]
 import structlog  # noqa: E402
@@ -26,8 +27,8 @@
     sys.modules["rich"] = _rich
 
 
-def set_up_logs(node: str) -> None:
-    """Send events of level info and above to standard error, with the node's name."""
+def configure_logging(node: str) -> None:
+    """Logs events of level info and above to standard error, with the node's name."""
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
@@ -49,35 +50,40 @@
 )
 
 
-def settings_or_exit(path: str, listens: Sequence[str] = (), disk: bool = False) -> NodeSettings:
-    """Read a process's settings; what is wrong or missing ends it with status 2 and a line that names it."""
+def settings_or_exit(
+    path: str, required_listeners: Sequence[str] = (), needs_disk: bool = False
+) -> NodeSettings:
+    """Reads the settings of a process and configures its logging.
+
+    Invalid or missing settings end the process with status 2 and a message that names the setting.
+    """
     try:
         settings = node_settings(path)
     except ConfigError as error:
-        _refuse(str(error))
-    for name in listens:
+        _exit_with_error(str(error))
+    for name in required_listeners:
         if name not in settings.listen:
-            _refuse(f"listen.{name}: missing")
-    if disk and settings.data_dir is None:
-        _refuse("data_dir: missing; this role needs a disk")
-    set_up_logs(settings.name)
+            _exit_with_error(f"listen.{name}: missing")
+    if needs_disk and settings.data_dir is None:
+        _exit_with_error("data_dir: missing; this role needs a disk")
+    configure_logging(settings.name)
     return settings
 
 
-def _refuse(why: str) -> NoReturn:
-    click.echo(f"settings: {why}", err=True)
+def _exit_with_error(message: str) -> NoReturn:
+    click.echo(f"settings: {message}", err=True)
     sys.exit(2)
 
 
-def tell_started(role: str, began: float) -> None:
-    """Log that the process listens, and how many seconds after it began to load at a steady time."""
-    structlog.get_logger().info("started", role=role, seconds=round(time.monotonic() - began, 3))
+def log_started(role: str, load_began_at: float) -> None:
+    """Logs that the process is listening, and the seconds since it began to load (steady time)."""
+    structlog.get_logger().info("started", role=role, seconds=round(time.monotonic() - load_began_at, 3))
 
 
-def ending() -> asyncio.Event:
-    """An event that SIGTERM or an interrupt sets."""
-    ended = asyncio.Event()
+def termination_event() -> asyncio.Event:
+    """Returns an event that SIGTERM and SIGINT set."""
+    terminated = asyncio.Event()
     loop = asyncio.get_running_loop()
-    loop.add_signal_handler(signal.SIGTERM, ended.set)
-    loop.add_signal_handler(signal.SIGINT, ended.set)
-    return ended
+    loop.add_signal_handler(signal.SIGTERM, terminated.set)
+    loop.add_signal_handler(signal.SIGINT, terminated.set)
+    return terminated
--- a/heronstall/transport/__init__.py
+++ b/heronstall/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Messages between the nodes of the tier, and the connections that carry them."""
+"""Messages between the nodes of the tier, the connections that carry them, and the HTTP server."""
--- a/heronstall/transport/frames.py
+++ b/heronstall/transport/frames.py
@@ -1,4 +1,4 @@
-"""Frames on an internal connection: a fixed head, then an encoded message. Free of I/O."""
+"""Frames of the internal protocol: a fixed-size header followed by an encoded message. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-HEAD = struct.Struct("!IBBI")  # length of the body, version and kind, status, number of the call
+HEADER = struct.Struct("!IBBI")  # body length, version and kind, status, call id
 VERSION = 1
-MAX_BODY = 256 * 1024 * 1024  # bytes; a longer frame is an error of the sender
+MAX_BODY_BYTES = 256 * 1024 * 1024  # a longer frame is a protocol error of the sender
 
 
 class Kind(IntEnum):
-    """What a frame carries. A reply repeats the kind of its call."""
+    """The message type of a frame. A reply has the kind of its call."""
 
     GROUP = 1
     SYNC = 2
@@ -28,7 +28,7 @@
 
 
 class Status(IntEnum):
-    """How a call ended. docs/result-codes.md explains each."""
+    """The result of a call. docs/result-codes.md explains each value."""
 
     CALL = 0  # the frame is a call or a one-way message, not a reply
     OK = 1
@@ -41,47 +41,54 @@
 
 
 class FrameError(ValueError):
-    """The bytes are not a frame of this protocol."""
+    """Raised when received bytes are not a frame of this protocol."""
 
 
 class Frame(NamedTuple):
-    """One message on the wire; `call` 0 wants no reply."""
+    """One message on the wire. A `call_id` of 0 marks a one-way message, which gets no reply."""
 
     kind: Kind
     status: Status
-    call: int
+    call_id: int
     body: bytes
 
 
 def encode(frame: Frame) -> bytes:
-    """The bytes of a frame."""
-    head = HEAD.pack(len(frame.body), VERSION << 4 | frame.kind, frame.status, frame.call)
-    return head + frame.body
+    """Returns the encoded frame."""
+    header = HEADER.pack(len(frame.body), VERSION << 4 | frame.kind, frame.status, frame.call_id)
+    return header + frame.body
 
 
 class FrameReader:
-    """Cuts a stream of bytes into frames. Raises FrameError on bytes that can't be one."""
+    """Splits a stream of bytes into frames. Raises FrameError on bytes that are not a valid frame."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> list[Frame]:
-        """Take bytes; return the frames that are whole now."""
+        """Adds received bytes and returns the frames completed by them."""
         self._buffer += data
         frames: list[Frame] = []
         start = 0
-        while len(self._buffer) - start >= HEAD.size:
-            length, kind, status, call = HEAD.unpack_from(self._buffer, start)
-            if kind >> 4 != VERSION or length > MAX_BODY:
-                raise FrameError(f"version {kind >> 4}, length {length}")
-            end = start + HEAD.size + length
+        while len(self._buffer) - start >= HEADER.size:
+            length, kind, status, call_id = HEADER.unpack_from(self._buffer, start)
+            if kind >> 4 != VERSION or length > MAX_BODY_BYTES:
+                raise FrameError(f"invalid frame header: version {kind >> 4}, length {length}")
+            end = start + HEADER.size + length
             if len(self._buffer) < end:
                 break
             try:
-                named = Kind(kind & 0x0F), Status(status)
+                kind_and_status = Kind(kind & 0x0F), Status(status)
             except ValueError as error:
                 raise FrameError(str(error)) from error
-            frames.append(Frame(named[0], named[1], call, bytes(self._buffer[start + HEAD.size : end])))
+            frames.append(
+                Frame(
+                    kind_and_status[0],
+                    kind_and_status[1],
+                    call_id,
+                    bytes(self._buffer[start + HEADER.size : end]),
+                )
+            )
             start = end
         del self._buffer[:start]
         return frames
--- a/tests/tier/core_simulation.py
+++ b/tests/tier/core_simulation.py
@@ -30,9 +30,9 @@
 from heronstall.distribution.shards import CONFIG
 from heronstall.distribution.view import View
 from heronstall.transport.frames import Kind
-from heronstall.transport.links import LOST, Links, Reply
+from heronstall.transport.links import CALL_FAILED, Links, Reply
 from heronstall.transport.messages import Session
-from heronstall.transport.pulling import Puller
+from heronstall.transport.pulling import StatePuller
 from tests.tier.register_history import Answer, Call
 
 Drawn = random.Random  # before it is replaced by streams of the test's seed
@@ -111,13 +111,13 @@
             async with asyncio.timeout(within):
                 return await answer
         except TimeoutError:
-            return LOST
+            return CALL_FAILED
 
     def _serve(self, kind: Kind, body: bytes, answer: asyncio.Future[Reply]) -> None:
         server = self._network.servers.get(self._target)
         if server is None:
             if self._target in self._network.refusing and not answer.done():
-                answer.set_result(LOST)
+                answer.set_result(CALL_FAILED)
             return
 
         async def reply() -> None:
@@ -131,10 +131,10 @@
         if not answer.done():
             answer.set_result(given)
 
-    def drop(self) -> None:
+    def disconnect(self) -> None:
         """Connections are no part of the model."""
 
-    def drop_if_silent(self, since: float) -> None:
+    def disconnect_if_silent(self, since: float) -> None:
         """Neither here."""
 
 
@@ -332,7 +332,7 @@
         try:
             async with asyncio.timeout(SILENCE):
                 for _ in range(3):
-                    response = await self._at(ip, method, path, body, base)
+                    response = await self._call_once(ip, method, path, body, base)
                     if response is None or response.status != 307:
                         return response
                     ip = response.headers["Location"].split("/")[2].rpartition(":")[0]
@@ -340,7 +340,9 @@
             return None
         return None
 
-    async def _at(self, ip: str, method: str, path: str, body: bytes, base: str) -> web.Response | None:
+    async def _call_once(
+        self, ip: str, method: str, path: str, body: bytes, base: str
+    ) -> web.Response | None:
         machine = self.machines.get(ip)
         api = machine.api if machine else None
         if machine is None or api is None:
@@ -415,7 +417,7 @@
         seeds = [s.rpartition(":")[0] + f":{PORT}" for s in tier.seeds]
         session = Session(name=ip, machine_class="edge", address=self.name, zone="z")
         self.limits = KnowledgeLimits.within(CONFIG_APPLY, MAX_SKEW, RECOVER)
-        self.puller = Puller(links, self.view, lambda: session, lambda: seeds, lambda _: None)
+        self.puller = StatePuller(links, self.view, lambda: session, lambda: seeds, lambda _: None)
         self.task = asyncio.create_task(self.puller.run())
 
     @property
@@ -424,7 +426,7 @@
 
     def may_refuse(self, now: float) -> bool:
         """Whether it would answer 404."""
-        return bool(self.view.document) and now - self.puller.known_at < self.limits.refuse
+        return bool(self.view.document) and now - self.puller.current_as_of < self.limits.refuse
 
 
 def document(revision: int, content: str) -> bytes:
--- a/tests/tier/test_control.py
+++ b/tests/tier/test_control.py
@@ -27,7 +27,7 @@
 from heronstall.sessions.loads import WorkerLoad, pack, unpack
 from heronstall.sessions.table import EXPIRE, Sessions
 from heronstall.transport.frames import Kind, Status
-from heronstall.transport.links import LOST, Reply
+from heronstall.transport.links import CALL_FAILED, Reply
 from heronstall.transport.messages import (
     ConfigChange,
     Loads,
@@ -224,7 +224,7 @@
     async def tell_other(self, kind: Kind, body: bytes, within: float) -> Reply:
         """The other shard's leader takes a worker's end."""
         if not self.other_reachable:
-            return LOST
+            return CALL_FAILED
         end = WorkerEnd().parse(body)
         self.apply(end.shard, worker_shard.remove(worker_shard.Command.REMOVE, end.worker))
         return Reply(Status.OK)
--- a/tests/tier/test_drain.py
+++ b/tests/tier/test_drain.py
@@ -129,7 +129,7 @@
         self.front = f"{plan.edges[0]}:{FRONT}"
         self.node = EdgeNode(node_settings(str(plan.write_settings(plan.edges[0], False, bounds or {}))))
         self.node.ingress.routes = read_routes(ujson.dumps(configuration(2)).encode())
-        self.node.puller.known_at = time.monotonic()
+        self.node.puller.current_as_of = time.monotonic()
         entry = Entry(id="i-1", service=SERVICE, address=self.worker.address, state="ready", capacity=8)
         self.node.pool.update({"i-1": entry})
 
@@ -210,9 +210,9 @@
         async def scene(node: EdgeNode, caller: Caller, count: int) -> None:
             await turns(8)
             (connection,) = node.front.connections
-            self.assertTrue(connection.rests)
+            self.assertTrue(connection.is_idle)
             caller.send(request("r1"))
-            self.assertFalse(connection.end_if_resting())  # no turn of the event loop has read anything yet
+            self.assertFalse(connection.close_if_idle())  # no turn of the event loop has read anything yet
             await node.stop()
 
         self.assertEqual(await self.each(scene, ["r1"], [0], owed=True), [])
@@ -246,7 +246,7 @@
             await node.stop()
             self.assertTrue(0.2 < time.monotonic() - began < LATE_MACHINE)
 
-        with mock.patch("heronstall.transport.http_server.HEAD_WITHIN", 0.3):
+        with mock.patch("heronstall.transport.http_server.REQUEST_HEAD_TIMEOUT", 0.3):
             self.assertEqual(await self.each(scene, ["r1"], [0]), [])
 
     async def test_requests_sent_behind_another_one_are_answered(self) -> None:
--- a/tests/tier/test_link_retries.py
+++ b/tests/tier/test_link_retries.py
@@ -9,7 +9,7 @@
 from unittest import mock
 
 from heronstall.transport.frames import Kind
-from heronstall.transport.links import LOST, RETRY_AFTER, RETRY_SOON, RETRY_SOON_FOR, Link
+from heronstall.transport.links import CALL_FAILED, FAST_RETRY_DELAY, FAST_RETRY_PERIOD, RETRY_DELAY, Link
 from tests.tier.virtual_loop import VirtualLoop, run_virtually
 
 ADDRESS = "10.1.0.1:7720"
@@ -37,13 +37,15 @@
         return [later - before for before, later in zip(self.tried, self.tried[1:], strict=False)]
 
     def test_a_node_that_has_just_refused_is_tried_again_soon_and_later_less_often(self) -> None:
-        self.assertIs(run_virtually(Link(ADDRESS).call(Kind.SYNC, b"", 3.0)), LOST)
+        self.assertIs(run_virtually(Link(ADDRESS).call(Kind.SYNC, b"", 3.0)), CALL_FAILED)
         soon = [
-            p for at, p in zip(self.tried, self.pauses(), strict=False) if at - self.tried[0] < RETRY_SOON_FOR
+            p
+            for at, p in zip(self.tried, self.pauses(), strict=False)
+            if at - self.tried[0] < FAST_RETRY_PERIOD
         ]
         later = self.pauses()[len(soon) :]
-        self.assertTrue(all(abs(p - RETRY_SOON) < SLACK for p in soon), soon)
-        self.assertTrue(later and all(abs(p - RETRY_AFTER) < SLACK for p in later), later)
+        self.assertTrue(all(abs(p - FAST_RETRY_DELAY) < SLACK for p in soon), soon)
+        self.assertTrue(later and all(abs(p - RETRY_DELAY) < SLACK for p in later), later)
 
     def test_a_connection_that_came_up_makes_the_next_failure_a_new_one(self) -> None:
         async def run() -> None:
@@ -58,7 +60,7 @@
             await link.call(Kind.SYNC, b"", 0.5)
 
         run_virtually(run())
-        self.assertTrue(all(abs(p - RETRY_SOON) < SLACK for p in self.pauses()), self.pauses())
+        self.assertTrue(all(abs(p - FAST_RETRY_DELAY) < SLACK for p in self.pauses()), self.pauses())
 
     def test_a_process_that_is_back_is_reached_within_a_moment(self) -> None:
         async def run() -> float:
@@ -71,7 +73,7 @@
             call.cancel()
             return time.monotonic() - began
 
-        self.assertLess(run_virtually(run()), 0.5 + 2 * RETRY_SOON)
+        self.assertLess(run_virtually(run()), 0.5 + 2 * FAST_RETRY_DELAY)
 
 
 if __name__ == "__main__":
--- a/tests/tier/test_miss_table.py
+++ b/tests/tier/test_miss_table.py
@@ -17,7 +17,7 @@
 from heronstall.cli import main
 from heronstall.dataplane.misses import MissLog
 from heronstall.report.misses import LogError, Moment, log_files, miss_table, read_event
-from heronstall.tier_process import set_up_logs
+from heronstall.tier_process import configure_logging
 from tests.tier.test_misses import attempt, ended
 
 TALLY = (
@@ -61,7 +61,7 @@
     def test_what_a_dispatcher_logs_is_read_again(self) -> None:
         written = io.StringIO()
         with mock.patch("sys.stderr", written):
-            set_up_logs("edge-1")
+            configure_logging("edge-1")
             log = structlog.get_logger()
             with mock.patch("heronstall.dataplane.misses.log", log):
                 misses = MissLog()
--- a/tests/tier/test_pulling.py
+++ b/tests/tier/test_pulling.py
@@ -13,9 +13,17 @@
 from heronstall.distribution.freshness import MARGIN, TOLD_WITHIN, KnowledgeLimits
 from heronstall.distribution.view import View
 from heronstall.transport.frames import Kind, Status
-from heronstall.transport.links import LOST, Links, Reply
+from heronstall.transport.links import CALL_FAILED, Links, Reply
 from heronstall.transport.messages import Session, SyncReply, SyncRequest
-from heronstall.transport.pulling import ANSWER_WITHIN, CALLS_MOST, HOLD, LATE, LEFT_OUT, Candidates, Puller
+from heronstall.transport.pulling import (
+    ANSWER_TIMEOUT,
+    FAILED_NODE_COOLDOWN,
+    HEDGE_DELAY,
+    MAX_PARALLEL_CALLS,
+    POLL_HOLD,
+    ControlNodeSelector,
+    StatePuller,
+)
 from tests.tier.virtual_loop import run_virtually
 
 TRIP = 0.002  # seconds there and back
@@ -44,11 +52,11 @@
         await asyncio.sleep(TRIP)
         if self.mood == "silent":
             await asyncio.sleep(within)
-            return LOST
+            return CALL_FAILED
         if self.mood == "late":
             await asyncio.sleep(max(0.0, self.answers_at - time.monotonic()))
         if self.mood == "refusing":
-            return LOST
+            return CALL_FAILED
         if self.mood == "unsure":
             return Reply(Status.UNSURE)
         known = {v.shard: v.version for v in request.versions}.get("config", 0)
@@ -60,7 +68,7 @@
             reply.document = b"%d" % self._tier.version
         return Reply(Status.OK, bytes(reply))
 
-    def drop(self) -> None:
+    def disconnect(self) -> None:
         """No connection to end."""
 
 
@@ -82,8 +90,8 @@
         run_virtually(run)
 
     @staticmethod
-    async def begun(nodes: ControlNodes, seeds: str = "abc") -> Puller:
-        puller = Puller(
+    async def begun(nodes: ControlNodes, seeds: str = "abc") -> StatePuller:
+        puller = StatePuller(
             cast(Links, nodes), View(), lambda: Session(name="e"), lambda: list(seeds), lambda _: None
         )
         task = asyncio.create_task(puller.run())
@@ -91,7 +99,7 @@
         await asyncio.sleep(1.5)
         return puller
 
-    async def seconds_to(self, puller: Puller, version: int) -> float:
+    async def seconds_to(self, puller: StatePuller, version: int) -> float:
         """How long it takes until a version is known."""
         began = time.monotonic()
         while puller._view.versions.get("config", 0) < version:
@@ -104,9 +112,9 @@
             for _ in range(20):
                 nodes = ControlNodes("abc")
                 puller = await self.begun(nodes)
-                nodes.nodes[puller._at].mood = "silent"
+                nodes.nodes[puller._preferred_node].mood = "silent"
                 nodes.version = 2
-                self.assertLess(await self.seconds_to(puller, 2), HOLD + LATE + 0.1)
+                self.assertLess(await self.seconds_to(puller, 2), POLL_HOLD + HEDGE_DELAY + 0.1)
 
         self.play(run())
 
@@ -115,11 +123,11 @@
             for _ in range(20):
                 nodes = ControlNodes("abcde")
                 puller = await self.begun(nodes, seeds="abc")
-                for name in sorted(nodes.nodes, key=lambda n: n != puller._at)[:3]:
+                for name in sorted(nodes.nodes, key=lambda n: n != puller._preferred_node)[:3]:
                     nodes.nodes[name].mood = "silent"
                 nodes.version = 2
-                self.assertLess(await self.seconds_to(puller, 2), HOLD + 3 * LATE + 0.1)
-                self.assertLessEqual(nodes.most, CALLS_MOST)
+                self.assertLess(await self.seconds_to(puller, 2), POLL_HOLD + 3 * HEDGE_DELAY + 0.1)
+                self.assertLessEqual(nodes.most, MAX_PARALLEL_CALLS)
 
         self.play(run())
 
@@ -128,10 +136,10 @@
             for mood in ("refusing", "unsure"):
                 nodes = ControlNodes("abc")
                 puller = await self.begun(nodes)
-                for name in sorted(nodes.nodes, key=lambda n: n != puller._at)[:2]:
+                for name in sorted(nodes.nodes, key=lambda n: n != puller._preferred_node)[:2]:
                     nodes.nodes[name].mood = mood
                 nodes.version = 2
-                self.assertLess(await self.seconds_to(puller, 2), HOLD + 0.1)
+                self.assertLess(await self.seconds_to(puller, 2), POLL_HOLD + 0.1)
 
         self.play(run())
 
@@ -139,12 +147,12 @@
         async def run() -> None:
             nodes = ControlNodes("abc")
             puller = await self.begun(nodes)
-            dead = nodes.nodes[puller._at]
+            dead = nodes.nodes[puller._preferred_node]
             dead.mood = "silent"
-            await asyncio.sleep(HOLD + LATE + 0.1)
+            await asyncio.sleep(POLL_HOLD + HEDGE_DELAY + 0.1)
             calls = len(dead.calls)
             for _ in range(4):  # another one fails: the dead one is not asked again
-                at = nodes.nodes[puller._at]
+                at = nodes.nodes[puller._preferred_node]
                 at.mood = "refusing"
                 await asyncio.sleep(0.05)
                 at.mood = "well"
@@ -159,13 +167,13 @@
             nodes.members = set("abc")
             puller = await self.begun(nodes)
             nodes.members = set("def")  # all at once: the last answer tells them
-            await asyncio.sleep(HOLD + 0.1)
+            await asyncio.sleep(POLL_HOLD + 0.1)
             for name in "abc":
                 nodes.nodes[name].mood = "silent"
             nodes.version = 2
-            self.assertLess(await self.seconds_to(puller, 2), HOLD + 3 * LATE + 0.1)
-            await asyncio.sleep(2 * HOLD)
-            self.assertIn(puller._at, "def")
+            self.assertLess(await self.seconds_to(puller, 2), POLL_HOLD + 3 * HEDGE_DELAY + 0.1)
+            await asyncio.sleep(2 * POLL_HOLD)
+            self.assertIn(puller._preferred_node, "def")
 
         self.play(run())
 
@@ -185,12 +193,12 @@
         async def run() -> None:
             nodes = ControlNodes("a")
             puller = await self.begun(nodes, seeds="a")
-            self.assertLess(time.monotonic() - puller.known_at, 2 * HOLD + 0.1)
-            self.assertIn(puller.known_at, nodes.nodes["a"].calls)
+            self.assertLess(time.monotonic() - puller.current_as_of, 2 * POLL_HOLD + 0.1)
+            self.assertIn(puller.current_as_of, nodes.nodes["a"].calls)
             nodes.nodes["a"].mood = "silent"
-            known_at = puller.known_at
+            current_as_of = puller.current_as_of
             await asyncio.sleep(3.0)
-            self.assertLessEqual(puller.known_at, known_at + HOLD + TRIP + 0.01)
+            self.assertLessEqual(puller.current_as_of, current_as_of + POLL_HOLD + TRIP + 0.01)
 
         self.play(run())
 
@@ -199,20 +207,22 @@
             for helpful in ("well", "unsure"):
                 nodes = ControlNodes("abc")
                 puller = await self.begun(nodes)
-                late = nodes.nodes[puller._at]
+                late = nodes.nodes[puller._preferred_node]
                 late.mood = "late"
-                late.answers_at = time.monotonic() + 2 * HOLD + LATE + TRIP  # as the one asked beside it
+                late.answers_at = (
+                    time.monotonic() + 2 * POLL_HOLD + HEDGE_DELAY + TRIP
+                )  # as the one asked beside it
                 for node in nodes.nodes.values():
                     if node is not late:
                         node.mood, node.answers_at = "late", late.answers_at
-                await asyncio.sleep(2 * HOLD + LATE + 1.0)
+                await asyncio.sleep(2 * POLL_HOLD + HEDGE_DELAY + 1.0)
                 for node in nodes.nodes.values():
                     node.mood = helpful
                 await asyncio.sleep(0.2)
                 for node in nodes.nodes.values():
                     node.mood = "well"
                 nodes.version = 2
-                self.assertLess(await self.seconds_to(puller, 2), HOLD + LATE + 0.2)
+                self.assertLess(await self.seconds_to(puller, 2), POLL_HOLD + HEDGE_DELAY + 0.2)
 
         self.play(run())
 
@@ -223,7 +233,7 @@
             with mock.patch.object(View, "take", side_effect=ValueError("malformed")):
                 await asyncio.sleep(1.0)
             nodes.version = 2
-            self.assertLess(await self.seconds_to(puller, 2), HOLD + 0.3)
+            self.assertLess(await self.seconds_to(puller, 2), POLL_HOLD + 0.3)
 
         self.play(run())
 
@@ -232,10 +242,10 @@
             nodes = ControlNodes("a")
             puller = await self.begun(nodes, seeds="a")
             nodes.nodes["a"].mood = "silent"
-            await asyncio.sleep(2 * (HOLD + ANSWER_WITHIN) + 0.5)
+            await asyncio.sleep(2 * (POLL_HOLD + ANSWER_TIMEOUT) + 0.5)
             nodes.nodes["a"].mood = "well"
             nodes.version = 2
-            self.assertLess(await self.seconds_to(puller, 2), HOLD + ANSWER_WITHIN + 0.3)
+            self.assertLess(await self.seconds_to(puller, 2), POLL_HOLD + ANSWER_TIMEOUT + 0.3)
 
         self.play(run())
 
@@ -245,21 +255,21 @@
 
 class Choice(unittest.TestCase):
     def test_members_go_first_then_seeds_then_who_failed_first(self) -> None:
-        candidates = Candidates(random.Random(1))
-        self.assertIn(candidates.choose(10.0, "ab", "cd", set()), "ab")
-        candidates.failed(10.0, "a")
-        self.assertEqual(candidates.choose(10.1, "ab", "cd", set()), "b")
-        candidates.failed(10.2, "b")
-        self.assertIn(candidates.choose(10.3, "ab", "cd", set()), "cd")
-        candidates.failed(10.4, "c")
-        candidates.failed(10.5, "d")
-        self.assertEqual(candidates.choose(10.6, "ab", "cd", set()), "a")
-        self.assertEqual(candidates.choose(10.6, "ab", "cd", {"a"}), "b")
-        self.assertIsNone(candidates.choose(10.6, "ab", "cd", set("abcd")))
-        self.assertTrue(candidates.all_failed(10.6, "abcd"))
-        self.assertEqual(candidates.choose(10.1 + LEFT_OUT, "ab", "cd", set()), "a")
-        candidates.answered("d")
-        self.assertFalse(candidates.all_failed(10.6, "abcd"))
+        selector = ControlNodeSelector(random.Random(1))
+        self.assertIn(selector.choose(10.0, "ab", "cd", set()), "ab")
+        selector.record_failure(10.0, "a")
+        self.assertEqual(selector.choose(10.1, "ab", "cd", set()), "b")
+        selector.record_failure(10.2, "b")
+        self.assertIn(selector.choose(10.3, "ab", "cd", set()), "cd")
+        selector.record_failure(10.4, "c")
+        selector.record_failure(10.5, "d")
+        self.assertEqual(selector.choose(10.6, "ab", "cd", set()), "a")
+        self.assertEqual(selector.choose(10.6, "ab", "cd", {"a"}), "b")
+        self.assertIsNone(selector.choose(10.6, "ab", "cd", set("abcd")))
+        self.assertTrue(selector.all_failed_recently(10.6, "abcd"))
+        self.assertEqual(selector.choose(10.1 + FAILED_NODE_COOLDOWN, "ab", "cd", set()), "a")
+        selector.record_answer("d")
+        self.assertFalse(selector.all_failed_recently(10.6, "abcd"))
 
 
 class Limits(unittest.TestCase):
--- a/tests/tier/test_reading_plan.py
+++ b/tests/tier/test_reading_plan.py
@@ -23,7 +23,7 @@
 from heronstall.sessions.loads import WorkerLoad, pack
 from heronstall.sessions.table import Sessions
 from heronstall.transport.frames import Kind, Status
-from heronstall.transport.links import LOST, Reply
+from heronstall.transport.links import CALL_FAILED, Reply
 from heronstall.transport.messages import PlaceReply, PlaceRequest, Session, Worker
 
 WORKERS = [f"w{k}" for k in range(8)]
@@ -203,14 +203,14 @@
         other = PromptPlacer(self.links, self.view, lambda: self.now)  # type: ignore[arg-type]
         await other.place("lm", self.PREFIX, 16_200)
         self.assertEqual(self.links.asked[1][0], first)
-        for lost in (LOST, Reply(Status.UNSURE), Reply(Status.REFUSED)):
+        for lost in (CALL_FAILED, Reply(Status.UNSURE), Reply(Status.REFUSED)):
             with self.subTest(status=lost.status):
                 self.now += LEFT_OUT
                 self.links.replies[first] = lost
                 self.assertIsNone(await self.placer.place("lm", self.PREFIX, 16_200))
                 self.assertIsNotNone(await self.placer.place("lm", self.PREFIX, 16_200))
                 self.assertNotEqual(self.links.asked[-1][0], first)
-        self.links.replies = dict.fromkeys(self.view.control, LOST)
+        self.links.replies = dict.fromkeys(self.view.control, CALL_FAILED)
         self.now += LEFT_OUT
         asked = len(self.links.asked)
         for _ in range(10):
--- a/tests/tier/test_shard_client.py
+++ b/tests/tier/test_shard_client.py
@@ -9,7 +9,7 @@
 
 from heronstall.dataplane.shard_client import ShardClient
 from heronstall.transport.frames import Kind, Status
-from heronstall.transport.links import LOST, Links, LinkServer, Reply
+from heronstall.transport.links import CALL_FAILED, Links, LinkServer, Reply
 
 PORT = 7741
 TRIES_WITHIN = 0.5
@@ -35,7 +35,7 @@
         self.link.call = call
 
     async def test_no_try_has_less_time_than_the_least(self) -> None:
-        self.answers(LOST)
+        self.answers(CALL_FAILED)
         least = 0.4
         reply = await self.client.call("s", Kind.LEASE, b"", TRIES_WITHIN, least=least)
         self.assertEqual(reply.status, Status.FAILED)
@@ -43,8 +43,8 @@
         self.assertGreater(min(self.times), least)
 
     async def test_what_may_have_been_carried_out_is_not_refused_later(self) -> None:
-        self.answers(LOST)
-        calls = iter([LOST, Reply(Status.REFUSED)])
+        self.answers(CALL_FAILED)
+        calls = iter([CALL_FAILED, Reply(Status.REFUSED)])
 
         async def call(*_: object) -> Reply:
             return next(calls)
@@ -54,11 +54,11 @@
         self.assertEqual(reply.status, Status.FAILED)
 
     async def test_a_try_without_an_answer_ends_a_silent_connection_alone(self) -> None:
-        self.answers(LOST)
+        self.answers(CALL_FAILED)
         began = time.monotonic()
         await self.client.call("s", Kind.LEASE, b"", 0.05)
-        self.link.drop.assert_not_called()
-        self.assertGreaterEqual(self.link.drop_if_silent.call_args.args[0], began)
+        self.link.disconnect.assert_not_called()
+        self.assertGreaterEqual(self.link.disconnect_if_silent.call_args.args[0], began)
 
 
 class SilentConnections(unittest.IsolatedAsyncioTestCase):
@@ -86,14 +86,14 @@
     async def test_a_connection_on_which_something_came_is_kept(self) -> None:
         began = time.monotonic()
         held = await self.held_call()
-        self.link.drop_if_silent(began)
+        self.link.disconnect_if_silent(began)
         self.release.set()
         self.assertEqual((await held).body, b"held")
 
     async def test_a_connection_on_which_nothing_came_is_ended(self) -> None:
         held = await self.held_call()
-        self.link.drop_if_silent(time.monotonic() + 1)
-        self.assertIs(await held, LOST)
+        self.link.disconnect_if_silent(time.monotonic() + 1)
+        self.assertIs(await held, CALL_FAILED)
         self.assertEqual((await self.link.call(Kind.LEASE, b"next", 1.0)).body, b"next")
 
 
