--- a/heronstall/cli/tier.py
+++ b/heronstall/cli/tier.py
@@ -135,7 +135,7 @@
 async def _stay_up(plan: Plan, first: bool, pause: float, show: Callable[[], None]) -> None:
     """Start, show, and wait for a signal. Raises Missed where a node ends by itself or nothing gets ready."""
     from heronstall.lab.tier.tier import LocalTier
-    from heronstall.transport.waits import wait_at_most
+    from heronstall.transport.event_waits import wait_at_most
 
     local = LocalTier(plan, pause=pause)
     ended = asyncio.Event()
--- a/heronstall/controlplane/waiting.py
+++ b/heronstall/controlplane/waiting.py
@@ -11,7 +11,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from heronstall.transport.waits import wait_at_most
+from heronstall.transport.event_waits import wait_at_most
 
 
 @dataclass(eq=False)
--- a/heronstall/dataplane/batch_runner.py
+++ b/heronstall/dataplane/batch_runner.py
@@ -26,6 +26,7 @@
 from heronstall.dataplane.shard_client import ShardClient
 from heronstall.dataplane.workers import UnsendablePath, WorkerState, note_attempt
 from heronstall.distribution.shards import batch_shard
+from heronstall.transport.event_waits import wait_at_most
 from heronstall.transport.frames import Kind, Status
 from heronstall.transport.links import Reply
 from heronstall.transport.messages import (
@@ -37,7 +38,6 @@
     LeaseReply,
     LeaseRequest,
 )
-from heronstall.transport.waits import wait_at_most
 
 log = structlog.get_logger()
 
