--- a/benchmarks/tier_capacity.py
+++ b/benchmarks/tier_capacity.py
@@ -30,7 +30,7 @@
 from heronstall.batch.items import put_items
 from heronstall.batch.jobs import BatchShard
 from heronstall.batch.leases import Leases
-from heronstall.controlplane.state.worker_shard import WorkerShard, put
+from heronstall.controlplane.state.worker_shard import WorkerShard, encode_put
 from heronstall.dataplane.routing import read_routes
 from heronstall.distribution.view import View
 from heronstall.sessions.loads import WorkerLoad, pack
@@ -159,10 +159,10 @@
     shard = WorkerShard()
     for k in range(workers):
         entry = m.Worker(f"i-{k:08x}", "lm", f"10.9.{k // 250}.{k % 250}:8080", "zone-a", "ready", 8, k)
-        shard.apply(k + 1, put(entry))
+        shard.apply(k + 1, encode_put(entry))
 
     def tell() -> bytes:
-        delta = shard.since("workers-0", 0)
+        delta = shard.changes_since("workers-0", 0)
         assert delta is not None
         return bytes(m.SyncReply(workers=[delta]))
 
--- a/heronstall/cli/ctl.py
+++ b/heronstall/cli/ctl.py
@@ -127,8 +127,8 @@
         body = file.read_bytes()
     except OSError as error:
         raise BadInput(f"{file}: {error.strerror}") from None
-    read = documents.read_object(body)
-    found = read if isinstance(read, Err) else operator_config.checked(read.ok_value, above)
+    read = documents.parse_object(body)
+    found = read if isinstance(read, Err) else operator_config.validate(read.ok_value, above)
     if isinstance(found, Err):
         code, text = found.err_value
         raise BadInput(f"{file}: {int(code)} {code.name}: {text}")
--- a/heronstall/controlplane/core.py
+++ b/heronstall/controlplane/core.py
@@ -1,4 +1,4 @@
-"""A core node: the shards of the control state, sessions, and the chores of their leaders."""
+"""A core node: the shards of the control state, the sessions, and the periodic work of shard leaders."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from heronstall.config import NodeSettings
 from heronstall.controlplane.hosting import Superseded
-from heronstall.controlplane.planning import ReadingPlans
+from heronstall.controlplane.planning import ReadingPlanners
 from heronstall.controlplane.replica_node import ReplicaNode
 from heronstall.controlplane.state import worker_shard
 from heronstall.controlplane.state.config_shard import (
@@ -18,7 +18,7 @@
     Command,
     ConfigShard,
     StoreStage,
-    command,
+    encode_command,
 )
 from heronstall.controlplane.state.worker_shard import WorkerShard
 from heronstall.distribution.freshness import TOLD_WITHIN
@@ -45,106 +45,106 @@
 
 log = structlog.get_logger()
 
-CHORES = 0.3  # seconds between rounds of chores
-SETTLE = EXPIRE + 0.5  # seconds of a process's life before a silent node counts as dead
-LED_LEAST = 1.0  # seconds of leading before that: nodes that called the former leader call another by then
-READ_SEEDS_EVERY = 2.0  # seconds
-GATHER = 1.0  # seconds that a first placement waits for more storage nodes
-LOG_LIMIT = 8 * 1024 * 1024  # bytes of log before a slot is written
-DISK_PARTS = 8  # of the disk, of which the log takes one at the most
-COMMIT_WITHIN = 2.5  # seconds
-CONFIRM_WITHIN = 0.5  # seconds for the answers of a majority
-SILENT_BEATS = 3.2  # heartbeats that a worker may miss
-FRESH_LOOK = 0.01  # seconds between looks whether this node may tell its views
+MAINTENANCE_INTERVAL = 0.3  # seconds between rounds of periodic work
+SETTLE_TIME = EXPIRE + 0.5  # seconds after a process start before a silent node counts as dead
+MIN_LEADING_TIME = 1.0  # seconds of leadership required too; by then callers have left the former leader
+SEED_RELOAD_INTERVAL = 2.0  # seconds
+PLACEMENT_WAIT = 1.0  # seconds that the first placement waits for more storage nodes
+MAX_LOG_BYTES = 8 * 1024 * 1024  # log size at which the state is written to a slot
+LOG_DISK_DIVISOR = 8  # the log may take 1 / LOG_DISK_DIVISOR of the disk
+COMMIT_TIMEOUT = 2.5  # seconds
+CONFIRM_TIMEOUT = 0.5  # seconds to wait for a majority's answers
+MISSED_HEARTBEATS_ALLOWED = 3.2  # heartbeat intervals without a heartbeat until a worker expires
+FRESHNESS_POLL_INTERVAL = 0.01  # seconds between checks whether this node's views are fresh
 
 
 class Core(ReplicaNode):
-    """All that a core node holds and does, but for its HTTP interface."""
+    """The state and the behavior of a core node, except for its HTTP API."""
 
     def __init__(self, settings: NodeSettings) -> None:
-        super().__init__(settings, LOG_LIMIT, DISK_PARTS)
+        super().__init__(settings, MAX_LOG_BYTES, LOG_DISK_DIVISOR)
         self.sessions = Sessions()
-        self.plans = ReadingPlans(self.sessions, time.monotonic)
+        self.reading_planners = ReadingPlanners(self.sessions, time.monotonic)
         self.config = ConfigShard()
         self.workers = {name: WorkerShard() for name in WORKER_SHARDS}
-        self.heard: dict[str, float] = {}  # by worker: its latest heartbeat at this node
-        self._news = asyncio.Event()
+        self.last_heartbeat_at: dict[str, float] = {}  # by worker, for heartbeats received by this node
+        self._state_changed = asyncio.Event()
         self._led_since: dict[str, float] = {}
         self._placing_since: float | None = None
         self._started_at = self.host.now()
-        self._seeds_after = self._started_at + READ_SEEDS_EVERY
+        self._next_seed_reload_at = self._started_at + SEED_RELOAD_INTERVAL
 
     async def start(self) -> None:
-        """Join the groups and begin to serve other nodes."""
+        """Joins the groups and starts to serve other nodes."""
         seeds = self.settings.seed_addresses
         known = set(self.host.recovered_groups)
         self.host.add(CONFIG, self.config)
         for name, shard in self.workers.items():
             self.host.add(name, shard)
         for group, hosted in self.host.groups.items():
-            forms = self.settings.bootstrap and self.address in seeds and group not in known
-            if forms and self.host.me.endswith("#0"):
+            forms_group = self.settings.bootstrap and self.address in seeds and group not in known
+            if forms_group and self.host.replica_id.endswith("#0"):
                 hosted.replica.form(self.host.now(), tuple(sorted(f"{s}#0" for s in seeds)))
-        await self._begin(self._stay_in_touch(), self._chores())
+        await self._start_serving(self._maintain_membership_and_sessions(), self._run_maintenance())
 
-    # ------------------------------------------------------------------ what the interface asks
+    # ------------------------------------------------------------------ used by the HTTP API
 
     def replica(self, group: str) -> Replica:
-        """This node's replica of a group."""
+        """Returns this node's replica of a group."""
         return self.host.groups[group].replica
 
     def leads(self, group: str) -> bool:
-        """Whether this node may answer for a group."""
+        """Whether this node holds the leader lease of a group."""
         return self.replica(group).holds_lease(self.host.now())
 
     def leader_address(self, group: str) -> str | None:
-        """Internal address of a group's leader, where it is known and another node."""
+        """Returns the internal address of a group's leader if it is known and another node."""
         hint = self.replica(group).leader_hint(self.host.now())
-        return address_of(hint) if hint and hint != self.host.me else None
+        return address_of(hint) if hint and hint != self.host.replica_id else None
 
     async def commit(self, group: str, data: bytes) -> bool | None:
-        """Commit a command: what it did, or None where that is not known."""
-        done = await self._applied_to(group, data)
+        """Commits a command. Returns whether it changed the state, or None if that is not known."""
+        done = await self._propose(group, data)
         return None if done is None else bool(done)
 
     async def change_config(self, change: ConfigChange) -> ChangeOutcome | None:
-        """Commit a change of the configuration: what became of it, or None where nothing can be said.
+        """Commits a configuration change. Returns its outcome, or None if that is not known.
 
-        None too where another leader's entry took its place: the change itself was not at fault.
+        Also returns None if another leader's entry took its place: the change itself may be valid.
         """
-        outcome = await self._applied_to(CONFIG, command(Command.CHANGE, change))
+        outcome = await self._propose(CONFIG, encode_command(Command.CHANGE, change))
         assert outcome is None or isinstance(outcome, ChangeOutcome)
         return outcome
 
-    async def _applied_to(self, group: str, data: bytes) -> Any:
-        """What applying a command gave; None where it was superseded, or nothing is known of it."""
+    async def _propose(self, group: str, data: bytes) -> Any:
+        """Returns the result of applying a command, or None if it was superseded or is undecided."""
         try:
-            return await self.host.propose(group, data, COMMIT_WITHIN)
+            return await self.host.propose(group, data, COMMIT_TIMEOUT)
         except (Superseded, TimeoutError):
             return None
 
-    async def confirmed(self, group: str) -> bool:
-        """Whether a majority says, after this call, that this node leads: its state is then the newest."""
+    async def confirm_leadership(self, group: str) -> bool:
+        """Whether a majority confirms, after this call, that this node leads and so has the newest state."""
         try:
-            await self.host.confirm(group, CONFIRM_WITHIN)
+            await self.host.confirm(group, CONFIRM_TIMEOUT)
         except TimeoutError:
             return False
         return self.leads(group)
 
     async def remove_worker(self, group: str, worker: str) -> bool:
-        """Note in a registry shard that a worker has ended, here or at the shard's leader."""
+        """Records a worker's removal in a registry shard, here or at the shard's leader."""
         if self.leads(group):
-            removal = worker_shard.remove(worker_shard.Command.REMOVE, worker)
-            gone = self.workers[group].is_gone(worker)
-            return gone or await self.commit(group, removal) is not None
+            removal = worker_shard.encode_removal(worker_shard.Command.REMOVE, worker)
+            already_gone = self.workers[group].is_gone(worker)
+            return already_gone or await self.commit(group, removal) is not None
         address = self.leader_address(group)
         if address is None:
             return False
         body = bytes(WorkerEnd(group, worker))
-        reply = await self.links.to(address).call(Kind.WORKER_END, body, COMMIT_WITHIN)
+        reply = await self.links.to(address).call(Kind.WORKER_END, body, COMMIT_TIMEOUT)
         return reply.status == Status.OK
 
-    async def _serve_end(self, request: WorkerEnd) -> Reply:
+    async def _handle_worker_end(self, request: WorkerEnd) -> Reply:
         if request.shard not in self.workers:
             return Reply(Status.REFUSED)
         if not self.leads(request.shard):
@@ -152,39 +152,39 @@
         done = await self.remove_worker(request.shard, request.worker)
         return Reply(Status.OK if done else Status.UNSURE)
 
-    def live_stores(self) -> set[str]:
-        """Replica identities of the storage nodes that have a session."""
+    def live_storage_replicas(self) -> set[str]:
+        """Returns the replica ids of the storage nodes that have a session."""
         return {s.replica for s in self.sessions.live(self.host.now(), "storage").values()}
 
     @property
-    def copies(self) -> int:
-        """Replicas of a batch shard that the tolerated losses need."""
+    def replicas_per_shard(self) -> int:
+        """The replicas that a batch shard needs to survive the tolerated number of lost machines."""
         return 2 * self.settings.machines_lost + 1
 
-    def settled(self) -> bool:
-        """Whether this node knows which storage nodes live.
+    def knows_live_stores(self) -> bool:
+        """Whether this node knows which storage nodes are alive.
 
-        Sessions are told to followers as well: one that has run for long need not lead for long.
+        Followers receive sessions too, so a process that has run for long needs only a short time as leader.
         """
         now, since = self.host.now(), self._led_since.get(CONFIG)
-        return since is not None and now - since > LED_LEAST and now - self._started_at > SETTLE
+        return since is not None and now - since > MIN_LEADING_TIME and now - self._started_at > SETTLE_TIME
 
     # ------------------------------------------------------------------ other nodes
 
-    async def _serve(self, kind: Kind, body: bytes) -> Reply:
+    async def _handle_call(self, kind: Kind, body: bytes) -> Reply:
         if kind == Kind.SYNC:
             return await self._sync(SyncRequest().parse(body))
         if kind == Kind.PLACE:
             return self._place_prompt(PlaceRequest().parse(body))
         if kind == Kind.WORKER_END:
-            return await self._serve_end(WorkerEnd().parse(body))
+            return await self._handle_worker_end(WorkerEnd().parse(body))
         return Reply(Status.REFUSED)
 
-    def _one_way(self, kind: Kind, body: bytes) -> None:
+    def _handle_one_way(self, kind: Kind, body: bytes) -> None:
         if kind == Kind.SESSIONS:
             self.sessions.merge(self.host.now(), SessionTable().parse(body).sessions)
         else:
-            super()._one_way(kind, body)
+            super()._handle_one_way(kind, body)
 
     async def _sync(self, request: SyncRequest) -> Reply:
         self.sessions.renew(self.host.now(), request.session)
@@ -192,14 +192,14 @@
         deadline = self.host.now() + request.wait_ms / 1000
         while True:
             left = deadline - self.host.now()
-            if not self.fresh():
-                # A caller that knows nothing waits: it has just started, as this node perhaps has too.
+            if not self.is_fresh():
+                # A caller without any state waits: it has just started, and so may have this node.
                 if versions.get(CONFIG) or left <= 0:
                     return Reply(Status.UNSURE)
-                await asyncio.sleep(min(left, FRESH_LOOK))
+                await asyncio.sleep(min(left, FRESHNESS_POLL_INTERVAL))
                 continue
-            news = self._news_since(versions)
-            if news or left <= 0:
+            changed = self._changed_since(versions)
+            if changed or left <= 0:
                 reply = self._sync_reply(versions)
                 if request.session.machine_class == "edge":
                     reply.loads = pack(self.sessions.loads(self.host.now(), request.session.name))
@@ -207,22 +207,24 @@
                 return Reply(Status.OK, bytes(reply))
             try:
                 async with asyncio.timeout(min(left, TOLD_WITHIN / 2)):
-                    await self._news.wait()
+                    await self._state_changed.wait()
             except TimeoutError:
                 continue
 
     def _place_prompt(self, request: PlaceRequest) -> Reply:
-        """Advise where a prompt is to be read. A node out of touch knows neither workers nor loads."""
-        if not self.fresh():
+        """Chooses the worker to read a prompt. A node with stale views knows neither workers nor loads."""
+        if not self.is_fresh():
             return Reply(Status.UNSURE)
-        return self.plans.answer(request, self.workers[shard_of_service(request.service)].workers)
+        return self.reading_planners.place_prompt(
+            request, self.workers[shard_of_service(request.service)].workers
+        )
 
-    def fresh(self) -> bool:
-        """Whether this node's views hold all that was acknowledged until lately, so that they may be told."""
+    def is_fresh(self) -> bool:
+        """Whether this node's views have all writes acknowledged until recently, so others may use them."""
         now = self.host.now()
         return all(h.replica.in_touch(now, TOLD_WITHIN) for h in self.host.groups.values())
 
-    def _news_since(self, versions: dict[str, int]) -> bool:
+    def _changed_since(self, versions: dict[str, int]) -> bool:
         state = self.config.state
         return (
             state.config_version > versions.get("config", 0)
@@ -238,72 +240,75 @@
         if state.placement_version > versions.get("placement", 0):
             reply.placements = state.placements
         for name, shard in self.workers.items():
-            delta = shard.since(name, versions.get(name, 0))
+            delta = shard.changes_since(name, versions.get(name, 0))
             if delta is not None:
                 reply.workers.append(delta)
         reply.control = [address_of(m) for m in self.replica(CONFIG).log.members]
         reply.edges = len(self.sessions.live(self.host.now(), "edge"))
         return reply
 
-    def _applied(self, group: str) -> None:
-        self._news.set()
-        self._news = asyncio.Event()
+    def _on_applied(self, group: str) -> None:
+        self._state_changed.set()
+        self._state_changed = asyncio.Event()
 
-    def _role(self, group: str, leads: bool) -> None:
+    def _on_role_change(self, group: str, leads: bool) -> None:
         if leads:
             self._led_since[group] = self.host.now()
             shard = self.workers.get(group)
             if shard is not None:
-                self.heard.update({worker: self.host.now() for worker in shard.workers})
+                self.last_heartbeat_at.update({worker: self.host.now() for worker in shard.workers})
         else:
             self._led_since.pop(group, None)
 
-    # ------------------------------------------------------------------ chores
+    # ------------------------------------------------------------------ periodic work
+
+    async def _maintain_membership_and_sessions(self) -> None:
+        """Maintains memberships and sessions.
 
-    async def _stay_in_touch(self) -> None:
-        """Memberships and sessions, which must not wait for a commit: others take silence for an end."""
+        They must not wait for a commit, since other nodes treat a silent node as dead.
+        """
         while True:
-            await asyncio.sleep(CHORES)
-            self._members()
-            self._gossip()
+            await asyncio.sleep(MAINTENANCE_INTERVAL)
+            self._update_memberships()
+            self._gossip_sessions()
 
-    async def _chores(self) -> None:
-        """What leaders do; each commit may take seconds on a slow disk."""
+    async def _run_maintenance(self) -> None:
+        """Performs the leaders' periodic work, in which each commit may take seconds on a slow disk."""
         while True:
-            await asyncio.sleep(CHORES)
+            await asyncio.sleep(MAINTENANCE_INTERVAL)
             started = time.monotonic()
             try:
                 await self._expire_workers()
                 if self.leads(CONFIG):
-                    await self._note_stores()
-                    await self._place()
+                    await self._register_storage_nodes()
+                    await self._place_shards()
                     await self._finish_retiring()
                 else:
                     self._placing_since = None
             except (Superseded, TimeoutError):
                 log.info("chores put off", after=round(time.monotonic() - started, 2))
 
-    def _members(self) -> None:
+    def _update_memberships(self) -> None:
         now = self.host.now()
-        if not self.fresh():
+        if not self.is_fresh():
             self._read_seeds(now)
         seeds = [f"{seed}#" for seed in self.settings.seed_addresses]
         for hosted in self.host.groups.values():
             replica = hosted.replica
-            wanted = membership.wanted_voters(replica, self.copies, now, self.timing)
+            wanted = membership.wanted_voters(replica, self.replicas_per_shard, now, self.timing)
             if wanted:
                 membership.step(replica, wanted, now, self.timing)
-            others = [m for m in replica.log.members if m != self.host.me]
+            others = [m for m in replica.log.members if m != self.host.replica_id]
             replica.ask_to_join(now, [*others, *(s for s in seeds if address_of(s) != self.address)])
         self.host.flush_soon()
 
     def _read_seeds(self, now: float) -> None:
-        """A node that hears of no leader may have seeds that are gone: the file may name others."""
-        if now >= self._seeds_after:
-            self._seeds_after = now + READ_SEEDS_EVERY
+        """Reads the seeds again: a node without a leader may have outdated seeds."""
+        if now >= self._next_seed_reload_at:
+            self._next_seed_reload_at = now + SEED_RELOAD_INTERVAL
             self.settings = self.settings.read_again()
 
-    def _gossip(self) -> None:
+    def _gossip_sessions(self) -> None:
         now = self.host.now()
         table = bytes(SessionTable(self.sessions.told(now)))
         self.sessions.expire(now)
@@ -314,78 +319,78 @@
 
     async def _expire_workers(self) -> None:
         now = self.host.now()
-        silent_for = SILENT_BEATS * self.settings.heartbeat + 0.5
+        silent_for = MISSED_HEARTBEATS_ALLOWED * self.settings.heartbeat + 0.5
         for group, shard in self.workers.items():
             if not self.leads(group) or now - self._led_since.get(group, now) < silent_for:
                 continue
             for worker in list(shard.workers):
-                if now - self.heard.get(worker, now) > silent_for:
+                if now - self.last_heartbeat_at.get(worker, now) > silent_for:
                     log.info("worker silent", worker=worker)
-                    expired = worker_shard.remove(worker_shard.Command.EXPIRE, worker)
-                    await self.host.propose(group, expired, COMMIT_WITHIN)
+                    expired = worker_shard.encode_removal(worker_shard.Command.EXPIRE, worker)
+                    await self.host.propose(group, expired, COMMIT_TIMEOUT)
 
-    async def _note_stores(self) -> None:
+    async def _register_storage_nodes(self) -> None:
         for session in self.sessions.live(self.host.now(), "storage").values():
-            known = self.config.store(session.name)
+            known = self.config.storage_node(session.name)
             if known is None or known.replica != session.replica:
                 stage = StoreStage.ACTIVE if known is None else known.stage
                 node = StoreNode(session.name, session.replica, session.zone, stage)
-                await self.host.propose(CONFIG, command(Command.STORE, node), COMMIT_WITHIN)
+                await self.host.propose(CONFIG, encode_command(Command.STORE, node), COMMIT_TIMEOUT)
 
     def _candidates(self) -> list[Candidate]:
-        """Storage nodes; before this node knows who lives, those that hold replicas count as living."""
-        live = self.live_stores()
-        if not self.settled():
+        """Returns the storage nodes. Until live nodes are known, those with replicas count as live."""
+        live = self.live_storage_replicas()
+        if not self.knows_live_stores():
             live |= {r for placement in self.config.state.placements for r in placement.replicas}
         return [
             Candidate(s.replica, s.zone, s.replica in live, s.stage == StoreStage.ACTIVE)
             for s in self.config.state.stores
         ]
 
-    async def _place(self) -> None:
+    async def _place_shards(self) -> None:
         nodes = self._candidates()
-        missing = [s for s in BATCH_SHARDS if not self.config.placement(s)]
-        placed = {s: self.config.placement(s) for s in BATCH_SHARDS if s not in missing}
+        unplaced = [s for s in BATCH_SHARDS if not self.config.placement(s)]
+        placed = {s: self.config.placement(s) for s in BATCH_SHARDS if s not in unplaced}
         changes: dict[str, tuple[str, ...]] = {}
         usable = sum(n.usable for n in nodes)
         now = self.host.now()
-        if missing and usable:
+        if unplaced and usable:
             self._placing_since = self._placing_since or now
-            patience = GATHER if usable >= self.copies else 6 * GATHER
-            if now - self._placing_since > patience:
-                changes = first_placement(missing, nodes, self.copies)
+            max_wait = PLACEMENT_WAIT if usable >= self.replicas_per_shard else 6 * PLACEMENT_WAIT
+            if now - self._placing_since > max_wait:
+                changes = first_placement(unplaced, nodes, self.replicas_per_shard)
         else:
-            changes = repaired(placed, nodes, self.copies)
+            changes = repaired(placed, nodes, self.replicas_per_shard)
         for shard, replicas in changes.items():
             log.info("place", shard=shard, replicas=list(replicas))
-            placement = Placement(shard, list(replicas), shard in missing)
-            await self.host.propose(CONFIG, command(Command.PLACE, placement), COMMIT_WITHIN)
+            placement = Placement(shard, list(replicas), shard in unplaced)
+            await self.host.propose(CONFIG, encode_command(Command.PLACE, placement), COMMIT_TIMEOUT)
 
     async def _finish_retiring(self) -> None:
         for node in self.config.state.stores:
-            if node.stage != StoreStage.RETIRING or not self._emptied(node.replica):
+            if node.stage != StoreStage.RETIRING or not self._holds_no_shards(node.replica):
                 continue
             retired = StoreNode(node.name, node.replica, node.zone, StoreStage.RETIRED)
-            await self.host.propose(CONFIG, command(Command.STORE, retired), COMMIT_WITHIN)
+            await self.host.propose(CONFIG, encode_command(Command.STORE, retired), COMMIT_TIMEOUT)
 
-    def _emptied(self, replica: str) -> bool:
-        """Whether all shards live elsewhere, as their own leaders say.
+    def _holds_no_shards(self, replica: str) -> bool:
+        """Whether no shard has a voter on this replica any more, according to the shards' leaders.
 
-        What a leader told before it knew the present placement says nothing: it may still move away from it.
+        A report of a leader that did not know the current placement is ignored: its voters may still change.
         """
-        told: dict[str, tuple[int, tuple[str, ...]]] = {}
-        present = self.config.state.placement_version
+        reported: dict[str, tuple[int, tuple[str, ...]]] = {}
+        current_placement = self.config.state.placement_version
         for session in self.sessions.live(self.host.now(), "storage").values():
-            if session.placement_version < present:
+            if session.placement_version < current_placement:
                 continue
             for status in session.shards:
-                if status.leader == session.replica and status.term >= told.get(status.shard, (0, ()))[0]:
-                    told[status.shard] = (status.term, tuple(status.voters))
+                if status.leader == session.replica and status.term >= reported.get(status.shard, (0, ()))[0]:
+                    reported[status.shard] = (status.term, tuple(status.voters))
         for shard in BATCH_SHARDS:
             wanted = self.config.placement(shard)
             if not wanted:
                 continue
-            _, voters = told.get(shard, (0, ()))
+            _, voters = reported.get(shard, (0, ()))
             if replica in wanted or set(voters) != set(wanted):
                 return False
         return True
--- a/heronstall/controlplane/hosting.py
+++ b/heronstall/controlplane/hosting.py
@@ -1,4 +1,4 @@
-"""Runs the replicas of one node: its disk, its messages and its clock round the I/O-free replicas."""
+"""Runs the replicas of one node: connects the I/O-free replicas to disk, network and clock."""
 
 from __future__ import annotations
 
@@ -31,101 +31,101 @@
 
 log = structlog.get_logger()
 
-TICK = 0.06  # seconds
-KEPT_ENTRIES = 128  # entries before a snapshot that are kept for replicas a little behind
-DISK_RETRY = 0.25  # seconds until a refused write is tried again
-CONFIRM_LOOK = 0.002  # seconds between looks for the answers of a majority
+TICK_INTERVAL = 0.06  # seconds
+RETAINED_ENTRIES = 128  # log entries kept before a snapshot, for replicas that are slightly behind
+DISK_RETRY_DELAY = 0.25  # seconds until a failed write is retried
+CONFIRM_POLL_INTERVAL = 0.002  # seconds between checks for a majority's answers
 BOOTSTRAP_INCARNATION = "0"
 
 
 class StateMachine(Protocol):
-    """What a group's log is folded into."""
+    """The state that a group's committed commands are applied to."""
 
     def apply(self, index: int, data: bytes) -> Any:
-        """Take a committed command."""
+        """Applies a committed command."""
 
     def dump(self) -> bytes:
-        """The whole state."""
+        """Returns the encoded state."""
 
     def restore(self, state: bytes) -> None:
-        """Take a whole state; empty bytes are the state before the first command."""
+        """Replaces the state by an encoded one; empty bytes are the state before the first command."""
 
 
 class Superseded(Exception):
-    """A proposed command will never be committed."""
+    """Raised when a proposed command will certainly never be committed."""
 
 
 class Undecided(TimeoutError):
-    """Whether a proposed command was committed is not known, and will not be known here."""
+    """Raised when this node cannot determine whether a proposed command was committed."""
 
 
 @dataclass(frozen=True)
 class EntryId:
-    """A log entry: another leader may put another one at the same index."""
+    """Identifies a log entry. Another leader may write a different entry at the same index."""
 
     index: int
     term: int
 
 
 @dataclass
-class Hosted:
-    """A replica and what belongs to it."""
+class HostedReplica:
+    """A replica with its state machine and the proposals that await their outcome."""
 
     replica: Replica
-    machine: StateMachine
-    waiting: dict[EntryId, asyncio.Future[Any]] = field(default_factory=dict)
-    was_leader: bool = False
+    state_machine: StateMachine
+    pending_proposals: dict[EntryId, asyncio.Future[Any]] = field(default_factory=dict)
+    reported_as_leader: bool = False
 
 
-def _retrieved(future: asyncio.Future[Any]) -> None:
-    """Take a failure that nobody waits for any more: the loop would log it."""
+def _retrieve_exception(future: asyncio.Future[Any]) -> None:
+    """Retrieves the exception of an abandoned future, which the event loop would log otherwise."""
     if not future.cancelled():
         future.exception()
 
 
 class GroupHost:
-    """All replicas of a node over one journal."""
+    """All replicas of a node, which share one journal."""
 
     def __init__(
-        self, address: str, folder: Path, links: Links, timing: Timing, bootstrap: bool, log_limit: int
+        self, address: str, directory: Path, links: Links, timing: Timing, bootstrap: bool, log_limit: int
     ) -> None:
         self.links = links
-        self.groups: dict[str, Hosted] = {}
+        self.groups: dict[str, HostedReplica] = {}
         self.on_applied: Callable[[str], None] = lambda group: None
-        self.on_role: Callable[[str, bool], None] = lambda group, leads: None
-        self._journal = Journal(folder)
+        self.on_role_change: Callable[[str, bool], None] = lambda group, leads: None
+        self._journal = Journal(directory)
         self._timing = timing
-        self._limit = log_limit
+        self._log_limit = log_limit
         self._random = random.Random()
-        self._images: dict[str, Image] = {}
-        self._pending: list[DiskRecord] = []
-        self._held: list[GroupMessage] = []
-        self._flush_due = False
-        self._disk_after = 0.0
+        self._recovered_images: dict[str, Image] = {}
+        self._unwritten_records: list[DiskRecord] = []
+        self._withheld_messages: list[GroupMessage] = []
+        self._flush_scheduled = False
+        self._next_write_at = 0.0
         self._incarnation = self._recover(bootstrap)
-        self.me = f"{address}#{self._incarnation}"
+        self.replica_id = f"{address}#{self._incarnation}"
 
     @property
     def recovered_groups(self) -> list[str]:
-        """Groups that this node's disk knows of."""
-        return list(self._images)
-
-    def add(self, group: str, machine: StateMachine, tells_commit: bool = True) -> Replica:
-        """Run a replica of a group, from what the disk holds of it."""
-        image = self._images.pop(group, None)
-        replica = Replica(group, self.me, self._timing, self._random, self.now(), image)
-        replica.carry(machine.dump, tells_commit)
-        machine.restore(image.snapshot.state if image and image.snapshot else b"")
-        self.groups[group] = Hosted(replica, machine)
+        """The groups found on this node's disk that have not been added yet."""
+        return list(self._recovered_images)
+
+    def add(self, group: str, state_machine: StateMachine, announces_commit: bool = True) -> Replica:
+        """Adds a replica of a group, with the state that was recovered from disk."""
+        image = self._recovered_images.pop(group, None)
+        replica = Replica(group, self.replica_id, self._timing, self._random, self.now(), image)
+        replica.carry(state_machine.dump, announces_commit)
+        state_machine.restore(image.snapshot.state if image and image.snapshot else b"")
+        self.groups[group] = HostedReplica(replica, state_machine)
         return replica
 
     @staticmethod
     def now() -> float:
-        """Steady time in seconds."""
+        """Returns the steady time in seconds."""
         return time.monotonic()
 
     def receive(self, body: bytes) -> None:
-        """Take a frame with messages of other replicas."""
+        """Handles an encoded batch of messages from other replicas."""
         now = self.now()
         for message in GroupBatch().parse(body).messages:
             hosted = self.groups.get(message.group)
@@ -134,74 +134,74 @@
         self.flush_soon()
 
     async def run(self) -> None:
-        """Let time pass until cancelled."""
+        """Advances the replicas' clocks until cancelled."""
         while True:
             now = self.now()
             for hosted in self.groups.values():
                 hosted.replica.tick(now)
             self.flush()
-            await asyncio.sleep(TICK)
+            await asyncio.sleep(TICK_INTERVAL)
 
-    async def propose(self, group: str, data: bytes, within: float) -> Any:
-        """Commit a command and return what applying it gave.
+    async def propose(self, group: str, data: bytes, timeout_seconds: float) -> Any:
+        """Commits a command and returns the result of applying it.
 
-        Raises Superseded where it is certain that it will never be committed, TimeoutError where not.
+        Raises Superseded if the command will certainly never be committed, TimeoutError if that is not known.
         """
-        async with asyncio.timeout(within):
+        async with asyncio.timeout(timeout_seconds):
             return await asyncio.shield(self.submit(group, data))
 
     def submit(self, group: str, data: bytes) -> asyncio.Future[Any]:
-        """Propose a command; the future has what applying it gives, whenever that is.
+        """Proposes a command. Returns a future for the result of applying it, without a time limit.
 
-        It fails with Superseded where it is certain that the command will never be committed, and with
-        Undecided where this node will not learn it. Raises Superseded where this is not the leader.
+        The future fails with Superseded if the command will certainly never be committed, and with Undecided
+        if this node cannot determine that. Raises Superseded if this node is not the leader.
         """
         hosted = self.groups[group]
         index = hosted.replica.propose(self.now(), data)
         if index is None:
             raise Superseded(group)
         future: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
-        future.add_done_callback(_retrieved)
-        hosted.waiting[EntryId(index, hosted.replica.term)] = future
+        future.add_done_callback(_retrieve_exception)
+        hosted.pending_proposals[EntryId(index, hosted.replica.term)] = future
         self.flush_soon()
         return future
 
-    async def confirm(self, group: str, within: float) -> None:
-        """Return once the state here holds all that was acknowledged before this call.
+    async def confirm(self, group: str, timeout_seconds: float) -> None:
+        """Returns when a majority confirmed that the local state has all writes acknowledged before the call.
 
-        Raises TimeoutError where no majority says so in time.
+        Raises TimeoutError if no majority confirms in time.
         """
         replica = self.groups[group].replica
-        asked_at = microseconds(self.now()) / MICROSECONDS
-        replica.ask_quorum(asked_at)
+        requested_at = microseconds(self.now()) / MICROSECONDS
+        replica.ask_quorum(requested_at)
         self.flush_soon()
-        async with asyncio.timeout(within):
-            while replica.confirmed_at(self.now()) < asked_at:
-                await asyncio.sleep(CONFIRM_LOOK)
+        async with asyncio.timeout(timeout_seconds):
+            while replica.confirmed_at(self.now()) < requested_at:
+                await asyncio.sleep(CONFIRM_POLL_INTERVAL)
 
     def flush_soon(self) -> None:
-        """Write, send and apply before the loop waits again."""
-        if not self._flush_due:
-            self._flush_due = True
+        """Schedules a flush in the next iteration of the event loop."""
+        if not self._flush_scheduled:
+            self._flush_scheduled = True
             asyncio.get_running_loop().call_soon(self.flush)
 
     def flush(self) -> None:
-        """Carry out what the replicas want done."""
-        self._flush_due = False
+        """Performs the replicas' outputs: sends messages, writes records and applies entries."""
+        self._flush_scheduled = False
         for _ in range(8):
             outputs = [(h, h.replica.take_output()) for h in self.groups.values()]
-            busy = any(o.early or o.records or o.late or o.install or o.apply for _, o in outputs)
-            if not busy and not self._write_due():
+            has_output = any(o.early or o.records or o.late or o.install or o.apply for _, o in outputs)
+            if not has_output and not self._write_retry_due():
                 break
             self._send([m for _, o in outputs for m in o.early])
-            self._pending += [r for _, o in outputs for r in o.records]
-            self._held += [m for _, o in outputs for m in o.late]
-            self._write_pending()
+            self._unwritten_records += [r for _, o in outputs for r in o.records]
+            self._withheld_messages += [m for _, o in outputs for m in o.late]
+            self._write_records()
             for hosted, output in outputs:
                 self._apply(hosted, output)
-        if self._journal.log_bytes > self._limit:
+        if self._journal.log_bytes > self._log_limit:
             self._compact()
-        self._tell_roles()
+        self._report_role_changes()
 
     # ------------------------------------------------------------------ disk
 
@@ -210,9 +210,9 @@
         if found.parts is None:
             if found.damaged:
                 log.error("both slots damaged, treated as a lost disk")
-            fresh = BOOTSTRAP_INCARNATION if bootstrap else f"{self._random.getrandbits(48):x}"
-            self._journal.write_slot([fresh.encode()])
-            return fresh
+            new_incarnation = BOOTSTRAP_INCARNATION if bootstrap else f"{self._random.getrandbits(48):x}"
+            self._journal.write_slot([new_incarnation.encode()])
+            return new_incarnation
         self._read_images(found)
         assert found.parts
         return found.parts[0].decode()
@@ -222,12 +222,12 @@
         for part in found.parts[1:]:
             image = GroupImage().parse(part)
             snapshot = image.snapshot if image.snapshot.index else None
-            self._images[image.group] = Image(image.term, image.vote, snapshot, list(image.entries))
+            self._recovered_images[image.group] = Image(image.term, image.vote, snapshot, list(image.entries))
         for payload in found.records:
             self._replay(DiskRecord().parse(payload))
 
     def _replay(self, record: DiskRecord) -> None:
-        image = self._images.setdefault(record.group, Image())
+        image = self._recovered_images.setdefault(record.group, Image())
         if record.kind == RecordKind.VOTE:
             image.term, image.vote = record.term, record.vote
         elif record.kind == RecordKind.SNAPSHOT:
@@ -238,30 +238,30 @@
                 image.entries.pop()
             image.entries.extend(record.entries)
 
-    def _write_due(self) -> bool:
-        """Whether a write that was refused is to be tried again, though there may be nothing new to write."""
-        return bool(self._pending) and self.now() >= self._disk_after
+    def _write_retry_due(self) -> bool:
+        """Whether a failed write is due for a retry, which may be the only thing to do."""
+        return bool(self._unwritten_records) and self.now() >= self._next_write_at
 
-    def _write_pending(self) -> None:
-        if self._pending:
-            if self.now() < self._disk_after:
+    def _write_records(self) -> None:
+        if self._unwritten_records:
+            if self.now() < self._next_write_at:
                 return
             try:
-                self._journal.append([bytes(r) for r in self._pending])
+                self._journal.append([bytes(r) for r in self._unwritten_records])
                 self._journal.sync()
             except OSError as error:
                 log.warning("disk refuses writes", error=str(error))
-                self._disk_after = self.now() + DISK_RETRY
+                self._next_write_at = self.now() + DISK_RETRY_DELAY
                 return
-            self._pending.clear()
+            self._unwritten_records.clear()
             now = self.now()
             for hosted in self.groups.values():
                 hosted.replica.synced(now)
-        held, self._held = self._held, []
-        self._send(held)
+        withheld, self._withheld_messages = self._withheld_messages, []
+        self._send(withheld)
 
     def _compact(self) -> None:
-        if self._pending or self.now() < self._disk_after:
+        if self._unwritten_records or self.now() < self._next_write_at:
             return
         parts = [self._incarnation.encode()]
         for group, hosted in self.groups.items():
@@ -270,17 +270,17 @@
             self._journal.write_slot(parts)
         except OSError as error:
             log.warning("disk refuses a slot", error=str(error))
-            self._disk_after = self.now() + DISK_RETRY
+            self._next_write_at = self.now() + DISK_RETRY_DELAY
             return
         for hosted in self.groups.values():
-            hosted.replica.log.compact(hosted.replica.applied - KEPT_ENTRIES)
+            hosted.replica.log.compact(hosted.replica.applied - RETAINED_ENTRIES)
 
     @staticmethod
-    def _group_image(group: str, hosted: Hosted) -> GroupImage:
+    def _group_image(group: str, hosted: HostedReplica) -> GroupImage:
         replica = hosted.replica
         image = GroupImage(group=group, term=replica.term, vote=replica.vote)
         if replica.applied:
-            image.snapshot = replica.image(replica.applied, hosted.machine.dump())
+            image.snapshot = replica.image(replica.applied, hosted.state_machine.dump())
         image.entries = [e for e in replica.log.entries() if e.index > replica.applied]
         return image
 
@@ -296,23 +296,23 @@
         for address, batch in batches.items():
             self.links.to(address).send(Kind.GROUP, bytes(GroupBatch(messages=batch)))
 
-    def _apply(self, hosted: Hosted, output: Output) -> None:
+    def _apply(self, hosted: HostedReplica, output: Output) -> None:
         if output.install is not None:
-            hosted.machine.restore(output.install.state)
-            self._drop_unknown(hosted, output.install.index)
+            hosted.state_machine.restore(output.install.state)
+            self._fail_undecided(hosted, output.install.index)
         for entry in output.apply:
             result = None
             if entry.kind == EntryKind.COMMAND:
-                result = hosted.machine.apply(entry.index, entry.data)
-            self._settle(hosted, EntryId(entry.index, entry.term), result)
+                result = hosted.state_machine.apply(entry.index, entry.data)
+            self._resolve_proposals(hosted, EntryId(entry.index, entry.term), result)
         if output.install is not None or output.apply:
             self.on_applied(hosted.replica.group)
 
     @staticmethod
-    def _settle(hosted: Hosted, applied: EntryId, result: Any) -> None:
-        """Tell those who proposed an entry of this index: it was applied, or another one was."""
-        for entry in [e for e in hosted.waiting if e.index == applied.index]:
-            future = hosted.waiting.pop(entry)
+    def _resolve_proposals(hosted: HostedReplica, applied: EntryId, result: Any) -> None:
+        """Resolves the proposals at an applied index: with the result, or as superseded by another entry."""
+        for entry in [e for e in hosted.pending_proposals if e.index == applied.index]:
+            future = hosted.pending_proposals.pop(entry)
             if future.done():
                 continue
             if entry == applied:
@@ -321,15 +321,15 @@
                 future.set_exception(Superseded(hosted.replica.group))
 
     @staticmethod
-    def _drop_unknown(hosted: Hosted, covered: int) -> None:
-        """A snapshot does not say which of the entries that it covers were applied."""
-        for entry in [e for e in hosted.waiting if e.index <= covered]:
-            hosted.waiting.pop(entry).set_exception(Undecided(hosted.replica.group))
+    def _fail_undecided(hosted: HostedReplica, snapshot_index: int) -> None:
+        """Fails the proposals covered by a snapshot, which does not tell which entries were applied."""
+        for entry in [e for e in hosted.pending_proposals if e.index <= snapshot_index]:
+            hosted.pending_proposals.pop(entry).set_exception(Undecided(hosted.replica.group))
 
-    def _tell_roles(self) -> None:
+    def _report_role_changes(self) -> None:
         for group, hosted in self.groups.items():
             leads = hosted.replica.established
-            if leads != hosted.was_leader:
-                hosted.was_leader = leads
+            if leads != hosted.reported_as_leader:
+                hosted.reported_as_leader = leads
                 log.info("role", group=group, leads=leads, term=hosted.replica.term)
-                self.on_role(group, leads)
+                self.on_role_change(group, leads)
--- a/heronstall/controlplane/planning.py
+++ b/heronstall/controlplane/planning.py
@@ -1,4 +1,4 @@
-"""Answers dispatchers that ask where a large prompt is to be read. Free of I/O."""
+"""Chooses the workers that read large prompts, on request of dispatchers. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 from heronstall.transport.links import Reply
 from heronstall.transport.messages import PlaceReply, PlaceRequest, Worker
 
-SERVICES_MOST = 256  # whose plans are kept
+MAX_SERVICES = 256  # services whose planners are kept
 MILLISECONDS = 1000
 
 
-class ReadingPlans:
-    """A planner for each service that is asked for."""
+class ReadingPlanners:
+    """One reading planner per requested service."""
 
     def __init__(self, sessions: Sessions, clock: Callable[[], float]) -> None:
         self._sessions, self._clock = sessions, clock
         self._planners: dict[str, ReadingPlanner] = {}
 
-    def answer(self, request: PlaceRequest, workers: Mapping[str, Worker]) -> Reply:
-        """Place a prompt at one of a registry shard's workers."""
+    def place_prompt(self, request: PlaceRequest, workers: Mapping[str, Worker]) -> Reply:
+        """Chooses one of a registry shard's workers for a prompt."""
         planner = self._planner(request.service)
         planner.heard(request.read_tokens, request.read_ms / MILLISECONDS)
-        ready = self._ready(request.service, workers)
+        ready = self._ready_workers(request.service, workers)
 
         def load(worker: str) -> Load:
             return Load(self._sessions.at_worker(worker), max(1, workers[worker].capacity))
@@ -39,11 +39,11 @@
     def _planner(self, service: str) -> ReadingPlanner:
         planner = self._planners.get(service)
         if planner is None:
-            if len(self._planners) >= SERVICES_MOST:
+            if len(self._planners) >= MAX_SERVICES:
                 self._planners.pop(next(iter(self._planners)))
             planner = self._planners[service] = ReadingPlanner()
         return planner
 
     @staticmethod
-    def _ready(service: str, workers: Mapping[str, Worker]) -> Sequence[str]:
+    def _ready_workers(service: str, workers: Mapping[str, Worker]) -> Sequence[str]:
         return [name for name, w in workers.items() if w.service == service and w.state == "ready"]
--- a/heronstall/controlplane/replica_node.py
+++ b/heronstall/controlplane/replica_node.py
@@ -1,4 +1,4 @@
-"""What core and storage nodes share: replicas on a disk, links to other nodes, a planned end."""
+"""The base of core and storage nodes: replicas on disk, links to other nodes, graceful shutdown."""
 
 from __future__ import annotations
 
@@ -13,19 +13,22 @@
 from heronstall.transport.frames import Kind
 from heronstall.transport.links import Links, LinkServer, Reply
 
-LAST_WORDS = 0.2  # seconds between handing the leaderships over and the end
-MEGABYTE = 1024 * 1024
+HANDOVER_SEND_TIME = 0.2  # seconds for sending the handover messages before the node stops
+BYTES_PER_MB = 1024 * 1024
 
 
 class ReplicaNode:
-    """A node that holds replicas of groups."""
+    """A node with replicas of groups.
 
-    def __init__(self, settings: NodeSettings, log_limit: int, disk_parts: int) -> None:
+    The log of its replicas may take 1 / `log_disk_divisor` of the disk.
+    """
+
+    def __init__(self, settings: NodeSettings, max_log_bytes: int, log_disk_divisor: int) -> None:
         self.settings = settings
         self.timing = Timing()
         self.links = Links()
         self.address = f"{settings.ip}:{settings.port}"
-        self.log_limit = min(log_limit, settings.disk_mb * MEGABYTE // disk_parts)
+        self.max_log_bytes = min(max_log_bytes, settings.disk_mb * BYTES_PER_MB // log_disk_divisor)
         assert settings.data_dir is not None
         self.host = GroupHost(
             self.address,
@@ -33,42 +36,42 @@
             self.links,
             self.timing,
             settings.bootstrap,
-            self.log_limit,
+            self.max_log_bytes,
         )
-        self.host.on_applied = self._applied
-        self.host.on_role = self._role
-        self._server = LinkServer(self._serve, self._one_way)
+        self.host.on_applied = self._on_applied
+        self.host.on_role_change = self._on_role_change
+        self._server = LinkServer(self._handle_call, self._handle_one_way)
         self._tasks: list[asyncio.Task[None]] = []
 
     async def stop(self) -> None:
-        """Hand the leaderships over and end."""
+        """Hands over its leaderships and stops."""
         for hosted in self.host.groups.values():
             hosted.replica.hand_over(self.host.now())
         self.host.flush()
-        await asyncio.sleep(LAST_WORDS)
+        await asyncio.sleep(HANDOVER_SEND_TIME)
         for task in self._tasks:
             task.cancel()
         self._server.close()
 
-    async def _begin(self, *runs: Coroutine[Any, Any, None]) -> None:
-        """Write what was set up, listen to other nodes, and let time pass."""
+    async def _start_serving(self, *coroutines: Coroutine[Any, Any, None]) -> None:
+        """Writes the initial state, listens to other nodes and starts the background tasks."""
         self.host.flush()
         await self._server.listen(self.settings.ip, self.settings.port)
-        self._tasks = [asyncio.create_task(run) for run in (self.host.run(), *runs)]
+        self._tasks = [asyncio.create_task(coroutine) for coroutine in (self.host.run(), *coroutines)]
 
-    async def _serve(self, kind: Kind, body: bytes) -> Reply:
-        """Answer a call of another node."""
+    async def _handle_call(self, kind: Kind, body: bytes) -> Reply:
+        """Answers a call of another node."""
         raise NotImplementedError
 
-    def _one_way(self, kind: Kind, body: bytes) -> None:
-        """Take a message that wants no answer."""
+    def _handle_one_way(self, kind: Kind, body: bytes) -> None:
+        """Handles a one-way message."""
         if kind == Kind.GROUP:
             self.host.receive(body)
 
-    def _applied(self, group: str) -> None:
-        """Committed commands have changed a group's state."""
+    def _on_applied(self, group: str) -> None:
+        """Called after committed commands were applied to a group's state."""
         raise NotImplementedError
 
-    def _role(self, group: str, leads: bool) -> None:
-        """This node has begun or ceased to lead a group."""
+    def _on_role_change(self, group: str, leads: bool) -> None:
+        """Called when this node becomes leader of a group, or stops being it."""
         raise NotImplementedError
--- a/heronstall/controlplane/state/__init__.py
+++ b/heronstall/controlplane/state/__init__.py
@@ -1,1 +1,1 @@
-"""What the shards of the control state hold: events appended to a log, views folded from it."""
+"""State machines of the control state's shards, built by applying the commands of a replicated log."""
--- a/heronstall/controlplane/state/documents.py
+++ b/heronstall/controlplane/state/documents.py
@@ -1,4 +1,4 @@
-"""JSON objects that the operator and the workers send, and why they are refused."""
+"""Parsing of the JSON objects that operators and workers send, and the codes for rejecting them."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ConfigFault(IntEnum):
-    """Why a configuration is refused. docs/result-codes.md explains each."""
+    """The reason for rejecting a configuration. docs/result-codes.md explains each code."""
 
     UNREADABLE = 1001
     WRONG_TYPE = 1002
@@ -27,44 +27,44 @@
 
 
 class Fault(tuple[ConfigFault, str]):
-    """A code, and what is at fault."""
+    """A fault code and a message."""
 
     __slots__ = ()
 
 
-def fault(code: ConfigFault, text: str) -> Err[Fault]:
-    """An error result."""
+def fault_result(code: ConfigFault, text: str) -> Err[Fault]:
+    """Returns an error result."""
     return Err(Fault((code, text)))
 
 
 Document = dict[str, Any]
 
 
-class _Duplicate(ValueError):
+class _DuplicateKeyError(ValueError):
     pass
 
 
-def read_object(body: bytes) -> Result[Document, Fault]:
-    """Parse a JSON object; a key that stands twice makes it invalid."""
+def parse_object(body: bytes) -> Result[Document, Fault]:
+    """Parses a JSON object. Duplicate keys are rejected."""
 
-    def unique(pairs: list[tuple[str, Any]]) -> Document:
+    def reject_duplicates(pairs: list[tuple[str, Any]]) -> Document:
         names = Counter(name for name, _ in pairs)
-        twice = [name for name, count in names.items() if count > 1]
-        if twice:
-            raise _Duplicate(twice[0])
+        duplicates = [name for name, count in names.items() if count > 1]
+        if duplicates:
+            raise _DuplicateKeyError(duplicates[0])
         return dict(pairs)
 
     try:
-        value = json.loads(body, object_pairs_hook=unique)
-    except _Duplicate as error:
-        return fault(ConfigFault.DUPLICATE, f"key {error} stands twice")
+        value = json.loads(body, object_pairs_hook=reject_duplicates)
+    except _DuplicateKeyError as error:
+        return fault_result(ConfigFault.DUPLICATE, f"duplicate key {error}")
     except ValueError as error:
-        return fault(ConfigFault.UNREADABLE, str(error))
+        return fault_result(ConfigFault.UNREADABLE, str(error))
     if not isinstance(value, dict):
-        return fault(ConfigFault.UNREADABLE, "an object is wanted")
+        return fault_result(ConfigFault.UNREADABLE, "expected a JSON object")
     return Ok(value)
 
 
-def canonical(document: Document) -> bytes:
-    """The same bytes for documents of the same content."""
+def canonical_json(document: Document) -> bytes:
+    """Returns an encoding that is equal for documents with the same content."""
     return ujson.dumps(document, sort_keys=True, escape_forward_slashes=False).encode()
--- a/heronstall/controlplane/state/operator_config.py
+++ b/heronstall/controlplane/state/operator_config.py
@@ -1,4 +1,4 @@
-"""The operator's configuration: its types, read by pyserde, and the checks that make it valid."""
+"""The operator's configuration: its types, which pyserde deserializes, and its validation."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 from result import Ok, Result
 from serde import field
 
-from heronstall.controlplane.state.documents import ConfigFault, Document, Fault, fault
+from heronstall.controlplane.state.documents import ConfigFault, Document, Fault, fault_result
 
 
 @serde.serde
 class Split:
-    """A part of a route's traffic."""
+    """A service that receives a share of a route's traffic."""
 
     service: str
     weight: int | float
@@ -19,7 +19,7 @@
 
 @serde.serde
 class Route:
-    """A route, as far as it is checked."""
+    """The validated fields of a route."""
 
     name: str
     hostname: str
@@ -32,79 +32,93 @@
 
 @serde.serde
 class Service:
-    """A service, as far as it is checked."""
+    """The validated fields of a service."""
 
     name: str
 
 
 @serde.serde
 class OperatorConfig:
-    """A whole configuration."""
+    """The validated fields of a configuration."""
 
     revision: int
     routes: list[Route]
     services: list[Service]
 
 
-def patched(current: Document, patch: Document) -> Result[Document, Fault]:
-    """The document that a PATCH makes of the current one."""
+def apply_patch(current: Document, patch: Document) -> Result[Document, Fault]:
+    """Returns the document that results from applying a PATCH to the current one."""
     document = dict(current)
     document["revision"] = patch.get("revision")
     upsert, remove = patch.get("upsert", {}), patch.get("remove", {})
     if not isinstance(upsert, dict) or not isinstance(remove, dict):
-        return fault(ConfigFault.WRONG_TYPE, "upsert, remove: objects are wanted")
+        return fault_result(ConfigFault.WRONG_TYPE, "upsert, remove: expected objects")
     for key, names in remove.items():
         if not isinstance(names, list):
-            return fault(ConfigFault.WRONG_TYPE, f"remove.{key}: a list is wanted")
+            return fault_result(ConfigFault.WRONG_TYPE, f"remove.{key}: expected a list")
         document[key] = [x for x in document.get(key, []) if x.get("name") not in names]
     for key, items in upsert.items():
         if isinstance(items, dict):
             document[key] = {**document.get(key, {}), **items}
             continue
         if not isinstance(items, list) or not all(isinstance(x, dict) and "name" in x for x in items):
-            return fault(ConfigFault.WRONG_TYPE, f"upsert.{key}: a list of named items is wanted")
+            return fault_result(
+                ConfigFault.WRONG_TYPE, f"upsert.{key}: expected a list of objects with a name"
+            )
         if len({str(x["name"]) for x in items}) < len(items):
-            return fault(ConfigFault.DUPLICATE, f"upsert.{key}: a name stands twice")
+            return fault_result(ConfigFault.DUPLICATE, f"upsert.{key}: duplicate name")
         new = {x["name"]: x for x in items}
         merged = [new.pop(x["name"], x) for x in document.get(key, [])]
         document[key] = [*merged, *new.values()]
     return Ok(document)
 
 
-def checked(document: Document, current_revision: int) -> Result[OperatorConfig, Fault]:
-    """Whether a document is a valid successor of the current revision."""
+def validate(document: Document, current_revision: int) -> Result[OperatorConfig, Fault]:
+    """Validates a document that is to replace the current revision."""
     revision = document.get("revision")
     if isinstance(revision, bool) or not isinstance(revision, int):
-        return fault(ConfigFault.WRONG_TYPE, "revision: a whole number is wanted")
+        return fault_result(ConfigFault.WRONG_TYPE, "revision: expected an integer")
     try:
         config = serde.from_dict(OperatorConfig, document)
-    except Exception as error:  # pyserde raises what the value's own conversion raises
-        return fault(ConfigFault.WRONG_TYPE, str(error))
+    except Exception as error:  # pyserde passes on any exception of a value's conversion
+        return fault_result(ConfigFault.WRONG_TYPE, str(error))
     if revision <= current_revision:
-        return fault(ConfigFault.OLD_REVISION, f"revision {revision} is not above {current_revision}")
+        return fault_result(
+            ConfigFault.OLD_REVISION,
+            f"revision {revision} is not greater than the current revision {current_revision}",
+        )
     for name, items in (("routes", config.routes), ("services", config.services)):
         if len({x.name for x in items}) < len(items):
-            return fault(ConfigFault.DUPLICATE, f"{name}: a name stands twice")
-    return _routes_checked(config)
+            return fault_result(ConfigFault.DUPLICATE, f"{name}: duplicate name")
+    return _validate_routes(config)
 
 
-def _routes_checked(config: OperatorConfig) -> Result[OperatorConfig, Fault]:
+def _validate_routes(config: OperatorConfig) -> Result[OperatorConfig, Fault]:
     services = {s.name for s in config.services}
-    places: set[tuple[str, str]] = set()
+    route_matches: set[tuple[str, str]] = set()
     for route in config.routes:
-        place = (route.hostname.lower(), route.path_prefix)
-        if place in places:
-            return fault(ConfigFault.SAME_PLACE, f"{route.name}: another route has this host and prefix")
-        places.add(place)
+        route_match = (route.hostname.lower(), route.path_prefix)
+        if route_match in route_matches:
+            return fault_result(
+                ConfigFault.SAME_PLACE, f"{route.name}: another route has the same hostname and path_prefix"
+            )
+        route_matches.add(route_match)
         if not route.path_prefix.startswith("/") or not route.path_prefix.endswith("/"):
-            return fault(ConfigFault.BAD_PREFIX, f"{route.name}: path_prefix must begin and end with a slash")
+            return fault_result(
+                ConfigFault.BAD_PREFIX, f"{route.name}: path_prefix must start and end with a slash"
+            )
         targets = {s.service for s in route.traffic_split} | ({route.service} if route.service else set())
         unknown = targets - services
         if unknown or not targets:
-            return fault(ConfigFault.UNKNOWN_SERVICE, f"{route.name}: unknown service {sorted(unknown)}")
+            return fault_result(
+                ConfigFault.UNKNOWN_SERVICE, f"{route.name}: unknown service {sorted(unknown)}"
+            )
         weights = [s.weight for s in route.traffic_split]
         if weights and (sum(weights) <= 0 or min(weights) < 0):
-            return fault(ConfigFault.NO_WEIGHT, f"{route.name}: the weights sum to 0")
+            return fault_result(
+                ConfigFault.NO_WEIGHT,
+                f"{route.name}: weights must not be negative and their sum must be positive",
+            )
         if not route.timeout_ms > 0:
-            return fault(ConfigFault.NO_TIMEOUT, f"{route.name}: timeout_ms must be above 0")
+            return fault_result(ConfigFault.NO_TIMEOUT, f"{route.name}: timeout_ms must be positive")
     return Ok(config)
--- a/heronstall/controlplane/state/worker_shard.py
+++ b/heronstall/controlplane/state/worker_shard.py
@@ -1,4 +1,4 @@
-"""A shard of the worker registry: the workers of the services that hash to it."""
+"""State of a worker registry shard: the workers of the services that hash to it."""
 
 from __future__ import annotations
 
@@ -8,82 +8,82 @@
 
 from heronstall.transport.messages import Worker, WorkerChange, WorkerDelta, WorkerTable
 
-REMOVED_KEPT = 512  # removals that are remembered, so that a late heartbeat revives nobody
+MAX_KNOWN_REMOVALS = 512  # latest removals remembered, so that a late heartbeat restores no worker
 
 
 class Command(IntEnum):
-    """First byte of a command."""
+    """The type of a command, its first byte."""
 
     PUT = 1
     REMOVE = 2
-    EXPIRE = 3  # removed for its silence: a heartbeat brings it back
+    EXPIRE = 3  # removal for missing heartbeats; the next heartbeat restores the worker
 
 
-def put(worker: Worker) -> bytes:
-    """The command that adds or changes a worker."""
+def encode_put(worker: Worker) -> bytes:
+    """Returns the command that adds or changes a worker."""
     return bytes([Command.PUT]) + bytes(worker)
 
 
-def remove(kind: Command, worker: str) -> bytes:
-    """The command that removes a worker."""
+def encode_removal(kind: Command, worker: str) -> bytes:
+    """Returns the command that removes a worker."""
     return bytes([kind]) + worker.encode()
 
 
 class WorkerShard:
-    """The view folded from the log of a registry shard."""
+    """The state machine of a registry shard."""
 
     def __init__(self) -> None:
         self.workers: dict[str, Worker] = {}
         self.version = 0
         self._changes: SortedDict[int, WorkerChange] = SortedDict()
         self._changed_at: dict[str, int] = {}
-        self._forgotten = 0  # version of the latest change that is not known any more
+        self._pruned_version = 0  # version of the latest change that was discarded
 
     def apply(self, index: int, data: bytes) -> bool:
-        """Take a command; whether it changed anything."""
+        """Applies a command. Returns whether the state changed."""
         kind, body = data[0], data[1:]
         if kind == Command.PUT:
             return self._put(index, Worker().parse(body))
         if kind in (Command.REMOVE, Command.EXPIRE):
             return self._remove(index, body.decode(), kind == Command.REMOVE)
-        return False  # a newer node's command
+        return False  # an unknown command of a newer release
 
     def dump(self) -> bytes:
-        """The whole state."""
-        return bytes(WorkerTable(list(self._changes.values()), self._forgotten))
+        """Returns the encoded state."""
+        return bytes(WorkerTable(list(self._changes.values()), self._pruned_version))
 
     def restore(self, state: bytes) -> None:
-        """Take a whole state."""
+        """Replaces the state by an encoded one."""
         self.workers.clear()
         self._changes.clear()
         self._changed_at.clear()
         self.version = 0
         table = WorkerTable().parse(state)
-        self._forgotten = table.forgotten
+        self._pruned_version = table.forgotten
         for change in table.changes:
-            self._note(change)
+            self._record_change(change)
             if not change.removed:
                 self.workers[change.worker.id] = change.worker
 
     def knows(self, worker: str) -> bool:
-        """Whether a worker is or was here lately: it serves, is silent, or has left."""
+        """Whether a worker is registered, or was removed recently."""
         return worker in self._changed_at
 
     def is_gone(self, worker: str) -> bool:
-        """Whether a worker has said that it ends; its identity never returns."""
-        change = self._latest(worker)
+        """Whether a worker has deregistered. Its identity is never registered again."""
+        change = self._latest_change(worker)
         return change is not None and change.removed and change.worker.state == "gone"
 
-    def _latest(self, worker: str) -> WorkerChange | None:
-        """The latest change of a worker that is known."""
-        at = self._changed_at.get(worker)
-        return None if at is None else self._changes[at]
+    def _latest_change(self, worker: str) -> WorkerChange | None:
+        """Returns the latest known change of a worker."""
+        latest = self._changed_at.get(worker)
+        return None if latest is None else self._changes[latest]
 
-    def since(self, shard: str, version: int) -> WorkerDelta | None:
-        """What has changed since a version; None where nothing has."""
+    def changes_since(self, shard: str, version: int) -> WorkerDelta | None:
+        """Returns the changes since a version, or None if there are none."""
         if version >= self.version:
             return None
-        if version < self._forgotten or not version:
+        if version < self._pruned_version or not version:
             changes = [c for c in self._changes.values() if not c.removed]
             return WorkerDelta(shard, self.version, True, changes)
         return WorkerDelta(
@@ -94,35 +94,35 @@
         if self.is_gone(worker.id) or worker.sequence < self._last_sequence(worker.id):
             return False
         self.workers[worker.id] = worker
-        self._note(WorkerChange(version=index, worker=worker, id=worker.id))
+        self._record_change(WorkerChange(version=index, worker=worker, id=worker.id))
         return True
 
     def _last_sequence(self, worker: str) -> int:
-        """The sequence of a worker's latest news that is known; a silent one's is still held."""
-        change = self._latest(worker)
+        """Returns the sequence of a worker's latest known change, also of one removed for silence."""
+        change = self._latest_change(worker)
         return 0 if change is None else change.worker.sequence
 
-    def _remove(self, index: int, worker: str, said_so: bool) -> bool:
+    def _remove(self, index: int, worker: str, requested: bool) -> bool:
         known = self.workers.pop(worker, None)
-        if known is None and not said_so:
+        if known is None and not requested:
             return False
         sequence = known.sequence if known else 0
-        last = Worker(id=worker, state="gone" if said_so else "silent", sequence=sequence)
-        self._note(WorkerChange(version=index, worker=last, removed=True, id=worker))
-        self._prune()
+        last = Worker(id=worker, state="gone" if requested else "silent", sequence=sequence)
+        self._record_change(WorkerChange(version=index, worker=last, removed=True, id=worker))
+        self._prune_removals()
         return True
 
-    def _note(self, change: WorkerChange) -> None:
-        former = self._changed_at.pop(change.id, None)
-        if former is not None:
-            self._changes.pop(former, None)
+    def _record_change(self, change: WorkerChange) -> None:
+        previous_version = self._changed_at.pop(change.id, None)
+        if previous_version is not None:
+            self._changes.pop(previous_version, None)
         self._changes[change.version] = change
         self._changed_at[change.id] = change.version
         self.version = max(self.version, change.version)
 
-    def _prune(self) -> None:
+    def _prune_removals(self) -> None:
         removed = [v for v, c in self._changes.items() if c.removed]
-        for version in removed[: max(0, len(removed) - REMOVED_KEPT)]:
+        for version in removed[: max(0, len(removed) - MAX_KNOWN_REMOVALS)]:
             change = self._changes.pop(version)
             self._changed_at.pop(change.id, None)
-            self._forgotten = max(self._forgotten, version)
+            self._pruned_version = max(self._pruned_version, version)
--- a/heronstall/controlplane/store.py
+++ b/heronstall/controlplane/store.py
@@ -1,4 +1,4 @@
-"""A storage node: replicas of batch shards, and for those that it owns the work of their jobs."""
+"""A storage node: replicas of batch shards, and the processing of jobs in the shards that it owns."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from heronstall.config import NodeSettings
 from heronstall.controlplane.hosting import Superseded
 from heronstall.controlplane.replica_node import ReplicaNode
-from heronstall.controlplane.waiting import LeaseCalls, NamedCalls
+from heronstall.controlplane.waiting import CallsByName, LeaseCalls
 from heronstall.distribution.view import View
 from heronstall.replication import membership
 from heronstall.transport.frames import Kind, Status
@@ -41,106 +41,106 @@
 
 log = structlog.get_logger()
 
-CHORES = 0.25  # seconds between rounds of chores
-COMMIT_WITHIN = 3.0  # seconds
-LOG_LIMIT = 24 * 1024 * 1024  # bytes of log before a slot is written
-DISK_PARTS = 6  # of the disk, of which the log takes one at the most
-DISK_SHARE = 0.8  # part of the disk that may be planned for
-MEMORY_SHARE = 0.35  # part of the memory that jobs may take
-READ_BYTES = 900_000  # of results in one answer
-FORGET_MARGIN = 5.0  # seconds beyond what is owed
-NOBODY_WAITS = Reply(Status.OK, bytes(LeaseReply()))  # to a call that a later one has replaced
+MAINTENANCE_INTERVAL = 0.25  # seconds between rounds of periodic work
+COMMIT_TIMEOUT = 3.0  # seconds
+MAX_LOG_BYTES = 24 * 1024 * 1024  # log size at which the state is written to a slot
+LOG_DISK_DIVISOR = 6  # the log may take 1 / LOG_DISK_DIVISOR of the disk
+USABLE_DISK_SHARE = 0.8  # share of the disk that may be filled
+USABLE_MEMORY_SHARE = 0.35  # share of the memory that jobs may take
+MAX_READ_REPLY_BYTES = 900_000  # of results in one reply
+EXPIRY_MARGIN = 5.0  # seconds that jobs and items are kept beyond the guaranteed time
+SUPERSEDED_CALL_REPLY = Reply(Status.OK, bytes(LeaseReply()))  # for a call that was superseded by a later one
 
 
 class OwnedShard(JobListener):
-    """A batch shard on this node, what its owner keeps in memory, and the calls that it holds."""
+    """A batch shard on this node, with the owner's in-memory state and the calls that it holds."""
 
     def __init__(self) -> None:
         self.state = BatchShard()
         self.leases = Leases(self.state)
         self.state.listener = self
-        self.accepting: dict[str, asyncio.Future[Any]] = {}  # proposed jobs of which nothing is known yet
-        self.accepting_tokens: Counter[str] = Counter()  # of these, by route
-        self.readers = NamedCalls()
+        self.pending_submissions: dict[str, asyncio.Future[Any]] = {}  # proposed jobs, outcome unknown
+        self.pending_tokens: Counter[str] = Counter()  # tokens of these jobs, by route
+        self.read_calls = CallsByName()
         self.lease_calls = LeaseCalls()
-        self._changed: set[str] = set()  # jobs with news for their readers
-        self._ended: set[str] = set()  # jobs whose items at dispatchers are to be ended
+        self._changed_jobs: set[str] = set()  # jobs with changes for held read calls
+        self._ended_jobs: set[str] = set()  # jobs whose leased items are to be stopped
 
     def reset(self) -> None:
-        """All jobs may have changed."""
+        """Handles a replacement of the whole state."""
         self.leases.reset()
         self.wake_all()
 
     def accepted(self, job: Job) -> None:
-        """A job was taken on."""
+        """Handles a job that was accepted."""
         self.leases.accepted(job)
 
     def listed(self, job: Job, item: str) -> None:
-        """An item has its result."""
+        """Handles an item that got its result."""
         self.leases.listed(job, item)
-        self._changed.add(job.record.id)
+        self._changed_jobs.add(job.record.id)
 
     def ended(self, job: Job) -> None:
-        """A job was ended."""
+        """Handles a job that was ended."""
         self.leases.ended(job)
-        self._changed.add(job.record.id)
-        self._ended.add(job.record.id)
+        self._changed_jobs.add(job.record.id)
+        self._ended_jobs.add(job.record.id)
 
     def wake(self) -> None:
-        """Let those go on for whom something has changed."""
-        for name in self._changed:
-            self.readers.wake(name)
-        if self._ended:
-            self.lease_calls.ended(self._ended)
-        self._changed.clear()
-        self._ended.clear()
+        """Wakes the held calls that recent changes concern."""
+        for name in self._changed_jobs:
+            self.read_calls.wake(name)
+        if self._ended_jobs:
+            self.lease_calls.wake_for_ended_jobs(self._ended_jobs)
+        self._changed_jobs.clear()
+        self._ended_jobs.clear()
         self.lease_calls.offer(self.leases.waiting)
 
     def wake_all(self) -> None:
-        """Let all go on: this node may not own the shard any more."""
-        self.readers.wake_all()
+        """Wakes all held calls, since this node may not own the shard any more."""
+        self.read_calls.wake_all()
         self.lease_calls.wake_all()
 
 
 class Store(ReplicaNode):
-    """All that a storage node holds and does."""
+    """The state and the behavior of a storage node."""
 
     def __init__(self, settings: NodeSettings) -> None:
-        super().__init__(settings, LOG_LIMIT, DISK_PARTS)
+        super().__init__(settings, MAX_LOG_BYTES, LOG_DISK_DIVISOR)
         self.view = View()
         self.shards: dict[str, OwnedShard] = {}
         self._calls: dict[Kind, tuple[type[Any], Callable[[OwnedShard, Any], Awaitable[Reply]]]] = {
-            Kind.SUBMIT: (SubmitRequest, self._submit),
-            Kind.READ: (ReadRequest, self._read),
-            Kind.BODY: (ReadRequest, self._body),
-            Kind.END: (ReadRequest, self._end),
-            Kind.LEASE: (LeaseRequest, self._lease),
-            Kind.FINISH: (FinishRequest, self._finish),
+            Kind.SUBMIT: (SubmitRequest, self._submit_job),
+            Kind.READ: (ReadRequest, self._read_results),
+            Kind.BODY: (ReadRequest, self._read_item_body),
+            Kind.END: (ReadRequest, self._end_job),
+            Kind.LEASE: (LeaseRequest, self._lease_items),
+            Kind.FINISH: (FinishRequest, self._report_items),
         }
 
         def seeds() -> list[str]:
             return settings.read_again().seed_addresses
 
-        self._puller = StatePuller(self.links, self.view, self._session, seeds, self._news)
+        self._puller = StatePuller(self.links, self.view, self._session, seeds, self._on_view_change)
 
     async def start(self) -> None:
-        """Take the shards of the disk up and begin to serve other nodes."""
+        """Restores the shards from disk and starts to serve other nodes."""
         for group in self.host.recovered_groups:
             self._add(group)
-        await self._begin(self._puller.run(), self._chores())
+        await self._start_serving(self._puller.run(), self._run_maintenance())
 
     # ------------------------------------------------------------------ groups
 
     def _add(self, group: str) -> OwnedShard:
         owned = self.shards[group] = OwnedShard()
-        self.host.add(group, owned.state, tells_commit=False)
+        self.host.add(group, owned.state, announces_commit=False)
         return owned
 
     def _session(self) -> Session:
         statuses = []
         for group, hosted in self.host.groups.items():
             replica = hosted.replica
-            leader = self.host.me if replica.established else ""
+            leader = self.host.replica_id if replica.established else ""
             settled = replica.log.members_index <= replica.commit
             voters = list(replica.log.members) if settled else []
             statuses.append(ShardStatus(group, replica.term, voters, leader))
@@ -149,228 +149,229 @@
             machine_class="storage",
             address=self.address,
             zone=self.settings.zone,
-            replica=self.host.me,
+            replica=self.host.replica_id,
             shards=statuses,
             placement_version=self.view.versions.get("placement", 0),
         )
 
-    def _news(self, changed: set[str]) -> None:
+    def _on_view_change(self, changed: set[str]) -> None:
         if "placement" not in changed:
             return
         for shard, placement in self.view.placements.items():
-            if self.host.me in placement.replicas and shard not in self.shards:
+            if self.host.replica_id in placement.replicas and shard not in self.shards:
                 self._add(shard)
-                if placement.first:  # nobody has voted before; an identity without the group has not either
+                # In the group's first placement no replica has voted yet, nor has this one without the group.
+                if placement.first:
                     voters = tuple(sorted(placement.replicas))
                     self.host.groups[shard].replica.form(self.host.now(), voters)
         self.host.flush_soon()
 
-    def _applied(self, group: str) -> None:
+    def _on_applied(self, group: str) -> None:
         self.shards[group].wake()
 
-    def _role(self, group: str, leads: bool) -> None:
+    def _on_role_change(self, group: str, leads: bool) -> None:
         term = self.host.groups[group].replica.term
         self.shards[group].leases.lead(self.host.now(), leads, term)
         self.shards[group].wake_all()
 
-    async def _chores(self) -> None:
+    async def _run_maintenance(self) -> None:
         while True:
-            await asyncio.sleep(CHORES)
+            await asyncio.sleep(MAINTENANCE_INTERVAL)
             now = self.host.now()
             for group, owned in self.shards.items():
                 replica = self.host.groups[group].replica
                 wanted = self.view.placement_of(group)
                 if wanted:
                     membership.step(replica, wanted, now, self.timing)
-                    replica.ask_to_join(now, [r for r in wanted if r != self.host.me])
+                    replica.ask_to_join(now, [r for r in wanted if r != self.host.replica_id])
                 if not replica.holds_lease(now):
                     continue
                 if owned.leases.expire(now) + owned.leases.resume(now):
                     owned.wake()
                 try:
-                    await self._clean(group, owned)
+                    await self._remove_expired_jobs(group, owned)
                 except (Superseded, TimeoutError):
                     log.info("cleaning put off", shard=group)
             self.host.flush_soon()
 
-    async def _clean(self, group: str, owned: OwnedShard) -> None:
+    async def _remove_expired_jobs(self, group: str, owned: OwnedShard) -> None:
         now = time.monotonic()
-        late = self.settings.bounds.max_skew + FORGET_MARGIN
-        old = [
+        margin = self.settings.bounds.max_skew + EXPIRY_MARGIN
+        expired_jobs = [
             name
             for name, job in owned.state.jobs.items()
-            if job.settled and now - job.accepted_at > self.settings.bounds.status + late
+            if job.settled and now - job.accepted_at > self.settings.bounds.status + margin
         ]
-        if old:
-            await self.host.propose(group, batch.forget(old), COMMIT_WITHIN)
-        dead: list[ItemResult] = []
+        if expired_jobs:
+            await self.host.propose(group, batch.forget(expired_jobs), COMMIT_TIMEOUT)
+        expired_items: list[ItemResult] = []
         for name, job in owned.state.jobs.items():
-            given_up = job.record.retention_ms / 1000 + late
-            if not job.ended and job.open_items and now - job.accepted_at > given_up:
-                dead += [ItemResult(job=name, item=item) for item in job.open_items]
-        if dead:
-            await self.host.propose(group, batch.results(dead), COMMIT_WITHIN)
+            item_lifetime = job.record.retention_ms / 1000 + margin
+            if not job.ended and job.open_items and now - job.accepted_at > item_lifetime:
+                expired_items += [ItemResult(job=name, item=item) for item in job.open_items]
+        if expired_items:
+            await self.host.propose(group, batch.results(expired_items), COMMIT_TIMEOUT)
 
-    # ------------------------------------------------------------------ calls
+    # ------------------------------------------------------------------ calls of dispatchers
 
-    async def _serve(self, kind: Kind, body: bytes) -> Reply:
-        known = self._calls.get(kind)
-        if known is None:
+    async def _handle_call(self, kind: Kind, body: bytes) -> Reply:
+        handler = self._calls.get(kind)
+        if handler is None:
             return Reply(Status.REFUSED)
-        message, answer = known
+        message, answer = handler
         request = message().parse(body)
-        owned = self._owned(request.shard)
+        owned = self._owned_shard(request.shard)
         if owned is None:
-            return self._elsewhere(request.shard)
+            return self._not_owner_reply(request.shard)
         try:
             reply: Reply = await answer(owned, request)
         except (Superseded, TimeoutError):
             return Reply(Status.UNSURE)
         return reply
 
-    def _owned(self, shard: str) -> OwnedShard | None:
+    def _owned_shard(self, shard: str) -> OwnedShard | None:
         hosted = self.host.groups.get(shard)
         if hosted is None or not hosted.replica.holds_lease(self.host.now()):
             return None
         return self.shards[shard]
 
-    def _elsewhere(self, shard: str) -> Reply:
+    def _not_owner_reply(self, shard: str) -> Reply:
         hosted = self.host.groups.get(shard)
         hint = hosted.replica.leader_hint(self.host.now()) if hosted else ""
-        if hint == self.host.me:
+        if hint == self.host.replica_id:
             hint = ""
         return Reply(Status.NOT_OWNER, bytes(Hint(hint)))
 
-    async def _submit(self, owned: OwnedShard, request: SubmitRequest) -> Reply:
+    async def _submit_job(self, owned: OwnedShard, request: SubmitRequest) -> Reply:
         job = request.job
         if job.id in owned.state.jobs:
             return Reply(Status.OK)
-        if job.id in owned.accepting:
-            return await self._decided(owned.accepting[job.id])
+        if job.id in owned.pending_submissions:
+            return await self._submission_reply(owned.pending_submissions[job.id])
         job.accepted_unix_ms = int(time.time() * 1000)
         items = stored_items(job).values()
         tokens = sum(item.tokens for item in items)
-        waiting = owned.state.waiting_tokens[job.route] + owned.accepting_tokens[job.route]
+        waiting = owned.state.waiting_tokens[job.route] + owned.pending_tokens[job.route]
         if request.max_queued_tokens and waiting + tokens > request.max_queued_tokens:
             return Reply(Status.OVER_QUOTA)
-        if not self._has_room(items):
+        if not self._has_capacity_for(items):
             return Reply(Status.REFUSED)
-        decision = owned.accepting[job.id] = self.host.submit(request.shard, batch.accept(job))
-        owned.accepting_tokens[job.route] += tokens
+        decision = owned.pending_submissions[job.id] = self.host.submit(request.shard, batch.accept(job))
+        owned.pending_tokens[job.route] += tokens
 
-        def decided(_: asyncio.Future[Any]) -> None:
-            del owned.accepting[job.id]
-            owned.accepting_tokens[job.route] -= tokens
+        def on_decided(_: asyncio.Future[Any]) -> None:
+            del owned.pending_submissions[job.id]
+            owned.pending_tokens[job.route] -= tokens
 
-        decision.add_done_callback(decided)
-        return await self._decided(decision)
+        decision.add_done_callback(on_decided)
+        return await self._submission_reply(decision)
 
     @staticmethod
-    async def _decided(decision: asyncio.Future[Any]) -> Reply:
-        """The answer to a submission once its entry is applied; nothing is said of one that is not.
+    async def _submission_reply(decision: asyncio.Future[Any]) -> Reply:
+        """Returns the reply to a submission: OK once its entry is applied, UNSURE if that takes too long.
 
-        Not even a refusal of a repeat: the entry stays in the log, and may be applied long after the call.
+        A repeat must not be refused then either: the entry stays in the log and may be applied much later.
         """
         try:
-            async with asyncio.timeout(COMMIT_WITHIN):
+            async with asyncio.timeout(COMMIT_TIMEOUT):
                 await asyncio.shield(decision)
         except (Superseded, TimeoutError):
             return Reply(Status.UNSURE)
         return Reply(Status.OK)
 
-    def _has_room(self, items: Collection[StoredItem]) -> bool:
-        """Whether disk and memory can hold these items to their end, and their results."""
+    def _has_capacity_for(self, items: Collection[StoredItem]) -> bool:
+        """Whether disk and memory can hold these items until their end, and their results."""
         held = sum(o.state.bytes for o in self.shards.values())
         new = sum(2 * len(i.encoded) + 8 * i.tokens + 600 for i in items)
-        on_disk = 2 * (held + new) + 2 * self.log_limit
-        in_memory = 2 * (held + new)
+        disk_bytes = 2 * (held + new) + 2 * self.max_log_bytes
+        memory_bytes = 2 * (held + new)
         return (
-            on_disk < DISK_SHARE * self.settings.disk_mb * 1024 * 1024
-            and in_memory < MEMORY_SHARE * self.settings.memory_mb * 1024 * 1024
+            disk_bytes < USABLE_DISK_SHARE * self.settings.disk_mb * 1024 * 1024
+            and memory_bytes < USABLE_MEMORY_SHARE * self.settings.memory_mb * 1024 * 1024
         )
 
-    async def _read(self, owned: OwnedShard, request: ReadRequest) -> Reply:
+    async def _read_results(self, owned: OwnedShard, request: ReadRequest) -> Reply:
         deadline = self.host.now() + request.wait_ms / 1000
-        while self._owned(request.shard) is owned:
+        while self._owned_shard(request.shard) is owned:
             job = owned.state.jobs.get(request.job)
             if job is None:
                 return Reply(Status.UNKNOWN)
-            left = deadline - self.host.now()
-            if len(job.results) > request.start or left <= 0 or job.settled:
-                return Reply(Status.OK, bytes(_page(job, request.start)))
-            await owned.readers.wait(request.job, left)
-        return self._elsewhere(request.shard)
+            remaining = deadline - self.host.now()
+            if len(job.results) > request.start or remaining <= 0 or job.settled:
+                return Reply(Status.OK, bytes(_results_page(job, request.start)))
+            await owned.read_calls.wait(request.job, remaining)
+        return self._not_owner_reply(request.shard)
 
-    async def _body(self, owned: OwnedShard, request: ReadRequest) -> Reply:
+    async def _read_item_body(self, owned: OwnedShard, request: ReadRequest) -> Reply:
         job = owned.state.jobs.get(request.job)
         item = job.open_items.get(request.item) if job else None
         if item is None:
             return Reply(Status.UNKNOWN)
         return Reply(Status.OK, bytes(ReadReply(body=item.decode().body)))
 
-    async def _end(self, owned: OwnedShard, request: ReadRequest) -> Reply:
+    async def _end_job(self, owned: OwnedShard, request: ReadRequest) -> Reply:
         job = owned.state.jobs.get(request.job)
         if job is None:
-            return Reply(Status.UNSURE if request.job in owned.accepting else Status.UNKNOWN)
+            return Reply(Status.UNSURE if request.job in owned.pending_submissions else Status.UNKNOWN)
         if not job.ended:
-            await self.host.propose(request.shard, batch.end(request.job), COMMIT_WITHIN)
+            await self.host.propose(request.shard, batch.end(request.job), COMMIT_TIMEOUT)
         return Reply(Status.OK)
 
     # ------------------------------------------------------------------ items at dispatchers
 
-    async def _lease(self, owned: OwnedShard, request: LeaseRequest) -> Reply:
+    async def _lease_items(self, owned: OwnedShard, request: LeaseRequest) -> Reply:
         deadline = self.host.now() + request.wait_ms / 1000
         leases, holder = owned.leases, request.holder
         running = {(h.job, h.item): h.lease for h in request.held}
         if not self._begin_call(owned, request):
-            return NOBODY_WAITS
-        owned.lease_calls.replace(holder)
-        while self._owned(request.shard) is owned:
+            return SUPERSEDED_CALL_REPLY
+        owned.lease_calls.supersede(holder)
+        while self._owned_shard(request.shard) is owned:
             leases.seen(self.host.now(), holder)
             leases.claim(self.host.now(), holder, running)
-            given = leases.take(self.host.now(), holder, min(request.want, ITEM_LIMIT))
-            ended = [name for name in request.jobs if self._over(owned, name)]
-            left = deadline - self.host.now()
-            if given or ended or left <= 0:
-                items = [_leased(*lease) for lease in given]
+            granted = leases.take(self.host.now(), holder, min(request.want, ITEM_LIMIT))
+            ended = [name for name in request.jobs if self._has_ended(owned, name)]
+            remaining = deadline - self.host.now()
+            if granted or ended or remaining <= 0:
+                items = [_leased_item(*lease) for lease in granted]
                 return Reply(Status.OK, bytes(LeaseReply(items, ended, leases.waiting)))
-            if await owned.lease_calls.replaced(holder, request.want, request.jobs, left):
-                return NOBODY_WAITS
-        return self._elsewhere(request.shard)
+            if await owned.lease_calls.wait_for_items(holder, request.want, request.jobs, remaining):
+                return SUPERSEDED_CALL_REPLY
+        return self._not_owner_reply(request.shard)
 
     @staticmethod
     def _begin_call(owned: OwnedShard, request: LeaseRequest) -> bool:
-        """A dispatcher tells all that it holds: leases of an answer that did not reach it are taken back.
+        """Takes back the leases that are not among the items that the dispatcher says it holds.
 
-        False where a later call of it came before.
+        These were in a reply that was lost. Returns False if a later call of the dispatcher arrived before.
         """
         if not owned.leases.begin_call(request.holder, request.call):
             return False
         if not request.call:
-            return True  # from a dispatcher that does not number its calls
+            return True  # the dispatcher does not number its calls
         kept = {(name.job, name.item) for name in (*request.held, *request.reported)}
         if owned.leases.take_back(request.holder, kept):
             owned.wake()
         return True
 
     @staticmethod
-    def _over(owned: OwnedShard, name: str) -> bool:
+    def _has_ended(owned: OwnedShard, name: str) -> bool:
         job = owned.state.jobs.get(name)
         return job is None or job.ended
 
-    async def _finish(self, owned: OwnedShard, request: FinishRequest) -> Reply:
+    async def _report_items(self, owned: OwnedShard, request: FinishRequest) -> Reply:
         now, holder = self.host.now(), request.holder
         owned.leases.seen(now, holder)
-        listed = [r for report in request.reports if (r := self._result(owned, now, holder, report))]
+        listed = [r for report in request.reports if (r := self._make_result(owned, now, holder, report))]
         if listed:
-            await self.host.propose(request.shard, batch.results(listed), COMMIT_WITHIN)
+            await self.host.propose(request.shard, batch.results(listed), COMMIT_TIMEOUT)
         else:
             owned.wake()
         return Reply(Status.OK)
 
     @staticmethod
-    def _result(owned: OwnedShard, now: float, holder: str, report: ItemReport) -> ItemResult | None:
-        """The result that a report makes, if it makes one."""
+    def _make_result(owned: OwnedShard, now: float, holder: str, report: ItemReport) -> ItemResult | None:
+        """Returns the final result that a report leads to, or None if it leads to none."""
         job = owned.state.jobs.get(report.job)
         if job is None or report.item not in job.open_items:
             return None
@@ -389,25 +390,25 @@
         return None
 
 
-def _page(job: Job, start: int) -> ReadReply:
-    """Results from a position on, as many as an answer holds."""
+def _results_page(job: Job, start: int) -> ReadReply:
+    """Returns results from a position on, as many as fit in one reply."""
     found: list[ItemResult] = []
     size = 0
     for result in job.results[start:]:
         size += len(result.text) + 200
-        if found and size > READ_BYTES:
+        if found and size > MAX_READ_REPLY_BYTES:
             break
         found.append(result)
     return ReadReply(total=job.total, results=found)
 
 
-def _leased(job: Job, item: str, number: int) -> LeasedItem:
-    due = job.accepted_at + job.record.completion_ms / 1000 - time.monotonic()
+def _leased_item(job: Job, item: str, lease_number: int) -> LeasedItem:
+    due_in = job.accepted_at + job.record.completion_ms / 1000 - time.monotonic()
     return LeasedItem(
         job=job.record.id,
         host=job.record.host,
         item=job.open_items[item].encoded,
-        due_in_ms=int(due * 1000),
+        due_in_ms=int(due_in * 1000),
         route=job.record.route,
-        lease=number,
+        lease=lease_number,
     )
--- a/heronstall/lab/tier/processes.py
+++ b/heronstall/lab/tier/processes.py
@@ -148,7 +148,7 @@
             folder = Path(copied) / "disk"
             shutil.copytree(self._plan.disk(ip), folder)
             host = GroupHost(f"{ip}:{INTERNAL}", folder, Links(), Timing(), False, LOG_LIMIT)
-            return host.me in host.add(shard, _Stateless()).log.members
+            return host.replica_id in host.add(shard, _Stateless()).log.members
 
 
 def _resident(pid: int) -> int:
--- a/heronstall/transport/http_server.py
+++ b/heronstall/transport/http_server.py
@@ -28,12 +28,8 @@
 
     def __init__(self, manager: web.Server, *, loop: asyncio.AbstractEventLoop, **options: Any) -> None:
         super().__init__(manager, loop=loop, **options)
-        self.last_active_at = (
-            time.monotonic()
-        )  # steady time of the last response, or of the connection's start
-        self._partial_head_since: float | None = (
-            None  # steady time at which a partial request head was received
-        )
+        self.last_active_at = time.monotonic()  # of the last response, or of the connection's start
+        self._partial_head_since: float | None = None  # steady time of receiving a partial request head
 
     def data_received(self, data: bytes) -> None:
         """Handles received bytes and records whether they leave a request head incomplete."""
--- a/heronstall/transport/pulling.py
+++ b/heronstall/transport/pulling.py
@@ -156,7 +156,7 @@
         return POLL_HOLD if self._view.document else FIRST_POLL_HOLD
 
     async def _pull(self, address: str, hold: float) -> bool:
-        """Makes one call, which the node may hold for `hold` seconds. Returns whether it brought a usable state."""
+        """Makes one call, which the node may hold for `hold` seconds. Returns whether the state is usable."""
         started_at = time.monotonic()
         request = SyncRequest(self._session(), self._view.vector(), int(hold * 1000))
         reply = await self._links.to(address).call(Kind.SYNC, bytes(request), hold + ANSWER_TIMEOUT)
--- a/tests/tier/core_simulation.py
+++ b/tests/tier/core_simulation.py
@@ -302,7 +302,7 @@
     def whole(self) -> bool:
         """Whether every running node knows just the running nodes as voters of all groups."""
         cores = [m.core for m in self.machines.values() if m.core]
-        wanted = {core.host.me for core in cores}
+        wanted = {core.host.replica_id for core in cores}
         return len(cores) == self.size and all(
             set(hosted.replica.log.members) == wanted
             and hosted.replica.log.members_index <= hosted.replica.commit
@@ -313,7 +313,7 @@
     def memberships(self) -> str:
         """What each running node knows of the groups, for a report."""
         return "; ".join(
-            f"{core.host.me} {name}: {replica.role.value} of {replica.term}, "
+            f"{core.host.replica_id} {name}: {replica.role.value} of {replica.term}, "
             f"{sorted(replica.log.members)} at {replica.log.members_index}, "
             f"committed {replica.commit}, learners {sorted(replica.learners)}"
             for core in (m.core for m in self.machines.values())
--- a/tests/tier/lease_model.py
+++ b/tests/tier/lease_model.py
@@ -108,7 +108,7 @@
         return cast(OwnedShard, SimpleNamespace(leases=self.leases, state=self.state, wake=lambda: None))
 
     def call(self, body: bytes) -> tuple[tuple[str, int], ...]:
-        """Answer a call for items: as `Store._lease` does, without its waiting."""
+        """Answer a call for items: as `Store._lease_items` does, without its waiting."""
         request = LeaseRequest().parse(body)
         if not Store._begin_call(self.shard, request):
             return ()
@@ -123,7 +123,7 @@
             (item, lease) for item, outcome, lease in entries if outcome == Outcome.FAILED
         }
         reports = [ItemReport(JOB, item, outcome, b"", lease) for item, outcome, lease in entries]
-        found = [r for report in reports if (r := Store._result(self.shard, self.now, EDGE, report))]
+        found = [r for report in reports if (r := Store._make_result(self.shard, self.now, EDGE, report))]
         if found:
             self.applied += 1
             self.state.apply(self.applied, batch.results(found))
--- a/tests/tier/registry_model.py
+++ b/tests/tier/registry_model.py
@@ -55,16 +55,16 @@
 
     def take(self, call: Call) -> bool:
         """Answer a call; whether it was acknowledged."""
-        core = mock.Mock(workers={GROUP: self.shard}, heard={}, leads=lambda group: True)
+        core = mock.Mock(workers={GROUP: self.shard}, last_heartbeat_at={}, leads=lambda group: True)
         core.host.now = lambda: 0.0
-        core.fresh = lambda: True
+        core.is_fresh = lambda: True
         core.settings.listen = {"control": "10.0.0.1:8166"}
         core.commit = self._commit
         core.remove_worker = lambda group, worker: Core.remove_worker(core, group, worker)
         api = ControlApi(core)
         request = mock.Mock(raw_path=f"/-/instances/{WORKER}")
         if call.state == "gone":
-            answer = at_once(api._leave(request, WORKER))
+            answer = at_once(api._deregister(request, WORKER))
         else:
             beat = {
                 "service": SERVICE,
@@ -74,7 +74,7 @@
                 "sequence": call.sequence,
             }
             request.read = mock.AsyncMock(return_value=ujson.dumps(beat).encode())
-            answer = at_once(api._instance(request, "PUT", WORKER))
+            answer = at_once(api._handle_instance(request, "PUT", WORKER))
         return bool(answer.status == 200)
 
     async def _commit(self, _group: str, data: bytes) -> bool:
@@ -84,7 +84,7 @@
     def expire(self) -> None:
         """Take the worker for silent."""
         self.index += 1
-        self.shard.apply(self.index, worker_shard.remove(worker_shard.Command.EXPIRE, WORKER))
+        self.shard.apply(self.index, worker_shard.encode_removal(worker_shard.Command.EXPIRE, WORKER))
 
     @property
     def told(self) -> str:
--- a/tests/tier/store_simulation.py
+++ b/tests/tier/store_simulation.py
@@ -213,13 +213,13 @@
     def owner(self, shard: str) -> str | None:
         """The storage machine that owns a shard, if one does."""
         for ip, machine in self.stores.items():
-            if machine.store is not None and machine.store._owned(shard):
+            if machine.store is not None and machine.store._owned_shard(shard):
                 return ip
         return None
 
     def stores_whole(self) -> bool:
         """Whether the voters of each shard are the replicas that the placement wants, all of them running."""
-        running = {m.store.host.me: m.store for m in self.stores.values() if m.store}
+        running = {m.store.host.replica_id: m.store for m in self.stores.values() if m.store}
         core = next((m.core for m in self.machines.values() if m.core and m.core.leads(CONFIG)), None)
         if core is None:
             return False
@@ -227,7 +227,7 @@
             wanted = set(core.config.placement(shard))
             owner = self.owner(shard)
             store = self.stores[owner].store if owner else None
-            if store is None or not wanted <= set(running) or len(wanted) < core.copies:
+            if store is None or not wanted <= set(running) or len(wanted) < core.replicas_per_shard:
                 return False
             log = store.host.groups[shard].replica.log
             if set(log.members) != wanted or log.members_index > store.host.groups[shard].replica.commit:
@@ -237,7 +237,7 @@
     def placements(self) -> str:
         """What each storage node knows of the shards, for a report."""
         return "; ".join(
-            f"{store.host.me} {name}: {hosted.replica.role.value} of {hosted.replica.term}, "
+            f"{store.host.replica_id} {name}: {hosted.replica.role.value} of {hosted.replica.term}, "
             f"{sorted(hosted.replica.log.members)}, committed {hosted.replica.commit}"
             for store in (m.store for m in self.stores.values())
             if store
--- a/tests/tier/test_control.py
+++ b/tests/tier/test_control.py
@@ -18,9 +18,9 @@
 from heronstall.controlplane.core import Core
 from heronstall.controlplane.state import config_shard, worker_shard
 from heronstall.controlplane.state.config_shard import ChangeOutcome, ConfigShard
-from heronstall.controlplane.state.documents import ConfigFault, canonical, read_object
-from heronstall.controlplane.state.operator_config import checked, patched
-from heronstall.controlplane.state.worker_shard import REMOVED_KEPT, WorkerShard
+from heronstall.controlplane.state.documents import ConfigFault, canonical_json, parse_object
+from heronstall.controlplane.state.operator_config import apply_patch, validate
+from heronstall.controlplane.state.worker_shard import MAX_KNOWN_REMOVALS, WorkerShard
 from heronstall.distribution.shards import WORKER_SHARDS
 from heronstall.distribution.view import View
 from heronstall.ownership.placement import Candidate, first_placement, repaired
@@ -58,7 +58,7 @@
 
 class Configurations(unittest.TestCase):
     def refused(self, document: Any, revision: int = 6) -> ConfigFault:
-        found = checked(document, revision)
+        found = validate(document, revision)
         assert isinstance(found, Err), document
         return found.err_value[0]
 
@@ -68,7 +68,7 @@
         return document
 
     def test_a_valid_one_is_taken(self) -> None:
-        self.assertIsInstance(checked(CONFIG, 6), Ok)
+        self.assertIsInstance(validate(CONFIG, 6), Ok)
 
     def test_each_fault_has_its_code(self) -> None:
         split = [{"service": "s", "weight": 0}, {"service": "t", "weight": 0}]
@@ -99,7 +99,7 @@
             (b"[]", ConfigFault.UNREADABLE),
             (b'{"revision":1,"revision":2}', ConfigFault.DUPLICATE),
         ):
-            found = read_object(body)
+            found = parse_object(body)
             assert isinstance(found, Err)
             self.assertEqual(found.err_value[0], expected)
 
@@ -111,7 +111,7 @@
             },
             "remove": {"routes": ["b", "unknown"]},
         }
-        found = patched(CONFIG, patch)
+        found = apply_patch(CONFIG, patch)
         assert isinstance(found, Ok)
         self.assertEqual([r["name"] for r in found.ok_value["routes"]], ["a", "c"])
         self.assertEqual(found.ok_value["routes"][0]["timeout_ms"], 5)
@@ -119,22 +119,28 @@
         self.assertEqual(len(CONFIG["routes"]), 2)
 
     def test_the_order_of_keys_makes_no_other_content(self) -> None:
-        self.assertEqual(canonical({"a": 1, "b": 2}), canonical({"b": 2, "a": 1}))
+        self.assertEqual(canonical_json({"a": 1, "b": 2}), canonical_json({"b": 2, "a": 1}))
 
     def test_of_two_changes_on_one_version_one_wins(self) -> None:
         shard = ConfigShard()
         changes = [ConfigChange(0, 5, b'{"revision":5}', "0a"), ConfigChange(0, 6, b'{"revision":6}', "0b")]
         done = [
-            shard.apply(n + 1, config_shard.command(config_shard.Command.CHANGE, c))
+            shard.apply(n + 1, config_shard.encode_command(config_shard.Command.CHANGE, c))
             for n, c in enumerate(changes)
         ]
-        self.assertEqual(done, [ChangeOutcome.TAKEN, ChangeOutcome.REFUSED])
-        self.assertEqual((shard.state.revision, shard.taken("0a"), shard.taken("0b")), (5, 5, None))
+        self.assertEqual(done, [ChangeOutcome.ACCEPTED, ChangeOutcome.REFUSED])
+        self.assertEqual(
+            (shard.state.revision, shard.accepted_revision("0a"), shard.accepted_revision("0b")), (5, 5, None)
+        )
 
     def test_a_dump_restores_the_shard(self) -> None:
         shard = ConfigShard()
-        shard.apply(3, config_shard.command(config_shard.Command.CHANGE, ConfigChange(0, 5, b"{}", "0a")))
-        shard.apply(4, config_shard.command(config_shard.Command.PLACE, Placement("batch-0", ["a"], True)))
+        shard.apply(
+            3, config_shard.encode_command(config_shard.Command.CHANGE, ConfigChange(0, 5, b"{}", "0a"))
+        )
+        shard.apply(
+            4, config_shard.encode_command(config_shard.Command.PLACE, Placement("batch-0", ["a"], True))
+        )
         other = ConfigShard()
         other.restore(shard.dump())
         self.assertEqual(other.dump(), shard.dump())
@@ -147,11 +153,11 @@
 
     def put(self, index: int, name: str, sequence: int = 1, state: str = "ready") -> bool:
         worker = Worker(id=name, service="s", address="1:1", state=state, sequence=sequence)
-        return self.shard.apply(index, worker_shard.put(worker))
+        return self.shard.apply(index, worker_shard.encode_put(worker))
 
     def remove(self, index: int, name: str, silent: bool = False) -> bool:
         kind = worker_shard.Command.EXPIRE if silent else worker_shard.Command.REMOVE
-        return self.shard.apply(index, worker_shard.remove(kind, name))
+        return self.shard.apply(index, worker_shard.encode_removal(kind, name))
 
     def test_a_late_heartbeat_takes_nothing_back(self) -> None:
         self.put(1, "a", 5, "draining")
@@ -175,18 +181,18 @@
             else:
                 self.remove(index, name, silent=True)
             if index % 3 == 0:
-                delta = self.shard.since("s", view.versions.get("s", 0))
+                delta = self.shard.changes_since("s", view.versions.get("s", 0))
                 assert delta is not None
                 view.take(SyncReply(workers=[WorkerDelta().parse(bytes(delta))]))
                 self.assertEqual(set(view.all_workers()), set(self.shard.workers))
-        self.assertIsNone(self.shard.since("s", self.shard.version))
+        self.assertIsNone(self.shard.changes_since("s", self.shard.version))
 
     def test_who_is_too_far_behind_gets_the_whole(self) -> None:
-        for index in range(1, REMOVED_KEPT + 10):
+        for index in range(1, MAX_KNOWN_REMOVALS + 10):
             self.put(2 * index, f"w{index}")
             self.remove(2 * index + 1, f"w{index}", silent=True)
         self.put(5000, "last")
-        delta = self.shard.since("s", 3)
+        delta = self.shard.changes_since("s", 3)
         assert delta is not None
         self.assertTrue(delta.complete)
         self.assertEqual([c.worker.id for c in delta.changes], ["last"])
@@ -210,11 +216,11 @@
         self.shards = {name: WorkerShard() for name in WORKER_SHARDS}
         self.committed: list[tuple[str, bytes]] = []
         self.index = 0
-        self.core = mock.Mock(workers=self.shards, heard={})
+        self.core = mock.Mock(workers=self.shards, last_heartbeat_at={})
         self.core.settings.listen = {"control": "10.0.0.1:8166"}
         self.core.leads = lambda group: group == self.LED
         self.core.leader_address = lambda group: "10.0.0.2:7720"
-        self.core.fresh = lambda: True
+        self.core.is_fresh = lambda: True
         self.core.commit = self.commit
         self.core.remove_worker = functools.partial(Core.remove_worker, self.core)
         self.core.links.to.return_value.call = self.tell_other
@@ -226,7 +232,7 @@
         if not self.other_reachable:
             return CALL_FAILED
         end = WorkerEnd().parse(body)
-        self.apply(end.shard, worker_shard.remove(worker_shard.Command.REMOVE, end.worker))
+        self.apply(end.shard, worker_shard.encode_removal(worker_shard.Command.REMOVE, end.worker))
         return Reply(Status.OK)
 
     async def commit(self, group: str, data: bytes) -> bool:
@@ -242,37 +248,39 @@
     async def leave(self, worker: str) -> int:
         """The status of a worker's last call."""
         request = mock.Mock(raw_path=f"/-/instances/{worker}")
-        return (await self.api._leave(request, worker)).status
+        return (await self.api._deregister(request, worker)).status
 
     async def test_the_last_call_may_come_again(self) -> None:
-        self.apply(self.LED, worker_shard.put(Worker(id="w", service="s", state="draining")))
+        self.apply(self.LED, worker_shard.encode_put(Worker(id="w", service="s", state="draining")))
         self.assertEqual([await self.leave("w"), await self.leave("w")], [200, 200])
         self.assertEqual(len(self.committed), 1)
         self.assertTrue(self.shards[self.LED].is_gone("w"))
 
     async def test_a_call_for_the_other_shard_goes_to_its_leader_also_when_it_comes_again(self) -> None:
-        self.apply(self.OTHER, worker_shard.put(Worker(id="w", service="s", state="draining")))
+        self.apply(self.OTHER, worker_shard.encode_put(Worker(id="w", service="s", state="draining")))
         self.assertEqual(await self.leave("w"), 307)
-        self.apply(self.OTHER, worker_shard.remove(worker_shard.Command.REMOVE, "w"))
+        self.apply(self.OTHER, worker_shard.encode_removal(worker_shard.Command.REMOVE, "w"))
         self.assertEqual(await self.leave("w"), 307)
 
     async def test_a_silent_worker_that_leaves_never_returns(self) -> None:
-        self.apply(self.LED, worker_shard.put(Worker(id="w", service="s", state="ready")))
-        self.apply(self.LED, worker_shard.remove(worker_shard.Command.EXPIRE, "w"))
+        self.apply(self.LED, worker_shard.encode_put(Worker(id="w", service="s", state="ready")))
+        self.apply(self.LED, worker_shard.encode_removal(worker_shard.Command.EXPIRE, "w"))
         self.assertEqual(await self.leave("w"), 200)
-        self.assertFalse(self.apply(self.LED, worker_shard.put(Worker(id="w", service="s", state="ready"))))
+        self.assertFalse(
+            self.apply(self.LED, worker_shard.encode_put(Worker(id="w", service="s", state="ready")))
+        )
 
     async def test_the_end_of_one_that_no_shard_knows_is_kept_by_all_of_them(self) -> None:
         self.assertEqual(await self.leave("unknown"), 200)
         self.assertEqual(len(self.committed), 1)
         for group in (self.LED, self.OTHER):
-            self.assertFalse(self.apply(group, worker_shard.put(Worker(id="unknown", service="s"))))
+            self.assertFalse(self.apply(group, worker_shard.encode_put(Worker(id="unknown", service="s"))))
 
     async def test_an_end_that_no_shard_knows_is_acknowledged_by_all_leaders_or_not_at_all(self) -> None:
         self.other_reachable = False
         self.assertEqual(await self.leave("unknown"), 503)
         self.other_reachable = True
-        self.core.fresh = lambda: False
+        self.core.is_fresh = lambda: False
         self.assertEqual(await self.leave("another"), 503)
         self.assertNotIn("another", str(self.committed))
 
@@ -281,7 +289,7 @@
     async def test_sessions_are_told_while_a_commit_hangs(self) -> None:
         core = Core.__new__(Core)
         told, never = mock.Mock(), asyncio.Event()
-        core._members, core._gossip = mock.Mock(), told  # type: ignore[method-assign]
+        core._update_memberships, core._gossip_sessions = mock.Mock(), told  # type: ignore[method-assign]
         core._expire_workers = never.wait  # type: ignore[method-assign,assignment]
         turns = asyncio.sleep
 
@@ -289,7 +297,10 @@
             await turns(0)
 
         with mock.patch("asyncio.sleep", at_once):
-            tasks = [asyncio.create_task(run) for run in (core._stay_in_touch(), core._chores())]
+            tasks = [
+                asyncio.create_task(run)
+                for run in (core._maintain_membership_and_sessions(), core._run_maintenance())
+            ]
             for _ in range(20):
                 await turns(0)
         for task in tasks:
--- a/tests/tier/test_core_simulation.py
+++ b/tests/tier/test_core_simulation.py
@@ -49,7 +49,7 @@
     """Planted: a change is taken whatever it builds on."""
     shard.state.revision, shard.state.document = change.revision, change.document
     shard.state.config_version = index
-    return ChangeOutcome.TAKEN
+    return ChangeOutcome.ACCEPTED
 
 
 async def leads_without_lease(api: ControlApi, group: str) -> bool:
@@ -61,7 +61,7 @@
 def forgets_old_changes() -> Iterator[None]:
     """Planted: a change is known again among the last three alone, and an older one is refused."""
     with (
-        mock.patch.object(config_shard, "TAKEN_KEPT", 3),
+        mock.patch.object(config_shard, "MAX_KNOWN_CHANGES", 3),
         mock.patch.object(ConfigShard, "may_be_forgotten", return_value=False),
     ):
         yield
@@ -69,17 +69,21 @@
 
 PLANTED: dict[str, Callable[[], AbstractContextManager[Any]]] = {
     "a repeat is told what is current": lambda: mock.patch.object(
-        ConfigShard, "taken", lambda self, digest: self.state.revision if digest_known(self, digest) else None
+        ConfigShard,
+        "accepted_revision",
+        lambda self, digest: self.state.revision if digest_known(self, digest) else None,
     ),
     "old changes are forgotten": forgets_old_changes,
-    "the base is not compared again": lambda: mock.patch.object(ConfigShard, "_change", compares_nothing),
-    "old views are told": lambda: mock.patch.object(Core, "fresh", lambda self: True),
+    "the base is not compared again": lambda: mock.patch.object(
+        ConfigShard, "_apply_change", compares_nothing
+    ),
+    "old views are told": lambda: mock.patch.object(Core, "is_fresh", lambda self: True),
     "the dead are replaced late": lambda: mock.patch.object(Timing, "__init__", slow_timing),
 }
 
 
 def digest_known(shard: ConfigShard, digest: str) -> bool:
-    return bytes.fromhex(digest) in shard._taken
+    return bytes.fromhex(digest) in shard._revision_by_digest
 
 
 def slow_timing(timing: Timing) -> None:
@@ -134,13 +138,13 @@
                 await tier.boot(ip)
             core = tier.machines[leader].core
             assert core is not None
-            self.assertFalse(core.fresh())
+            self.assertFalse(core.is_fresh())
             asked = SyncRequest(Session(name="e", machine_class="edge"), [], 1000)
             began = time.monotonic()
             reply = await core._sync(asked)
             self.assertEqual(reply.status, Status.OK)
             self.assertEqual(ujson.loads(SyncReply().parse(reply.body).document)["revision"], 1)
-            self.assertTrue(core.fresh())
+            self.assertTrue(core.is_fresh())
             self.assertLess(time.monotonic() - began, 1.0)
 
         self.play(run)
@@ -209,7 +213,7 @@
 
     def test_an_answer_without_a_majority_or_a_lease_is_found(self) -> None:
         with (
-            mock.patch.object(ControlApi, "_confirmed", leads_without_lease),
+            mock.patch.object(ControlApi, "_is_confirmed_leader", leads_without_lease),
             self.assertRaises(AssertionError),
         ):
             self.play(self.cut_off_leader)
@@ -227,7 +231,7 @@
             self.assertIsNone(await tier.read(old))
             self.assertIs(await tier.change(0, 5, "old base", old), Answer.UNCLEAR)
             self.assertIs(await tier.change(1, 9, "cut", old), Answer.UNCLEAR)
-        self.assertFalse(self.core(tier, old).fresh())
+        self.assertFalse(self.core(tier, old).is_fresh())
         new = tier.leader()
         assert new is not None
         self.assertIs(await tier.change(1, 2, "y", new), Answer.TAKEN)
@@ -240,7 +244,7 @@
             assert leader is not None
             others = [m.address for ip, m in tier.machines.items() if ip != leader]
             tier.network.cut_off(tier.machines[leader].address, 2, others)  # no acknowledgement comes back
-            with mock.patch.object(ControlApi, "_confirmed", leads_without_lease):
+            with mock.patch.object(ControlApi, "_is_confirmed_leader", leads_without_lease):
                 tries = [asyncio.create_task(tier.change(0, 5, "x", leader)) for _ in range(3)]
                 await asyncio.sleep(0.2)
                 tier.network.cut.clear()
@@ -275,7 +279,7 @@
     def test_each_node_ends_with_the_newest_state_in_bounded_bytes(self) -> None:
         with (
             tempfile.TemporaryDirectory() as folder,
-            mock.patch.object(core, "LOG_LIMIT", COMPACT_LOG),
+            mock.patch.object(core, "MAX_LOG_BYTES", COMPACT_LOG),
             simulated(Path(folder), 11) as tier,
         ):
             run_virtually(self.run_changes(tier))
--- a/tests/tier/test_ctl.py
+++ b/tests/tier/test_ctl.py
@@ -89,13 +89,13 @@
         unsure = self.node((503, {}, {}))
         good = self.node((200, {}, CONFIG))
         waits: list[float] = []
-        answer = ControlClient([unsure.address, good.address], pause=waits.append).call("GET", "/-/config")
+        answer = ControlClient([unsure.address, good.address], sleep=waits.append).call("GET", "/-/config")
         self.assertEqual((answer.status, answer.address, len(waits)), (200, good.address, 1))
 
     def test_nobody_answers(self) -> None:
         node = self.node((503, {}, {}))
         with self.assertRaises(NoAnswer) as caught:
-            ControlClient([node.address], within=0.2).call("GET", "/-/config")
+            ControlClient([node.address], timeout_seconds=0.2).call("GET", "/-/config")
         self.assertIn("status 503", str(caught.exception))
 
     def test_a_file_is_checked_without_a_node(self) -> None:
--- a/tests/tier/test_hosting.py
+++ b/tests/tier/test_hosting.py
@@ -11,8 +11,8 @@
 from unittest import mock
 
 from heronstall.controlplane.hosting import (
-    DISK_RETRY,
-    TICK,
+    DISK_RETRY_DELAY,
+    TICK_INTERVAL,
     EntryId,
     GroupHost,
     Superseded,
@@ -76,7 +76,7 @@
         self.machines: dict[str, Commands] = {}
         for name in ("a:1", "b:1", "c:1"):
             self.start(name, bootstrap=True)
-        voters = tuple(host.me for host in self.hosts.values())
+        voters = tuple(host.replica_id for host in self.hosts.values())
         for host in self.hosts.values():
             host.groups[GROUP].replica.form(self.now, voters)
             host.flush()
@@ -125,20 +125,20 @@
         self.assertEqual(await self.commit(b"one"), 1)
         self.assertEqual(await self.commit(b"two"), 2)
         self.waiting.clear()
-        identities = [host.me for host in self.hosts.values()]
+        identities = [host.replica_id for host in self.hosts.values()]
         for name in list(self.hosts):
             self.start(name)
-        self.assertEqual([host.me for host in self.hosts.values()], identities)
+        self.assertEqual([host.replica_id for host in self.hosts.values()], identities)
         self.turn(3.0)
         self.assertEqual(self.everywhere(), [[b"one", b"two"]] * 3)
 
     async def test_a_node_without_its_disk_is_another(self) -> None:
         self.turn()
-        before = self.hosts["a:1"].me
+        before = self.hosts["a:1"].replica_id
         for path in (self.root / "a-1").iterdir():
             path.unlink()
         self.start("a:1")
-        self.assertNotEqual(self.hosts["a:1"].me, before)
+        self.assertNotEqual(self.hosts["a:1"].replica_id, before)
         self.assertEqual(self.hosts["a:1"].recovered_groups, [])
 
 
@@ -182,9 +182,9 @@
         leader = self.leader()
         hosted = leader.groups[GROUP]
         older = EntryId(hosted.replica.log.last + 1, hosted.replica.term - 1)
-        hosted.waiting[older] = asyncio.get_running_loop().create_future()
+        hosted.pending_proposals[older] = asyncio.get_running_loop().create_future()
         younger = leader.submit(GROUP, b"one")
-        hosted.waiting.pop(older).cancel()
+        hosted.pending_proposals.pop(older).cancel()
         self.turn(0.5)
         self.assertEqual(await younger, 1)
 
@@ -192,10 +192,10 @@
         self.turn()
         leader = self.leader()
         future = leader.submit(GROUP, b"one")
-        leader._drop_unknown(leader.groups[GROUP], 10**6)
+        leader._fail_undecided(leader.groups[GROUP], 10**6)
         with self.assertRaises(Undecided):
             await future
-        self.assertEqual(leader.groups[GROUP].waiting, {})
+        self.assertEqual(leader.groups[GROUP].pending_proposals, {})
 
     async def test_a_proposal_outlives_the_patience_of_its_caller(self) -> None:
         self.turn()
@@ -210,7 +210,7 @@
         self.turn()
         leader = self.leader()
         self.now += 0.001  # what was sent before the call says nothing
-        with mock.patch("heronstall.controlplane.hosting.CONFIRM_LOOK", 0):
+        with mock.patch("heronstall.controlplane.hosting.CONFIRM_POLL_INTERVAL", 0):
             confirmed = asyncio.create_task(leader.confirm(GROUP, 5.0))
             for _ in range(5):
                 await asyncio.sleep(0)
@@ -236,9 +236,9 @@
             host = GroupHost("a:1", Path(folder), cast(Links, Wire([])), Timing(), True, 1 << 20)
             machine = Commands()
             replica = host.add(GROUP, machine)
-            replica.form(now, (host.me,))
+            replica.form(now, (host.replica_id,))
             while not replica.established:
-                now += TICK
+                now += TICK_INTERVAL
                 replica.tick(now)
                 host.flush()
             with mock.patch.object(Journal, "sync", side_effect=OSError(errno.ENOSPC, "full")):
@@ -246,8 +246,8 @@
                 await asyncio.sleep(0)
                 host.flush()
             self.assertEqual(machine.commands, [])
-            for _ in range(2 * round(DISK_RETRY / TICK)):
-                now += TICK
+            for _ in range(2 * round(DISK_RETRY_DELAY / TICK_INTERVAL)):
+                now += TICK_INTERVAL
                 replica.tick(now)
                 host.flush()
             self.assertEqual(machine.commands, [b"one"])
@@ -266,9 +266,9 @@
             self.assertEqual(await self.commit(b"one"), 1)
             self.turn(0.5)
             progress = leader.groups[GROUP].replica.others
-            self.assertLess(progress[full.me].match, progress[other.me].match)
-        self.turn(DISK_RETRY + 0.5)
-        self.assertEqual(progress[full.me].match, progress[other.me].match)
+            self.assertLess(progress[full.replica_id].match, progress[other.replica_id].match)
+        self.turn(DISK_RETRY_DELAY + 0.5)
+        self.assertEqual(progress[full.replica_id].match, progress[other.replica_id].match)
         self.assertEqual(self.everywhere(), [[b"one"]] * 3)
 
     async def test_two_full_disks_of_three_commit_nothing(self) -> None:
@@ -281,7 +281,7 @@
                 await asyncio.sleep(0)
                 self.turn(0.05)
             await task
-        self.assertEqual(leader.groups[GROUP].machine.dump(), b"")
+        self.assertEqual(leader.groups[GROUP].state_machine.dump(), b"")
 
 
 if __name__ == "__main__":
--- a/tests/tier/test_reading_plan.py
+++ b/tests/tier/test_reading_plan.py
@@ -7,7 +7,7 @@
 from collections import Counter
 from unittest import mock
 
-from heronstall.controlplane.planning import SERVICES_MOST, ReadingPlans
+from heronstall.controlplane.planning import MAX_SERVICES, ReadingPlanners
 from heronstall.dataplane.placing import LEFT_OUT, PART_BYTES, PlacedPrompt, PromptPlacer
 from heronstall.dataplane.prefixes import NOTHING, shared_prefix
 from heronstall.distribution.view import View
@@ -125,7 +125,7 @@
 class Answers(unittest.TestCase):
     def setUp(self) -> None:
         self.sessions = Sessions()
-        self.plans = ReadingPlans(self.sessions, lambda: 10.0)
+        self.plans = ReadingPlanners(self.sessions, lambda: 10.0)
         self.workers = {
             "w1": Worker(id="w1", service="lm", state="ready", capacity=4),
             "w2": Worker(id="w2", service="lm", state="ready", capacity=4),
@@ -136,25 +136,25 @@
     def test_only_ready_workers_of_the_service_are_named(self) -> None:
         named = set()
         for number in range(20):
-            reply = self.plans.answer(PlaceRequest("lm", f"p{number}", 9000, 100), self.workers)
+            reply = self.plans.place_prompt(PlaceRequest("lm", f"p{number}", 9000, 100), self.workers)
             self.assertEqual(reply.status, Status.OK)
             named.add(PlaceReply().parse(reply.body).worker)
         self.assertEqual(named, {"w1", "w2"})
         self.assertEqual(
-            self.plans.answer(PlaceRequest("none", "p", 9000, 1), self.workers).status, Status.UNKNOWN
+            self.plans.place_prompt(PlaceRequest("none", "p", 9000, 1), self.workers).status, Status.UNKNOWN
         )
 
     def test_the_dispatchers_words_on_loads_count(self) -> None:
         for edge in ("e1", "e2"):
             loads = pack([WorkerLoad("w1", 3, 2)])
             self.sessions.renew(10.0, Session(name=edge, machine_class="edge", loads=loads))
-        reply = self.plans.answer(PlaceRequest("lm", "p", 9000, 100), self.workers)
+        reply = self.plans.place_prompt(PlaceRequest("lm", "p", 9000, 100), self.workers)
         self.assertEqual(PlaceReply().parse(reply.body).worker, "w2")
 
     def test_planners_are_bounded(self) -> None:
-        for number in range(SERVICES_MOST + 3):
-            self.plans.answer(PlaceRequest(f"s{number}", "p", 9000, 1), self.workers)
-        self.assertEqual(len(self.plans._planners), SERVICES_MOST)
+        for number in range(MAX_SERVICES + 3):
+            self.plans.place_prompt(PlaceRequest(f"s{number}", "p", 9000, 1), self.workers)
+        self.assertEqual(len(self.plans._planners), MAX_SERVICES)
 
 
 class FakeLinks:
--- a/tests/tier/test_store.py
+++ b/tests/tier/test_store.py
@@ -67,7 +67,7 @@
         self.addCleanup(clock.stop)
         self.owned = self.store._add(SHARD)
         self.replica = self.store.host.groups[SHARD].replica
-        self.replica.form(self.now, (self.store.host.me,))
+        self.replica.form(self.now, (self.store.host.replica_id,))
         self.now += 5
         self.replica.tick(self.now)
         self.store.host.flush()
@@ -76,7 +76,7 @@
 
     async def call(self, kind: Kind, request: Any) -> tuple[Status, bytes]:
         """One call of another node."""
-        reply = await self.store._serve(kind, bytes(request))
+        reply = await self.store._handle_call(kind, bytes(request))
         return reply.status, reply.body
 
     async def submit(self, name: str, items: int = 3, most: int = 0, attempts: int = 2) -> Status:
@@ -194,7 +194,7 @@
     async def test_while_a_submission_may_yet_be_applied_a_repeat_is_not_refused(self) -> None:
         """The entry is in the log and the disk refuses it: no refusal and no acceptance would be true."""
         refuses = mock.patch.object(self.store.host._journal, "append", side_effect=OSError("full"))
-        with refuses, mock.patch("heronstall.controlplane.store.COMMIT_WITHIN", 0.02):
+        with refuses, mock.patch("heronstall.controlplane.store.COMMIT_TIMEOUT", 0.02):
             self.assertEqual(await self.submit("j", most=100), Status.UNSURE)
             self.assertEqual(await self.submit("j", most=1), Status.UNSURE)  # it would not fit any more
             self.assertEqual(await self.submit("other", most=40), Status.OVER_QUOTA)  # its tokens count
@@ -204,12 +204,12 @@
         self.assertEqual(await self.submit("next"), Status.OK)
         self.assertEqual(await self.submit("j", most=1), Status.OK)
         self.assertEqual(set(self.owned.state.jobs), {"j", "next"})
-        self.assertEqual(self.owned.accepting, {})
-        self.assertEqual(self.owned.accepting_tokens["r"], 0)
+        self.assertEqual(self.owned.pending_submissions, {})
+        self.assertEqual(self.owned.pending_tokens["r"], 0)
 
     async def test_a_disk_that_refuses_gives_no_acceptance(self) -> None:
         refusing = mock.patch.object(self.store.host._journal, "append", side_effect=OSError("full"))
-        soon = mock.patch("heronstall.controlplane.store.COMMIT_WITHIN", 0.01)
+        soon = mock.patch("heronstall.controlplane.store.COMMIT_TIMEOUT", 0.01)
         with refusing, soon:
             self.assertEqual(await self.submit("a"), Status.UNSURE)
         self.assertEqual(self.owned.state.jobs, {})
--- a/tests/tier/test_store_simulation.py
+++ b/tests/tier/test_store_simulation.py
@@ -63,13 +63,13 @@
 
 PLANTED: dict[str, Planted] = {
     "a submission is acknowledged when proposed": Planted(
-        lambda: mock.patch.object(Store, "_decided", staticmethod(decided_at_once)), 2
+        lambda: mock.patch.object(Store, "_submission_reply", staticmethod(decided_at_once)), 2
     ),
     "an owner answers before it has applied its log": Planted(
         lambda: mock.patch.object(Leases, "established", property(lambda leases: leases._state.leads)), 1
     ),
     "a machine counts as emptied at once": Planted(
-        lambda: mock.patch.object(Core, "_emptied", lambda core, replica: True), 3
+        lambda: mock.patch.object(Core, "_holds_no_shards", lambda core, replica: True), 3
     ),
     "nothing is synced": Planted(nothing_is_synced, 1),
 }
--- a/tests/tier/test_waiting.py
+++ b/tests/tier/test_waiting.py
@@ -5,7 +5,7 @@
 import asyncio
 import unittest
 
-from heronstall.controlplane.waiting import LeaseCalls, NamedCalls
+from heronstall.controlplane.waiting import CallsByName, LeaseCalls
 
 LONG = 60.0  # seconds that no test waits
 
@@ -18,7 +18,7 @@
 
 class Named(unittest.IsolatedAsyncioTestCase):
     async def test_news_of_one_name_wakes_its_calls_alone(self) -> None:
-        calls = NamedCalls()
+        calls = CallsByName()
         tasks = {name: asyncio.create_task(calls.wait(name, LONG)) for name in ("a", "b")}
         await turn()
         calls.wake("a")
@@ -30,10 +30,10 @@
         self.assertTrue(tasks["b"].done())
 
     async def test_a_call_returns_when_its_time_is_over(self) -> None:
-        await NamedCalls().wait("a", 0.0)
+        await CallsByName().wait("a", 0.0)
 
     async def test_names_are_kept_as_long_as_calls_wait(self) -> None:
-        calls = NamedCalls()
+        calls = CallsByName()
         await calls.wait("a", 0.0)
         self.assertEqual(len(calls), 0)
         tasks = [asyncio.create_task(calls.wait("b", LONG)) for _ in range(2)]
@@ -52,7 +52,7 @@
         self, calls: LeaseCalls, wants: list[int], jobs: tuple[str, ...] = ()
     ) -> list[asyncio.Task[bool]]:
         tasks = [
-            asyncio.create_task(calls.replaced(f"edge-{nth}", want, jobs, LONG))
+            asyncio.create_task(calls.wait_for_items(f"edge-{nth}", want, jobs, LONG))
             for nth, want in enumerate(wants)
         ]
         await turn()
@@ -61,12 +61,12 @@
     async def test_a_call_that_is_held_ends_with_the_next_of_its_dispatcher(self) -> None:
         calls = LeaseCalls()
         first, other = await self.held(calls, [2, 2])
-        calls.replace("edge-0")
+        calls.supersede("edge-0")
         await turn()
         self.assertTrue(await first)
-        second = asyncio.create_task(calls.replaced("edge-0", 2, (), LONG))
+        second = asyncio.create_task(calls.wait_for_items("edge-0", 2, (), LONG))
         await turn()
-        calls.replace("unknown")
+        calls.supersede("unknown")
         calls.offer(2)
         await turn()
         self.assertFalse(await other)
@@ -78,7 +78,7 @@
         calls = LeaseCalls()
         (first,) = await self.held(calls, [2])
         calls.offer(2)
-        calls.replace("edge-0")
+        calls.supersede("edge-0")
         self.assertTrue(await first)
 
     async def test_as_many_are_woken_as_there_are_items_for_the_longest_held_first(self) -> None:
@@ -104,10 +104,10 @@
         calls = LeaseCalls()
         (idle,) = await self.held(calls, [0], ("job",))
         calls.offer(5)
-        calls.ended({"other"})
+        calls.wake_for_ended_jobs({"other"})
         await turn()
         self.assertFalse(idle.done())
-        calls.ended({"job"})
+        calls.wake_for_ended_jobs({"job"})
         await turn()
         self.assertTrue(idle.done())
 
