--- a/heronstall/controlplane/store.py
+++ b/heronstall/controlplane/store.py
@@ -16,9 +16,9 @@
 from heronstall.batch.leases import ITEM_LIMIT, Leases
 from heronstall.batch.outcomes import Outcome
 from heronstall.config import NodeSettings
+from heronstall.controlplane.held_calls import CallsByName, LeaseCalls
 from heronstall.controlplane.hosting import Superseded
 from heronstall.controlplane.replica_node import ReplicaNode
-from heronstall.controlplane.waiting import CallsByName, LeaseCalls
 from heronstall.distribution.view import View
 from heronstall.replication import membership
 from heronstall.transport.frames import Kind, Status
--- a/tests/tier/test_waiting.py
+++ b/tests/tier/test_held_calls.py
@@ -5,7 +5,7 @@
 import asyncio
 import unittest
 
-from heronstall.controlplane.waiting import CallsByName, LeaseCalls
+from heronstall.controlplane.held_calls import CallsByName, LeaseCalls
 
 LONG = 60.0  # seconds that no test waits
 
