--- a/benchmarks/tier_days.py
+++ b/benchmarks/tier_days.py
@@ -18,7 +18,7 @@
 from typing import NamedTuple
 
 from tests.tier import core_walks, store_walks
-from tests.tier.core_simulation import Violated
+from tests.tier.core_simulation import InvariantViolation
 
 
 class Outcome(NamedTuple):
@@ -32,9 +32,9 @@
 def tier_day(seed: int) -> Outcome:
     """A day of core and storage nodes."""
     try:
-        day = store_walks.play(seed)
-    except Violated as violated:
-        return Outcome(seed, str(violated), Counter())
+        day = store_walks.simulate(seed)
+    except InvariantViolation as violation:
+        return Outcome(seed, str(violation), Counter())
     told = {"jobs accepted": day.accepted, "jobs refused": day.refused, "files torn": day.torn}
     return Outcome(seed, "", Counter(told) + day.faults)
 
@@ -42,9 +42,9 @@
 def core_day(seed: int) -> Outcome:
     """A day of the core alone: every fourth one has five nodes."""
     try:
-        calls = core_walks.play(seed, size=3 if seed % 4 else 5)
-    except Violated as violated:
-        return Outcome(seed, str(violated), Counter())
+        calls = core_walks.simulate(seed, size=3 if seed % 4 else 5)
+    except InvariantViolation as violation:
+        return Outcome(seed, str(violation), Counter())
     return Outcome(seed, "", Counter(f"calls: {call.answer.value}" for call in calls))
 
 
--- a/tests/tier/core_simulation.py
+++ b/tests/tier/core_simulation.py
@@ -1,7 +1,8 @@
-"""The core's own programs over a simulated network: nodes, operators whose answers are lost, dispatchers.
+"""A simulation of core nodes, operators whose answers may be lost, and dispatchers over a simulated network.
 
 Real `Core`, `ControlApi`, `GroupHost`, `Journal` and `Puller` objects run in virtual time. Messages between
-them are delayed, reordered, doubled or held up by cuts; nodes are killed, lose power or disks, are replaced.
+them are delayed, reordered, duplicated or blocked by partitions; nodes are killed, lose power or their disks,
+or are replaced.
 """
 
 from __future__ import annotations
@@ -35,68 +36,68 @@
 from heronstall.transport.pulling import StatePuller
 from tests.tier.register_history import Answer, Call
 
-Drawn = random.Random  # before it is replaced by streams of the test's seed
+RealRandom = random.Random  # the original class, which the simulation replaces by streams of the test's seed
 PORT, CONTROL_PORT = 7720, 8166
-DELAYS = (0.0005, 0.002, 0.005, 0.03)  # seconds; each message draws one
-DOUBLED = 0.02  # part of the one-way messages
-SILENCE = 1.0  # seconds after which an operator calls another node
+MESSAGE_DELAYS = (0.0005, 0.002, 0.005, 0.03)  # seconds; one is chosen at random for each message
+DUPLICATE_SHARE = 0.02  # share of the one-way messages that arrive twice
+ANSWER_TIMEOUT = 1.0  # seconds after which an operator calls another node
 CONFIG_APPLY, MAX_SKEW, RECOVER = 2.0, 5.0, 12.0  # seconds
-CATCH_UP = 4.9  # seconds after its return in which a node that lost its disk is whole again
+RECOVERY_BOUND = 4.9  # seconds after its restart in which a node without its disk must be recovered
 
 
-class Violated(AssertionError):
-    """A promise of the core is broken."""
+class InvariantViolation(AssertionError):
+    """Raised when a guarantee of the tier is violated."""
 
 
 class Network:
-    """Carries messages between addresses; cut ways hold them up, dead nodes swallow them."""
+    """Delivers messages between addresses. Blocked links delay them; messages to dead nodes are lost."""
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
         self.servers: dict[str, SimulatedServer] = {}
-        self.refusing: set[str] = set()  # a dead process on a live machine resets connections
-        self.cut: set[tuple[str, str]] = set()
-        self._held: list[tuple[str, str, Callable[[], None]]] = []
+        self.refusing: set[str] = set()  # live machines without a process, which reset connections
+        self.blocked_links: set[tuple[str, str]] = set()
+        self._blocked: list[tuple[str, str, Callable[[], None]]] = []
 
-    def carry(self, source: str, target: str, arrive: Callable[[], None]) -> None:
-        """Have something arrive after a while, or once the way is open again."""
-        delay = self.rng.choice(DELAYS) * self.rng.uniform(0.5, 1.5)
+    def deliver(self, source: str, target: str, on_arrival: Callable[[], None]) -> None:
+        """Delivers after a random delay, or once the link is open again."""
+        delay = self.rng.choice(MESSAGE_DELAYS) * self.rng.uniform(0.5, 1.5)
 
-        def come() -> None:
-            if (source, target) in self.cut:
-                self._held.append((source, target, come))
+        def attempt_delivery() -> None:
+            if (source, target) in self.blocked_links:
+                self._blocked.append((source, target, attempt_delivery))
             else:
-                arrive()
+                on_arrival()
 
-        asyncio.get_running_loop().call_later(delay, come)
+        asyncio.get_running_loop().call_later(delay, attempt_delivery)
 
     def heal(self) -> None:
-        """Open all ways; half of what was held up was lost with its connection."""
-        self.cut.clear()
-        held, self._held = self._held, []
-        for source, target, come in held:
+        """Opens all links. Half of the blocked messages are lost with their connections."""
+        self.blocked_links.clear()
+        blocked, self._blocked = self._blocked, []
+        for source, target, attempt_delivery in blocked:
             if self.rng.random() < 0.5:
-                self.carry(source, target, come)
+                self.deliver(source, target, attempt_delivery)
 
-    def cut_off(self, address: str, ways: int, others: list[str]) -> None:
-        """Cut what an address sends, is sent, or both."""
+    def cut_links(self, address: str, directions: int, others: list[str]) -> None:
+        """Blocks what an address sends (1), what it receives (2), or both (3)."""
         for other in others:
-            if ways & 1:
-                self.cut.add((address, other))
-            if ways & 2:
-                self.cut.add((other, address))
+            if directions & 1:
+                self.blocked_links.add((address, other))
+            if directions & 2:
+                self.blocked_links.add((other, address))
 
 
 class SimulatedLink:
-    """The way from one node to another."""
+    """The link from one node to another."""
 
     def __init__(self, network: Network, source: str, target: str) -> None:
         self._network, self._source, self._target = network, source, target
 
     def send(self, kind: Kind, body: bytes) -> None:
-        """Send one way."""
-        for _ in range(1 + (self._network.rng.random() < DOUBLED)):
-            self._network.carry(self._source, self._target, lambda: self._arrive(kind, body))
+        """Sends a one-way message."""
+        for _ in range(1 + (self._network.rng.random() < DUPLICATE_SHARE)):
+            self._network.deliver(self._source, self._target, lambda: self._arrive(kind, body))
 
     def _arrive(self, kind: Kind, body: bytes) -> None:
         server = self._network.servers.get(self._target)
@@ -104,9 +105,9 @@
             server.one_way(kind, body)
 
     async def call(self, kind: Kind, body: bytes, within: float) -> Reply:
-        """Call and wait."""
+        """Makes a call and waits for its reply."""
         answer: asyncio.Future[Reply] = asyncio.get_running_loop().create_future()
-        self._network.carry(self._source, self._target, lambda: self._serve(kind, body, answer))
+        self._network.deliver(self._source, self._target, lambda: self._serve(kind, body, answer))
         try:
             async with asyncio.timeout(within):
                 return await answer
@@ -121,25 +122,25 @@
             return
 
         async def reply() -> None:
-            given = await server.serve(kind, body)
-            self._network.carry(self._target, self._source, lambda: self._answer(answer, given))
+            result = await server.serve(kind, body)
+            self._network.deliver(self._target, self._source, lambda: self._answer(answer, result))
 
         server.run(reply())
 
     @staticmethod
-    def _answer(answer: asyncio.Future[Reply], given: Reply) -> None:
+    def _answer(answer: asyncio.Future[Reply], result: Reply) -> None:
         if not answer.done():
-            answer.set_result(given)
+            answer.set_result(result)
 
     def disconnect(self) -> None:
-        """Connections are no part of the model."""
+        """Does nothing: the simulation has no connections."""
 
     def disconnect_if_silent(self, since: float) -> None:
-        """Neither here."""
+        """Does nothing: the simulation has no connections."""
 
 
 class SimulatedLinks:
-    """All ways from one node."""
+    """All links from one node."""
 
     def __init__(self, network: Network, source: str = "") -> None:
         self._network, self.source = network, source
@@ -149,7 +150,7 @@
 
 
 class SimulatedServer:
-    """What listens at an address, and the tasks that run for it."""
+    """The server of an address, and the tasks that it runs."""
 
     def __init__(
         self,
@@ -170,12 +171,12 @@
         task.add_done_callback(self.tasks.discard)
 
     def close(self) -> None:
-        """Nothing to close."""
+        """Does nothing: there is nothing to close."""
 
 
 @dataclass
 class Machine:
-    """A core machine: its settings, and its process while that runs."""
+    """A core machine: its settings, and its process while one runs."""
 
     settings: NodeSettings
     core: Core | None = None
@@ -195,19 +196,19 @@
     size: int = 3
     machines: dict[str, Machine] = field(default_factory=dict)
     calls: list[Call] = field(default_factory=list)
-    acked: list[tuple[float, int]] = field(default_factory=list)  # time and revision of each 200
+    acknowledged: list[tuple[float, int]] = field(default_factory=list)  # time and revision, for status 200
     network: Network = field(init=False)
     dispatchers: list[SimulatedDispatcher] = field(default_factory=list)
-    trace: list[str] = field(default_factory=list)
+    event_log: list[str] = field(default_factory=list)
 
     def __post_init__(self) -> None:
         self.network = Network(self.rng)
         self._addresses = 0
         self.seeds: tuple[str, ...] = ()
 
-    def note(self, text: str) -> None:
-        """Add to the trace of what happened."""
-        self.trace.append(f"{time.monotonic():.3f} {text}")
+    def record_event(self, text: str) -> None:
+        """Adds a line to the log of simulated events."""
+        self.event_log.append(f"{time.monotonic():.3f} {text}")
 
     async def start(self, dispatchers: int = 2) -> None:
         ips = [self._new_ip() for _ in range(self.size)]
@@ -215,7 +216,7 @@
         for ip in ips:
             self.machines[ip] = Machine(self._settings(ip, bootstrap=True))
         for ip in ips:
-            await self.boot(ip)
+            await self.start_process(ip)
         self.dispatchers += [SimulatedDispatcher(self, f"10.9.0.{n}") for n in range(dispatchers)]
 
     def _new_ip(self) -> str:
@@ -223,11 +224,11 @@
         return f"10.1.0.{self._addresses}"
 
     def _settings(self, ip: str, bootstrap: bool) -> NodeSettings:
-        """Settings as the platform writes them at this moment: three nodes that are there or just lost."""
-        there = sorted(self.machines)
+        """Returns settings as the platform writes them now, with up to three current machines as seeds."""
+        running = sorted(self.machines)
         seeds = self.seeds
-        if not bootstrap and there:
-            seeds = tuple(f"{s}:{CONTROL_PORT}" for s in self.rng.sample(there, min(3, len(there))))
+        if not bootstrap and running:
+            seeds = tuple(f"{s}:{CONTROL_PORT}" for s in self.rng.sample(running, min(3, len(running))))
         return NodeSettings(
             name=f"core-{ip}",
             role="coordinator",
@@ -251,67 +252,67 @@
             ),
         )
 
-    async def boot(self, ip: str) -> None:
-        """Start a machine's process."""
+    async def start_process(self, ip: str) -> None:
+        """Starts a machine's process."""
         machine = self.machines[ip]
         core = Core(machine.settings)
         cast(SimulatedLinks, core.links).source = machine.address
         machine.core, machine.api = core, ControlApi(core)
         await core.start()
 
-    def kill(self, ip: str, power: bool) -> None:
-        """End a process; without power its machine says nothing to callers."""
+    def stop_process(self, ip: str, power_loss: bool) -> None:
+        """Ends a process. A machine without power does not reset connections."""
         machine = self.machines[ip]
         core, machine.core, machine.api = machine.core, None, None
-        self._end(machine.address, core, power)
+        self._stop_node(machine.address, core, power_loss)
 
-    def _end(self, address: str, node: ReplicaNode | None, power: bool) -> None:
-        """End a node's process; without power its machine says nothing to callers."""
+    def _stop_node(self, address: str, node: ReplicaNode | None, power_loss: bool) -> None:
+        """Ends a node's process. A machine without power does not reset connections."""
         server = self.network.servers.pop(address, None)
-        if not power:
+        if not power_loss:
             self.network.refusing.add(address)
         for task in [*(node._tasks if node else ()), *(server.tasks if server else ())]:
             task.cancel()
         if node is not None:
             node.host.flush = lambda: None  # type: ignore[method-assign]
 
-    def wipe(self, ip: str) -> None:
-        """Lose a disk; the next process there is none of the first start."""
+    def lose_disk(self, ip: str) -> None:
+        """Deletes a disk. The next process of the machine starts without the bootstrap setting."""
         shutil.rmtree(self.root / ip, ignore_errors=True)
         self.machines[ip].settings = self._settings(ip, bootstrap=False)
 
-    async def restart(self, ip: str, down: float, power: bool, wiped: bool) -> None:
-        self.kill(ip, power)
+    async def restart(self, ip: str, downtime: float, power_loss: bool, wiped: bool) -> None:
+        self.stop_process(ip, power_loss)
         if wiped:
-            self.wipe(ip)
-        await asyncio.sleep(down)
+            self.lose_disk(ip)
+        await asyncio.sleep(downtime)
         self.network.refusing.discard(self.machines[ip].address)
-        await self.boot(ip)
+        await self.start_process(ip)
 
     async def replace(self, ip: str, after: float) -> str:
-        """A machine is gone for good; an empty one comes at another address."""
-        self.kill(ip, power=True)
+        """Removes a machine permanently and starts an empty one at another address."""
+        self.stop_process(ip, power_loss=True)
         shutil.rmtree(self.root / ip, ignore_errors=True)
         del self.machines[ip]
         await asyncio.sleep(after)
         new = self._new_ip()
         self.machines[new] = Machine(self._settings(new, bootstrap=False))
-        await self.boot(new)
+        await self.start_process(new)
         return new
 
-    def whole(self) -> bool:
-        """Whether every running node knows just the running nodes as voters of all groups."""
+    def has_expected_members(self) -> bool:
+        """Whether all nodes run and each one knows exactly these as the committed voters of all groups."""
         cores = [m.core for m in self.machines.values() if m.core]
-        wanted = {core.host.replica_id for core in cores}
+        expected = {core.host.replica_id for core in cores}
         return len(cores) == self.size and all(
-            set(hosted.replica.log.members) == wanted
+            set(hosted.replica.log.members) == expected
             and hosted.replica.log.members_index <= hosted.replica.commit
             for core in cores
             for hosted in core.host.groups.values()
         )
 
     def memberships(self) -> str:
-        """What each running node knows of the groups, for a report."""
+        """Describes each running node's state of the groups, for error messages."""
         return "; ".join(
             f"{core.host.replica_id} {name}: {replica.role.value} of {replica.term}, "
             f"{sorted(replica.log.members)} at {replica.log.members_index}, "
@@ -322,15 +323,15 @@
         )
 
     def leader(self) -> str | None:
-        """The node that may answer for the configuration, if one may."""
+        """Returns the leader of the configuration shard, if there is one."""
         return next((ip for ip, m in self.machines.items() if m.core and m.core.leads(CONFIG)), None)
 
     # ------------------------------------------------------------------ calls of the operators
 
     async def http(self, ip: str, method: str, path: str, body: bytes, base: str) -> web.Response | None:
-        """One call at one node, redirects followed twice; None where no answer comes in time."""
+        """Makes a call to a node and follows up to two redirects. Returns None if no answer comes in time."""
         try:
-            async with asyncio.timeout(SILENCE):
+            async with asyncio.timeout(ANSWER_TIMEOUT):
                 for _ in range(3):
                     response = await self._call_once(ip, method, path, body, base)
                     if response is None or response.status != 307:
@@ -346,12 +347,12 @@
         machine = self.machines.get(ip)
         api = machine.api if machine else None
         if machine is None or api is None:
-            await asyncio.sleep(SILENCE)
+            await asyncio.sleep(ANSWER_TIMEOUT)
             return None
         request = mock.Mock(method=method, path=path, raw_path=path, headers={"If-Match": base})
         request.read = mock.AsyncMock(return_value=body)
         server = self.network.servers[machine.address]
-        await asyncio.sleep(self.rng.choice(DELAYS))
+        await asyncio.sleep(self.rng.choice(MESSAGE_DELAYS))
         answer: asyncio.Future[web.Response] = asyncio.get_running_loop().create_future()
 
         async def handle() -> None:
@@ -361,31 +362,33 @@
 
         server.run(handle())
         response = await answer
-        await asyncio.sleep(self.rng.choice(DELAYS))
+        await asyncio.sleep(self.rng.choice(MESSAGE_DELAYS))
         return response
 
     async def change(self, base: int, revision: int, content: str, ip: str) -> Answer:
-        """One try of a change, noted for the check."""
+        """Sends a change once and records the call for the check."""
         start = time.monotonic()
         response = await self.http(ip, "PUT", "/-/config", document(revision, content), str(base))
         end = time.monotonic()
-        answer = Answer.UNCLEAR
+        answer = Answer.UNKNOWN
         if response is not None and response.status == 200:
-            answer = Answer.TAKEN
-            told = ujson.loads(cast(bytes, response.body))["revision"]
-            if told != revision:
-                raise Violated(f"the change to {revision} was acknowledged as {told}")
-            self.acked.append((end, revision))
+            answer = Answer.ACCEPTED
+            acknowledged_as = ujson.loads(cast(bytes, response.body))["revision"]
+            if acknowledged_as != revision:
+                raise InvariantViolation(f"the change to {revision} was acknowledged as {acknowledged_as}")
+            self.acknowledged.append((end, revision))
         elif response is not None and response.status == 412:
             answer = Answer.STALE
         elif response is not None and response.status != 503:
-            raise Violated(f"a proper change was answered {response.status}: {response.text}")
-        self.note(f"{base}->{revision}{content} at {ip}: {answer.value}")
+            raise InvariantViolation(
+                f"a valid change was answered with status {response.status}: {response.text}"
+            )
+        self.record_event(f"{base}->{revision}{content} at {ip}: {answer.value}")
         self.calls.append(Call(start, end, answer, base, revision, content))
         return answer
 
     async def read(self, ip: str) -> tuple[int, str] | None:
-        """One read, noted for the check."""
+        """Reads once and records the call for the check."""
         start = time.monotonic()
         response = await self.http(ip, "GET", "/-/config", b"", "")
         if response is None or response.status != 200:
@@ -393,22 +396,27 @@
         found = ujson.loads(cast(bytes, response.body))
         revision, content = found["revision"], found["content"]
         self.calls.append(Call(start, time.monotonic(), Answer.READ, 0, revision, content))
-        self.note(f"read at {ip}: {revision}{content}")
+        self.record_event(f"read at {ip}: {revision}{content}")
         return revision, content
 
-    # ------------------------------------------------------------------ promises
+    # ------------------------------------------------------------------ invariants
 
     def check_dispatchers(self) -> None:
-        """Whoever may say that a route is unknown holds all that was acknowledged a bound ago."""
+        """Checks that dispatchers that may report unknown routes have the configurations they must have.
+
+        These are all that were acknowledged at least CONFIG_APPLY seconds ago.
+        """
         now = time.monotonic()
-        due = max((revision for at, revision in self.acked if now - at > CONFIG_APPLY), default=0)
+        required = max((revision for at, revision in self.acknowledged if now - at > CONFIG_APPLY), default=0)
         for dispatcher in self.dispatchers:
-            if dispatcher.may_refuse(now) and dispatcher.revision < due:
-                raise Violated(f"{dispatcher.name} answers by {dispatcher.revision}, {due} was acknowledged")
+            if dispatcher.may_refuse(now) and dispatcher.revision < required:
+                raise InvariantViolation(
+                    f"{dispatcher.name} uses {dispatcher.revision}, {required} was acknowledged"
+                )
 
 
 class SimulatedDispatcher:
-    """A dispatcher's pulls and what it knows by them."""
+    """A dispatcher's puller and its view of the control state."""
 
     def __init__(self, tier: SimulatedCore, ip: str) -> None:
         self.name = f"{ip}:{PORT}"
@@ -425,24 +433,24 @@
         return int(ujson.loads(self.view.document)["revision"]) if self.view.document else 0
 
     def may_refuse(self, now: float) -> bool:
-        """Whether it would answer 404."""
+        """Whether the dispatcher would answer 404 for an unknown route."""
         return bool(self.view.document) and now - self.puller.current_as_of < self.limits.refuse
 
 
 def document(revision: int, content: str) -> bytes:
-    """A valid configuration that can be told from others of the same revision."""
+    """Returns a valid configuration, whose content tells it from others of the same revision."""
     route = {"name": "a", "hostname": "h", "path_prefix": "/a/", "timeout_ms": 100, "service": "s"}
-    whole = {"revision": revision, "content": content, "routes": [route], "services": [{"name": "s"}]}
-    return ujson.dumps(whole).encode()
+    configuration = {"revision": revision, "content": content, "routes": [route], "services": [{"name": "s"}]}
+    return ujson.dumps(configuration).encode()
 
 
 @contextlib.contextmanager
 def simulated(
-    root: Path, seed: int, size: int = 3, made: type[SimulatedCore] | None = None
+    root: Path, seed: int, size: int = 3, tier_type: type[SimulatedCore] | None = None
 ) -> Iterator[SimulatedCore]:
-    """A core whose nodes are made with the simulated network; to be used in virtual time."""
+    """Provides a tier whose nodes use the simulated network; to be used in virtual time."""
     rng = random.Random(seed)
-    tier = (made or SimulatedCore)(root, rng, size)
+    tier = (tier_type or SimulatedCore)(root, rng, size)
 
     def server(serve: Any, one_way: Any) -> SimulatedServer:
         return SimulatedServer(tier.network, serve, one_way)
@@ -455,6 +463,6 @@
         mock.patch("os.fdatasync"),
         mock.patch("random.random", rng.random),
         mock.patch("random.choice", rng.choice),
-        mock.patch("random.Random", lambda: Drawn(rng.getrandbits(48))),
+        mock.patch("random.Random", lambda: RealRandom(rng.getrandbits(48))),
     ):
         yield tier
--- a/tests/tier/test_control.py
+++ b/tests/tier/test_control.py
@@ -1,4 +1,4 @@
-"""The control state: configurations, workers, sessions, placement, what dispatchers pull."""
+"""Tests of the control state: configuration, worker registry, sessions, placement and pulled views."""
 
 from __future__ import annotations
 
@@ -57,40 +57,40 @@
 
 
 class Configurations(unittest.TestCase):
-    def refused(self, document: Any, revision: int = 6) -> ConfigFault:
+    def rejection_code(self, document: Any, revision: int = 6) -> ConfigFault:
         found = validate(document, revision)
         assert isinstance(found, Err), document
         return found.err_value[0]
 
-    def changed(self, **route: Any) -> Any:
+    def with_route_changes(self, **route: Any) -> Any:
         document = copy.deepcopy(CONFIG)
         document["routes"][0].update(route)
         return document
 
-    def test_a_valid_one_is_taken(self) -> None:
+    def test_valid_configuration_is_accepted(self) -> None:
         self.assertIsInstance(validate(CONFIG, 6), Ok)
 
     def test_each_fault_has_its_code(self) -> None:
         split = [{"service": "s", "weight": 0}, {"service": "t", "weight": 0}]
         for expected, document in (
-            (ConfigFault.UNKNOWN_SERVICE, self.changed(service="x")),
-            (ConfigFault.UNKNOWN_SERVICE, self.changed(service=None)),
-            (ConfigFault.SAME_PLACE, self.changed(path_prefix="/b/")),
-            (ConfigFault.SAME_PLACE, self.changed(path_prefix="/b/", hostname="H")),
-            (ConfigFault.NO_WEIGHT, self.changed(traffic_split=split)),
-            (ConfigFault.NO_TIMEOUT, self.changed(timeout_ms=0)),
-            (ConfigFault.NO_TIMEOUT, self.changed(timeout_ms=-1)),
-            (ConfigFault.BAD_PREFIX, self.changed(path_prefix="/a")),
-            (ConfigFault.DUPLICATE, self.changed(name="b")),
-            (ConfigFault.WRONG_TYPE, self.changed(timeout_ms="100")),
+            (ConfigFault.UNKNOWN_SERVICE, self.with_route_changes(service="x")),
+            (ConfigFault.UNKNOWN_SERVICE, self.with_route_changes(service=None)),
+            (ConfigFault.SAME_PLACE, self.with_route_changes(path_prefix="/b/")),
+            (ConfigFault.SAME_PLACE, self.with_route_changes(path_prefix="/b/", hostname="H")),
+            (ConfigFault.NO_WEIGHT, self.with_route_changes(traffic_split=split)),
+            (ConfigFault.NO_TIMEOUT, self.with_route_changes(timeout_ms=0)),
+            (ConfigFault.NO_TIMEOUT, self.with_route_changes(timeout_ms=-1)),
+            (ConfigFault.BAD_PREFIX, self.with_route_changes(path_prefix="/a")),
+            (ConfigFault.DUPLICATE, self.with_route_changes(name="b")),
+            (ConfigFault.WRONG_TYPE, self.with_route_changes(timeout_ms="100")),
             (ConfigFault.WRONG_TYPE, {**CONFIG, "routes": "none"}),
             (ConfigFault.WRONG_TYPE, {**CONFIG, "revision": True}),
             (ConfigFault.WRONG_TYPE, {k: v for k, v in CONFIG.items() if k != "services"}),
         ):
             with self.subTest(expected=expected.name, document=document):
-                self.assertEqual(self.refused(document), expected)
-        self.assertEqual(self.refused(CONFIG, 7), ConfigFault.OLD_REVISION)
-        self.assertEqual(self.refused(CONFIG, 8), ConfigFault.OLD_REVISION)
+                self.assertEqual(self.rejection_code(document), expected)
+        self.assertEqual(self.rejection_code(CONFIG, 7), ConfigFault.OLD_REVISION)
+        self.assertEqual(self.rejection_code(CONFIG, 8), ConfigFault.OLD_REVISION)
 
     def test_unreadable_bodies(self) -> None:
         for body, expected in (
@@ -118,10 +118,10 @@
         self.assertEqual(found.ok_value["revision"], 9)
         self.assertEqual(len(CONFIG["routes"]), 2)
 
-    def test_the_order_of_keys_makes_no_other_content(self) -> None:
+    def test_key_order_does_not_change_the_canonical_form(self) -> None:
         self.assertEqual(canonical_json({"a": 1, "b": 2}), canonical_json({"b": 2, "a": 1}))
 
-    def test_of_two_changes_on_one_version_one_wins(self) -> None:
+    def test_only_one_of_two_changes_to_the_same_base_is_accepted(self) -> None:
         shard = ConfigShard()
         changes = [ConfigChange(0, 5, b'{"revision":5}', "0a"), ConfigChange(0, 6, b'{"revision":6}', "0b")]
         done = [
@@ -159,12 +159,12 @@
         kind = worker_shard.Command.EXPIRE if silent else worker_shard.Command.REMOVE
         return self.shard.apply(index, worker_shard.encode_removal(kind, name))
 
-    def test_a_late_heartbeat_takes_nothing_back(self) -> None:
+    def test_late_heartbeat_does_not_undo_a_newer_one(self) -> None:
         self.put(1, "a", 5, "draining")
         self.assertFalse(self.put(2, "a", 4, "ready"))
         self.assertEqual(self.shard.workers["a"].state, "draining")
 
-    def test_who_has_left_never_returns_and_who_was_silent_may(self) -> None:
+    def test_deregistered_worker_never_returns_but_a_silent_one_may(self) -> None:
         self.put(1, "a")
         self.remove(2, "a")
         self.assertFalse(self.put(3, "a", 9))
@@ -172,7 +172,7 @@
         self.remove(5, "b", silent=True)
         self.assertTrue(self.put(6, "b", 2))
 
-    def test_deltas_hold_what_is_newer_and_lead_to_the_same_view(self) -> None:
+    def test_deltas_contain_newer_changes_and_lead_to_the_same_view(self) -> None:
         view = View()
         for index in range(1, 40):
             name = f"w{index % 7}"
@@ -187,7 +187,7 @@
                 self.assertEqual(set(view.all_workers()), set(self.shard.workers))
         self.assertIsNone(self.shard.changes_since("s", self.shard.version))
 
-    def test_who_is_too_far_behind_gets_the_whole(self) -> None:
+    def test_reader_too_far_behind_gets_the_complete_table(self) -> None:
         for index in range(1, MAX_KNOWN_REMOVALS + 10):
             self.put(2 * index, f"w{index}")
             self.remove(2 * index + 1, f"w{index}", silent=True)
@@ -207,8 +207,8 @@
         self.assertTrue(other.is_gone("b"))
 
 
-class Leaving(unittest.IsolatedAsyncioTestCase):
-    """DELETE by workers at a core node that leads one of the two registry shards."""
+class Deregistration(unittest.IsolatedAsyncioTestCase):
+    """DELETE requests of workers at a core node that leads one of the two registry shards."""
 
     LED, OTHER = WORKER_SHARDS
 
@@ -223,12 +223,12 @@
         self.core.is_fresh = lambda: True
         self.core.commit = self.commit
         self.core.remove_worker = functools.partial(Core.remove_worker, self.core)
-        self.core.links.to.return_value.call = self.tell_other
+        self.core.links.to.return_value.call = self.call_other_leader
         self.other_reachable = True
         self.api = ControlApi(self.core)
 
-    async def tell_other(self, kind: Kind, body: bytes, within: float) -> Reply:
-        """The other shard's leader takes a worker's end."""
+    async def call_other_leader(self, kind: Kind, body: bytes, within: float) -> Reply:
+        """The other shard's leader records a worker's removal."""
         if not self.other_reachable:
             return CALL_FAILED
         end = WorkerEnd().parse(body)
@@ -236,81 +236,81 @@
         return Reply(Status.OK)
 
     async def commit(self, group: str, data: bytes) -> bool:
-        """Commit at once."""
+        """Commits immediately."""
         self.committed.append((group, data))
         return self.apply(group, data)
 
     def apply(self, group: str, data: bytes) -> bool:
-        """A command of a group's log."""
+        """Applies a command of a group's log."""
         self.index += 1
         return self.shards[group].apply(self.index, data)
 
-    async def leave(self, worker: str) -> int:
-        """The status of a worker's last call."""
+    async def deregister(self, worker: str) -> int:
+        """Returns the status of a worker's DELETE request."""
         request = mock.Mock(raw_path=f"/-/instances/{worker}")
         return (await self.api._deregister(request, worker)).status
 
-    async def test_the_last_call_may_come_again(self) -> None:
+    async def test_repeated_delete_is_committed_once(self) -> None:
         self.apply(self.LED, worker_shard.encode_put(Worker(id="w", service="s", state="draining")))
-        self.assertEqual([await self.leave("w"), await self.leave("w")], [200, 200])
+        self.assertEqual([await self.deregister("w"), await self.deregister("w")], [200, 200])
         self.assertEqual(len(self.committed), 1)
         self.assertTrue(self.shards[self.LED].is_gone("w"))
 
-    async def test_a_call_for_the_other_shard_goes_to_its_leader_also_when_it_comes_again(self) -> None:
+    async def test_delete_for_the_other_shard_is_redirected_also_when_repeated(self) -> None:
         self.apply(self.OTHER, worker_shard.encode_put(Worker(id="w", service="s", state="draining")))
-        self.assertEqual(await self.leave("w"), 307)
+        self.assertEqual(await self.deregister("w"), 307)
         self.apply(self.OTHER, worker_shard.encode_removal(worker_shard.Command.REMOVE, "w"))
-        self.assertEqual(await self.leave("w"), 307)
+        self.assertEqual(await self.deregister("w"), 307)
 
-    async def test_a_silent_worker_that_leaves_never_returns(self) -> None:
+    async def test_silent_worker_that_deregisters_never_returns(self) -> None:
         self.apply(self.LED, worker_shard.encode_put(Worker(id="w", service="s", state="ready")))
         self.apply(self.LED, worker_shard.encode_removal(worker_shard.Command.EXPIRE, "w"))
-        self.assertEqual(await self.leave("w"), 200)
+        self.assertEqual(await self.deregister("w"), 200)
         self.assertFalse(
             self.apply(self.LED, worker_shard.encode_put(Worker(id="w", service="s", state="ready")))
         )
 
-    async def test_the_end_of_one_that_no_shard_knows_is_kept_by_all_of_them(self) -> None:
-        self.assertEqual(await self.leave("unknown"), 200)
+    async def test_removal_of_an_unknown_worker_is_recorded_by_all_shards(self) -> None:
+        self.assertEqual(await self.deregister("unknown"), 200)
         self.assertEqual(len(self.committed), 1)
         for group in (self.LED, self.OTHER):
             self.assertFalse(self.apply(group, worker_shard.encode_put(Worker(id="unknown", service="s"))))
 
-    async def test_an_end_that_no_shard_knows_is_acknowledged_by_all_leaders_or_not_at_all(self) -> None:
+    async def test_removal_of_an_unknown_worker_is_acknowledged_only_if_all_leaders_record_it(self) -> None:
         self.other_reachable = False
-        self.assertEqual(await self.leave("unknown"), 503)
+        self.assertEqual(await self.deregister("unknown"), 503)
         self.other_reachable = True
         self.core.is_fresh = lambda: False
-        self.assertEqual(await self.leave("another"), 503)
+        self.assertEqual(await self.deregister("another"), 503)
         self.assertNotIn("another", str(self.committed))
 
 
-class SlowCommits(unittest.IsolatedAsyncioTestCase):
-    async def test_sessions_are_told_while_a_commit_hangs(self) -> None:
+class SlowCommitTest(unittest.IsolatedAsyncioTestCase):
+    async def test_sessions_are_gossiped_while_a_commit_hangs(self) -> None:
         core = Core.__new__(Core)
-        told, never = mock.Mock(), asyncio.Event()
-        core._update_memberships, core._gossip_sessions = mock.Mock(), told  # type: ignore[method-assign]
+        gossiped, never = mock.Mock(), asyncio.Event()
+        core._update_memberships, core._gossip_sessions = mock.Mock(), gossiped  # type: ignore[method-assign]
         core._expire_workers = never.wait  # type: ignore[method-assign,assignment]
-        turns = asyncio.sleep
+        real_sleep = asyncio.sleep
 
-        async def at_once(_seconds: float) -> None:
-            await turns(0)
+        async def sleep_without_delay(_seconds: float) -> None:
+            await real_sleep(0)
 
-        with mock.patch("asyncio.sleep", at_once):
+        with mock.patch("asyncio.sleep", sleep_without_delay):
             tasks = [
                 asyncio.create_task(run)
                 for run in (core._maintain_membership_and_sessions(), core._run_maintenance())
             ]
             for _ in range(20):
-                await turns(0)
+                await real_sleep(0)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
-        self.assertGreater(told.call_count, 5)
+        self.assertGreater(gossiped.call_count, 5)
 
 
-class Pulling(unittest.TestCase):
-    def test_no_version_goes_back(self) -> None:
+class ViewUpdates(unittest.TestCase):
+    def test_versions_never_go_back(self) -> None:
         view = View()
         view.take(SyncReply(config_version=5, document=b"new"))
         self.assertEqual(view.take(SyncReply(config_version=4, document=b"old")), set())
@@ -327,7 +327,7 @@
 
 
 class SessionTables(unittest.TestCase):
-    def test_sessions_expire_and_older_news_changes_nothing(self) -> None:
+    def test_sessions_expire_and_older_reports_are_ignored(self) -> None:
         table = Sessions()
         table.renew(10.0, Session(name="a", machine_class="edge", replica="new"))
         table.merge(10.0, [Session(name="a", machine_class="edge", replica="old", age_ms=500)])
@@ -336,7 +336,7 @@
         table.merge(20.0, [Session(name="a", machine_class="edge", age_ms=100)])
         self.assertEqual(set(table.live(20.0, "edge")), {"a"})
 
-    def test_only_own_and_late_renewals_are_told(self) -> None:
+    def test_only_recent_renewals_at_this_node_are_gossiped(self) -> None:
         table = Sessions()
         table.renew(10.0, Session(name="a", machine_class="edge"))
         table.merge(10.0, [Session(name="b", machine_class="edge")])
@@ -354,19 +354,19 @@
         self.assertEqual([table.number(10.1 + EXPIRE, e) for e in (edges[0], edges[2])], [2, 1])
 
     def test_loads_come_back_as_they_were(self) -> None:
-        given = [WorkerLoad("w1", 3, 0, 1), WorkerLoad("\u00e9:8000", 0, 65_535, 0), WorkerLoad("", 1)]
-        self.assertEqual(list(unpack(Loads().parse(bytes(pack(given))))), given)
+        loads = [WorkerLoad("w1", 3, 0, 1), WorkerLoad("\u00e9:8000", 0, 65_535, 0), WorkerLoad("", 1)]
+        self.assertEqual(list(unpack(Loads().parse(bytes(pack(loads))))), loads)
         self.assertEqual(list(unpack(Loads())), [])
         self.assertEqual(list(unpack(pack([WorkerLoad("w", 70_000)]))), [WorkerLoad("w", 65_535)])
         self.assertEqual(
             list(unpack(pack([WorkerLoad("a\0b", 1), WorkerLoad("c", 2)]))), [WorkerLoad("c", 2)]
         )
 
-    def test_malformed_loads_say_nothing(self) -> None:
+    def test_malformed_loads_are_ignored(self) -> None:
         self.assertEqual(list(unpack(Loads(workers="a\0b", counts=b"\0" * 6))), [])
 
-    def test_sums_of_loads_follow_each_word_and_each_end(self) -> None:
-        """As a count from scratch, over drawn renewals, tellings and silences."""
+    def test_load_sums_follow_each_report_and_each_expiry(self) -> None:
+        """Compares the sums with a full recount, over random renewals, merges and expiries."""
         rng = random.Random(5)
         table = Sessions()
         latest: dict[str, tuple[float, list[WorkerLoad]]] = {}
@@ -384,33 +384,33 @@
                 latest[name] = (now, loads)
             else:
                 session.age_ms = rng.randrange(2000)
-                at = now - session.age_ms / 1000
+                reported_at = now - session.age_ms / 1000
                 table.merge(now, [session])
-                if at > latest.get(name, (0.0, []))[0]:
-                    latest[name] = (at, loads)
+                if reported_at > latest.get(name, (0.0, []))[0]:
+                    latest[name] = (reported_at, loads)
             without = f"edge-{rng.randrange(6)}"
-            wanted: Counter[tuple[str, str]] = Counter()
-            for other, (at, told) in latest.items():
-                if other != without and now - at < EXPIRE:
-                    for load in told:
-                        wanted[load.worker, "requests"] += load.requests
-                        wanted[load.worker, "items"] += load.items
-                        wanted[load.worker, "failing"] += load.failing
+            expected: Counter[tuple[str, str]] = Counter()
+            for other, (reported_at, reported_loads) in latest.items():
+                if other != without and now - reported_at < EXPIRE:
+                    for load in reported_loads:
+                        expected[load.worker, "requests"] += load.requests
+                        expected[load.worker, "items"] += load.items
+                        expected[load.worker, "failing"] += load.failing
             found: Counter[tuple[str, str]] = Counter()
             for load in table.loads(now, without):
                 found[load.worker, "requests"] += load.requests
                 found[load.worker, "items"] += load.items
                 found[load.worker, "failing"] += load.failing
-            self.assertEqual(+found, +wanted)
+            self.assertEqual(+found, +expected)
 
 
-def node(name: str, zone: str, live: bool = True, active: bool = True) -> Candidate:
+def candidate(name: str, zone: str, live: bool = True, active: bool = True) -> Candidate:
     return Candidate(name, zone, live, active)
 
 
 class Placements(unittest.TestCase):
-    def test_zones_and_nodes_share_evenly(self) -> None:
-        nodes = [node(f"n{k}", f"z{k % 4}") for k in range(8)]
+    def test_replicas_are_spread_evenly_over_zones_and_nodes(self) -> None:
+        nodes = [candidate(f"n{k}", f"z{k % 4}") for k in range(8)]
         placed = first_placement([f"s{k}" for k in range(8)], nodes, 3)
         zones = {n.replica: n.zone for n in nodes}
         for replicas in placed.values():
@@ -418,26 +418,26 @@
         loads = [sum(n.replica in r for r in placed.values()) for n in nodes]
         self.assertEqual(set(loads), {3})
 
-    def test_the_dead_and_the_emptied_give_way_one_at_a_time(self) -> None:
+    def test_dead_and_retiring_nodes_are_replaced_one_at_a_time(self) -> None:
         nodes = [
-            node("a", "1", live=False),
-            node("b", "2", active=False),
-            node("c", "3"),
-            node("d", "1"),
-            node("e", "2"),
+            candidate("a", "1", live=False),
+            candidate("b", "2", active=False),
+            candidate("c", "3"),
+            candidate("d", "1"),
+            candidate("e", "2"),
         ]
-        once = repaired({"s": ("a", "b", "c")}, nodes, 3)["s"]
-        self.assertEqual((len(once), len({"a", "b"} & set(once))), (3, 1))
-        twice = repaired({"s": once}, nodes, 3)["s"]
-        self.assertEqual(set(twice), {"c", "d", "e"})
-        self.assertEqual(repaired({"s": twice}, nodes, 3), {})
-
-    def test_nobody_is_given_up_without_another(self) -> None:
-        nodes = [node("a", "1", live=False), node("b", "2"), node("c", "3")]
+        first_repair = repaired({"s": ("a", "b", "c")}, nodes, 3)["s"]
+        self.assertEqual((len(first_repair), len({"a", "b"} & set(first_repair))), (3, 1))
+        second_repair = repaired({"s": first_repair}, nodes, 3)["s"]
+        self.assertEqual(set(second_repair), {"c", "d", "e"})
+        self.assertEqual(repaired({"s": second_repair}, nodes, 3), {})
+
+    def test_no_replica_is_dropped_without_a_replacement(self) -> None:
+        nodes = [candidate("a", "1", live=False), candidate("b", "2"), candidate("c", "3")]
         self.assertEqual(repaired({"s": ("a", "b", "c")}, nodes, 3), {})
 
-    def test_too_few_copies_are_filled_up(self) -> None:
-        nodes = [node("a", "1"), node("b", "2"), node("c", "3")]
+    def test_missing_replicas_are_added(self) -> None:
+        nodes = [candidate("a", "1"), candidate("b", "2"), candidate("c", "3")]
         self.assertEqual(set(repaired({"s": ("a", "b")}, nodes, 3)["s"]), {"a", "b", "c"})
 
 
--- a/tests/tier/test_core_simulation.py
+++ b/tests/tier/test_core_simulation.py
@@ -1,4 +1,4 @@
-"""Days of a simulated core: its own programs, two operators, overlapping faults; and planted mistakes."""
+"""Tests of the simulated core: random runs with overlapping faults, mutants, and single scenarios."""
 
 from __future__ import annotations
 
@@ -24,42 +24,42 @@
 from heronstall.replication.protocol import Timing
 from heronstall.transport.frames import Status
 from heronstall.transport.messages import ConfigChange, Session, ShardVersion, SyncReply, SyncRequest
-from tests.tier.core_simulation import CONFIG_APPLY, SimulatedCore, Violated, simulated
-from tests.tier.core_walks import play
+from tests.tier.core_simulation import CONFIG_APPLY, InvariantViolation, SimulatedCore, simulated
+from tests.tier.core_walks import simulate
 from tests.tier.register_history import Answer
 from tests.tier.virtual_loop import run_virtually
 
-DAYS_OF_THREE, DAYS_OF_FIVE = 8, 3
-FOUND_WITHIN = 10  # days in which a planted mistake is found
+RUNS_WITH_THREE_NODES, RUNS_WITH_FIVE_NODES = 8, 3
+MAX_RUNS_PER_MUTANT = 10  # random runs in which a mutant must be detected
 CHANGES = 600
-COMPACT_LOG = 64 * 1024  # bytes, so that many slots are written
+SMALL_LOG_BYTES = 64 * 1024  # bytes, so that many slots are written
 
 
-class Days(unittest.TestCase):
+class RandomRuns(unittest.TestCase):
     def test_three_nodes(self) -> None:
-        calls = sum(len(play(seed)) for seed in range(DAYS_OF_THREE))
-        self.assertGreater(calls, 50 * DAYS_OF_THREE)
+        calls = sum(len(simulate(seed)) for seed in range(RUNS_WITH_THREE_NODES))
+        self.assertGreater(calls, 50 * RUNS_WITH_THREE_NODES)
 
     def test_five_nodes(self) -> None:
-        for seed in range(100, 100 + DAYS_OF_FIVE):
-            play(seed, size=5)
+        for seed in range(100, 100 + RUNS_WITH_FIVE_NODES):
+            simulate(seed, size=5)
 
 
-def compares_nothing(shard: ConfigShard, index: int, change: ConfigChange) -> ChangeOutcome:
-    """Planted: a change is taken whatever it builds on."""
+def accept_any_base(shard: ConfigShard, index: int, change: ConfigChange) -> ChangeOutcome:
+    """Mutant: accepts a change with any base revision."""
     shard.state.revision, shard.state.document = change.revision, change.document
     shard.state.config_version = index
     return ChangeOutcome.ACCEPTED
 
 
-async def leads_without_lease(api: ControlApi, group: str) -> bool:
-    """Planted: a node answers as long as it believes itself to lead."""
+async def leads_without_confirmation(api: ControlApi, group: str) -> bool:
+    """Mutant: a node answers as long as it considers itself the leader."""
     return api._core.replica(group).established
 
 
 @contextlib.contextmanager
-def forgets_old_changes() -> Iterator[None]:
-    """Planted: a change is known again among the last three alone, and an older one is refused."""
+def forget_old_changes() -> Iterator[None]:
+    """Mutant: only the last three changes are recognized as repeats, and older ones are rejected."""
     with (
         mock.patch.object(config_shard, "MAX_KNOWN_CHANGES", 3),
         mock.patch.object(ConfigShard, "may_be_forgotten", return_value=False),
@@ -67,27 +67,27 @@
         yield
 
 
-PLANTED: dict[str, Callable[[], AbstractContextManager[Any]]] = {
-    "a repeat is told what is current": lambda: mock.patch.object(
+MUTANTS: dict[str, Callable[[], AbstractContextManager[Any]]] = {
+    "a repeat is answered with the current revision": lambda: mock.patch.object(
         ConfigShard,
         "accepted_revision",
-        lambda self, digest: self.state.revision if digest_known(self, digest) else None,
+        lambda self, digest: self.state.revision if is_digest_known(self, digest) else None,
     ),
-    "old changes are forgotten": forgets_old_changes,
+    "old changes are forgotten": forget_old_changes,
     "the base is not compared again": lambda: mock.patch.object(
-        ConfigShard, "_apply_change", compares_nothing
+        ConfigShard, "_apply_change", accept_any_base
     ),
-    "old views are told": lambda: mock.patch.object(Core, "is_fresh", lambda self: True),
-    "the dead are replaced late": lambda: mock.patch.object(Timing, "__init__", slow_timing),
+    "stale views are sent": lambda: mock.patch.object(Core, "is_fresh", lambda self: True),
+    "dead members are replaced late": lambda: mock.patch.object(Timing, "__init__", use_slow_timing),
 }
 
 
-def digest_known(shard: ConfigShard, digest: str) -> bool:
+def is_digest_known(shard: ConfigShard, digest: str) -> bool:
     return bytes.fromhex(digest) in shard._revision_by_digest
 
 
-def slow_timing(timing: Timing) -> None:
-    """Planted: a member counts as dead after six seconds."""
+def use_slow_timing(timing: Timing) -> None:
+    """Mutant: a member counts as dead only after six seconds."""
     for name, value in {
         "heartbeat": 0.12,
         "election_least": 0.45,
@@ -101,30 +101,30 @@
         object.__setattr__(timing, name, value)
 
 
-class PlantedMistakes(unittest.TestCase):
-    def test_each_is_found(self) -> None:
-        for name, plant in PLANTED.items():
-            with self.subTest(name), plant():
-                self.assertTrue(any(self.found(seed) for seed in range(FOUND_WITHIN)), name)
+class MutantTest(unittest.TestCase):
+    def test_each_mutant_is_detected(self) -> None:
+        for name, mutant in MUTANTS.items():
+            with self.subTest(name), mutant():
+                self.assertTrue(any(self.is_detected(seed) for seed in range(MAX_RUNS_PER_MUTANT)), name)
 
     @staticmethod
-    def found(seed: int) -> bool:
+    def is_detected(seed: int) -> bool:
         try:
-            play(seed)
-        except Violated:
+            simulate(seed)
+        except InvariantViolation:
             return True
         return False
 
 
-class Situation(unittest.TestCase):
-    """Single situations, brought about at will."""
+class Scenarios(unittest.TestCase):
+    """Single scenarios with chosen faults."""
 
-    def play(self, run: Callable[[SimulatedCore], Coroutine[Any, Any, None]], size: int = 3) -> None:
+    def run_scenario(self, run: Callable[[SimulatedCore], Coroutine[Any, Any, None]], size: int = 3) -> None:
         with tempfile.TemporaryDirectory() as folder, simulated(Path(folder), 7, size) as tier:
             run_virtually(run(tier))
 
-    def test_who_knows_nothing_is_told_as_soon_as_a_restarted_node_may_tell(self) -> None:
-        """A first pull is held for its time instead of being refused, and nothing old is told meanwhile."""
+    def test_first_pull_is_answered_as_soon_as_a_restarted_node_is_fresh(self) -> None:
+        """A first pull is held instead of being refused, and no stale state is sent meanwhile."""
 
         async def run(tier: SimulatedCore) -> None:
             await tier.start(dispatchers=0)
@@ -133,43 +133,45 @@
             assert leader is not None
             await tier.change(0, 1, "x", leader)
             for ip in tier.machines:
-                tier.kill(ip, power=False)
+                tier.stop_process(ip, power_loss=False)
             for ip in tier.machines:
-                await tier.boot(ip)
+                await tier.start_process(ip)
             core = tier.machines[leader].core
             assert core is not None
             self.assertFalse(core.is_fresh())
-            asked = SyncRequest(Session(name="e", machine_class="edge"), [], 1000)
-            began = time.monotonic()
-            reply = await core._sync(asked)
+            request = SyncRequest(Session(name="e", machine_class="edge"), [], 1000)
+            started_at = time.monotonic()
+            reply = await core._sync(request)
             self.assertEqual(reply.status, Status.OK)
             self.assertEqual(ujson.loads(SyncReply().parse(reply.body).document)["revision"], 1)
             self.assertTrue(core.is_fresh())
-            self.assertLess(time.monotonic() - began, 1.0)
+            self.assertLess(time.monotonic() - started_at, 1.0)
 
-        self.play(run)
+        self.run_scenario(run)
 
-    def test_who_knows_something_is_refused_at_once_by_a_node_that_may_not_tell(self) -> None:
+    def test_pull_with_known_state_is_refused_immediately_by_a_stale_node(self) -> None:
         async def run(tier: SimulatedCore) -> None:
             await tier.start(dispatchers=0)
             await asyncio.sleep(2.0)
-            alone = sorted(tier.machines)[0]
-            for ip in [ip for ip in tier.machines if ip != alone]:
-                tier.kill(ip, power=True)
+            survivor = sorted(tier.machines)[0]
+            for ip in [ip for ip in tier.machines if ip != survivor]:
+                tier.stop_process(ip, power_loss=True)
             await asyncio.sleep(2.0)
-            core = tier.machines[alone].core
+            core = tier.machines[survivor].core
             assert core is not None
-            knows = SyncRequest(Session(name="e", machine_class="edge"), [ShardVersion(CONFIG, 1)], 1000)
-            began = time.monotonic()
-            self.assertEqual((await core._sync(knows)).status, Status.UNSURE)
-            self.assertEqual(time.monotonic(), began)
-            knows_nothing = SyncRequest(Session(name="e", machine_class="edge"), [], 100)
-            self.assertEqual((await core._sync(knows_nothing)).status, Status.UNSURE)
-            self.assertAlmostEqual(time.monotonic() - began, 0.1, delta=0.02)
-
-        self.play(run)
-
-    def test_news_comes_within_the_bound_past_two_dead_nodes(self) -> None:
+            request_with_state = SyncRequest(
+                Session(name="e", machine_class="edge"), [ShardVersion(CONFIG, 1)], 1000
+            )
+            started_at = time.monotonic()
+            self.assertEqual((await core._sync(request_with_state)).status, Status.UNSURE)
+            self.assertEqual(time.monotonic(), started_at)
+            request_without_state = SyncRequest(Session(name="e", machine_class="edge"), [], 100)
+            self.assertEqual((await core._sync(request_without_state)).status, Status.UNSURE)
+            self.assertAlmostEqual(time.monotonic() - started_at, 0.1, delta=0.02)
+
+        self.run_scenario(run)
+
+    def test_change_reaches_dispatchers_within_the_bound_past_two_dead_nodes(self) -> None:
         async def run(tier: SimulatedCore) -> None:
             await tier.start(dispatchers=12)
             await asyncio.sleep(2.0)
@@ -177,24 +179,24 @@
             assert leader is not None
             await tier.change(0, 1, "x", leader)
             for ip in [ip for ip in tier.machines if ip != leader][:2]:
-                tier.kill(ip, power=True)
-            self.assertIs(await tier.change(1, 2, "y", leader), Answer.TAKEN)
+                tier.stop_process(ip, power_loss=True)
+            self.assertIs(await tier.change(1, 2, "y", leader), Answer.ACCEPTED)
             await asyncio.sleep(CONFIG_APPLY)
             self.assertEqual([d.revision for d in tier.dispatchers], [2] * 12)
 
-        self.play(run, size=5)
+        self.run_scenario(run, size=5)
 
-    def test_news_comes_within_the_bound_after_a_replacement_and_a_lost_disk(self) -> None:
+    def test_changes_reach_dispatchers_within_the_bound_after_a_replacement_and_a_power_loss(self) -> None:
         async def run(tier: SimulatedCore) -> None:
             await tier.start(dispatchers=12)
             await asyncio.sleep(2.0)
             first, second, third = tier.machines
             await tier.change(0, 1, "x", first)
             replaced = await tier.replace(first, 0.4)
-            await tier.restart(second, 1.0, power=True, wiped=False)
-            base, began = 1, time.monotonic()
-            while time.monotonic() - began < 15.0:
-                if await tier.change(base, base + 1, "y", self.able(tier)) is not Answer.TAKEN:
+            await tier.restart(second, 1.0, power_loss=True, wiped=False)
+            base, started_at = 1, time.monotonic()
+            while time.monotonic() - started_at < 15.0:
+                if await tier.change(base, base + 1, "y", self.leader_or_any(tier)) is not Answer.ACCEPTED:
                     continue
                 base += 1
                 await asyncio.sleep(CONFIG_APPLY)
@@ -202,69 +204,70 @@
             self.assertGreater(base, 4)
             self.assertIn(replaced, tier.machines)
 
-        self.play(run)
+        self.run_scenario(run)
 
     @staticmethod
-    def able(tier: SimulatedCore) -> str:
+    def leader_or_any(tier: SimulatedCore) -> str:
         return tier.leader() or sorted(tier.machines)[0]
 
-    def test_a_cut_off_leader_confirms_refuses_and_tells_nothing(self) -> None:
-        self.play(self.cut_off_leader)
+    def test_isolated_leader_confirms_rejects_and_sends_nothing(self) -> None:
+        self.run_scenario(self.check_isolated_leader)
 
-    def test_an_answer_without_a_majority_or_a_lease_is_found(self) -> None:
+    def test_answer_of_an_unconfirmed_leader_is_detected(self) -> None:
         with (
-            mock.patch.object(ControlApi, "_is_confirmed_leader", leads_without_lease),
+            mock.patch.object(ControlApi, "_is_confirmed_leader", leads_without_confirmation),
             self.assertRaises(AssertionError),
         ):
-            self.play(self.cut_off_leader)
+            self.run_scenario(self.check_isolated_leader)
 
-    async def cut_off_leader(self, tier: SimulatedCore) -> None:
+    async def check_isolated_leader(self, tier: SimulatedCore) -> None:
         await tier.start()
         await asyncio.sleep(2.0)
-        old = tier.leader()
-        assert old is not None
-        await tier.change(0, 1, "x", old)
-        others = [m.address for ip, m in tier.machines.items() if ip != old]
-        tier.network.cut_off(tier.machines[old].address, 3, others)
-        began = time.monotonic()
-        while time.monotonic() - began < 20.0:
-            self.assertIsNone(await tier.read(old))
-            self.assertIs(await tier.change(0, 5, "old base", old), Answer.UNCLEAR)
-            self.assertIs(await tier.change(1, 9, "cut", old), Answer.UNCLEAR)
-        self.assertFalse(self.core(tier, old).is_fresh())
-        new = tier.leader()
-        assert new is not None
-        self.assertIs(await tier.change(1, 2, "y", new), Answer.TAKEN)
-
-    def test_identical_proposals_in_the_log_end_alike(self) -> None:
+        old_leader = tier.leader()
+        assert old_leader is not None
+        await tier.change(0, 1, "x", old_leader)
+        others = [m.address for ip, m in tier.machines.items() if ip != old_leader]
+        tier.network.cut_links(tier.machines[old_leader].address, 3, others)
+        started_at = time.monotonic()
+        while time.monotonic() - started_at < 20.0:
+            self.assertIsNone(await tier.read(old_leader))
+            self.assertIs(await tier.change(0, 5, "old base", old_leader), Answer.UNKNOWN)
+            self.assertIs(await tier.change(1, 9, "cut", old_leader), Answer.UNKNOWN)
+        self.assertFalse(self.core(tier, old_leader).is_fresh())
+        new_leader = tier.leader()
+        assert new_leader is not None
+        self.assertIs(await tier.change(1, 2, "y", new_leader), Answer.ACCEPTED)
+
+    def test_identical_proposals_in_the_log_have_the_same_outcome(self) -> None:
         async def run(tier: SimulatedCore) -> None:
             await tier.start()
             await asyncio.sleep(2.0)
             leader = tier.leader()
             assert leader is not None
             others = [m.address for ip, m in tier.machines.items() if ip != leader]
-            tier.network.cut_off(tier.machines[leader].address, 2, others)  # no acknowledgement comes back
-            with mock.patch.object(ControlApi, "_is_confirmed_leader", leads_without_lease):
-                tries = [asyncio.create_task(tier.change(0, 5, "x", leader)) for _ in range(3)]
+            tier.network.cut_links(tier.machines[leader].address, 2, others)  # blocks acknowledgements
+            with mock.patch.object(ControlApi, "_is_confirmed_leader", leads_without_confirmation):
+                attempts = [asyncio.create_task(tier.change(0, 5, "x", leader)) for _ in range(3)]
                 await asyncio.sleep(0.2)
-                tier.network.cut.clear()
-                answers = [await t for t in tries]
-            self.assertEqual(set(answers), {Answer.TAKEN})
+                tier.network.blocked_links.clear()
+                answers = [await t for t in attempts]
+            self.assertEqual(set(answers), {Answer.ACCEPTED})
             self.assertEqual((await tier.read(leader)), (5, "x"))
 
-        self.play(run)
+        self.run_scenario(run)
 
-    def test_a_repeat_is_told_its_own_revision(self) -> None:
+    def test_repeat_is_answered_with_its_own_revision(self) -> None:
         async def run(tier: SimulatedCore) -> None:
             await tier.start()
             await asyncio.sleep(2.0)
             leader = tier.leader()
             assert leader is not None
             for base in range(300):
-                self.assertIs(await tier.change(base, base + 1, "x", leader), Answer.TAKEN)
-            self.assertIs(await tier.change(0, 1, "x", leader), Answer.TAKEN)  # told 300: it raises
+                self.assertIs(await tier.change(base, base + 1, "x", leader), Answer.ACCEPTED)
+            # An answer with the current revision 300 would raise.
+            self.assertIs(await tier.change(0, 1, "x", leader), Answer.ACCEPTED)
 
-        self.play(run)
+        self.run_scenario(run)
 
     @staticmethod
     def core(tier: SimulatedCore, ip: str) -> Core:
@@ -273,50 +276,50 @@
         return found
 
 
-class HundredsOfChanges(unittest.TestCase):
-    """600 changes while each node in turn is restarted, cut off and loses its disk; many slots."""
+class ManyChanges(unittest.TestCase):
+    """600 changes and many compactions while each node is isolated, restarted and loses its disk."""
 
-    def test_each_node_ends_with_the_newest_state_in_bounded_bytes(self) -> None:
+    def test_each_node_ends_with_the_newest_state_in_bounded_space(self) -> None:
         with (
             tempfile.TemporaryDirectory() as folder,
-            mock.patch.object(core, "MAX_LOG_BYTES", COMPACT_LOG),
+            mock.patch.object(core, "MAX_LOG_BYTES", SMALL_LOG_BYTES),
             simulated(Path(folder), 11) as tier,
         ):
             run_virtually(self.run_changes(tier))
             for ip in tier.machines:
                 size = sum(p.stat().st_size for p in (Path(folder) / ip).iterdir())
-                self.assertLess(size, 6 * COMPACT_LOG)
+                self.assertLess(size, 6 * SMALL_LOG_BYTES)
 
     async def run_changes(self, tier: SimulatedCore) -> None:
         await tier.start()
         await asyncio.sleep(2.0)
-        troubles = asyncio.create_task(self.trouble_each(tier))
+        faults = asyncio.create_task(self.inject_faults_into_each(tier))
         base = 0
         while base < CHANGES:
             answer = await tier.change(base, base + 1, "x", self.any_node(tier))
-            if answer is Answer.TAKEN:
+            if answer is Answer.ACCEPTED:
                 base += 1
             else:
                 await asyncio.sleep(0.05)
-        await troubles
+        await faults
         await asyncio.sleep(3.0)
         for machine in tier.machines.values():
             assert machine.core is not None
             self.assertEqual(machine.core.config.state.revision, CHANGES)
             self.assertLess(len(machine.core.replica(CONFIG).log.entries()), 400)
         self.assertEqual({d.revision for d in tier.dispatchers}, {CHANGES})
-        self.assertTrue(tier.whole())
+        self.assertTrue(tier.has_expected_members())
 
-    async def trouble_each(self, tier: SimulatedCore) -> None:
+    async def inject_faults_into_each(self, tier: SimulatedCore) -> None:
         for ip in list(tier.machines):
             others = [m.address for o, m in tier.machines.items() if o != ip]
-            tier.network.cut_off(tier.machines[ip].address, 3, others)
+            tier.network.cut_links(tier.machines[ip].address, 3, others)
             await asyncio.sleep(2.0)
             tier.network.heal()
             await asyncio.sleep(1.0)
-            await tier.restart(ip, 0.5, power=False, wiped=False)
+            await tier.restart(ip, 0.5, power_loss=False, wiped=False)
             await asyncio.sleep(2.0)
-            await tier.restart(ip, 0.5, power=True, wiped=True)
+            await tier.restart(ip, 0.5, power_loss=True, wiped=True)
             await asyncio.sleep(5.0)
 
     @staticmethod
--- a/tests/tier/test_held_calls.py
+++ b/tests/tier/test_held_calls.py
@@ -1,4 +1,4 @@
-"""Held calls are woken by what concerns them, and by no more."""
+"""Tests of held calls: each is woken only by changes that concern it."""
 
 from __future__ import annotations
 
@@ -7,116 +7,116 @@
 
 from heronstall.controlplane.held_calls import CallsByName, LeaseCalls
 
-LONG = 60.0  # seconds that no test waits
+LONG_TIMEOUT = 60.0  # seconds, longer than any test runs
 
 
-async def turn() -> None:
-    """Let all tasks go on that can."""
+async def run_ready_tasks() -> None:
+    """Runs the event loop until no task can proceed."""
     for _ in range(5):
         await asyncio.sleep(0)
 
 
-class Named(unittest.IsolatedAsyncioTestCase):
-    async def test_news_of_one_name_wakes_its_calls_alone(self) -> None:
+class CallsByNameTest(unittest.IsolatedAsyncioTestCase):
+    async def test_change_of_a_name_wakes_only_calls_for_that_name(self) -> None:
         calls = CallsByName()
-        tasks = {name: asyncio.create_task(calls.wait(name, LONG)) for name in ("a", "b")}
-        await turn()
+        tasks = {name: asyncio.create_task(calls.wait(name, LONG_TIMEOUT)) for name in ("a", "b")}
+        await run_ready_tasks()
         calls.wake("a")
-        await turn()
+        await run_ready_tasks()
         self.assertTrue(tasks["a"].done())
         self.assertFalse(tasks["b"].done())
         calls.wake_all()
-        await turn()
+        await run_ready_tasks()
         self.assertTrue(tasks["b"].done())
 
-    async def test_a_call_returns_when_its_time_is_over(self) -> None:
+    async def test_call_returns_after_its_timeout(self) -> None:
         await CallsByName().wait("a", 0.0)
 
-    async def test_names_are_kept_as_long_as_calls_wait(self) -> None:
+    async def test_names_are_stored_only_while_calls_wait(self) -> None:
         calls = CallsByName()
         await calls.wait("a", 0.0)
         self.assertEqual(len(calls), 0)
-        tasks = [asyncio.create_task(calls.wait("b", LONG)) for _ in range(2)]
-        await turn()
+        tasks = [asyncio.create_task(calls.wait("b", LONG_TIMEOUT)) for _ in range(2)]
+        await run_ready_tasks()
         tasks[0].cancel()
-        await turn()
+        await run_ready_tasks()
         self.assertEqual(len(calls), 1)
         calls.wake("b")
-        await turn()
+        await run_ready_tasks()
         self.assertTrue(tasks[1].done())
         self.assertEqual(len(calls), 0)
 
 
-class Leasing(unittest.IsolatedAsyncioTestCase):
-    async def held(
+class LeaseCallsTest(unittest.IsolatedAsyncioTestCase):
+    async def held_tasks(
         self, calls: LeaseCalls, wants: list[int], jobs: tuple[str, ...] = ()
     ) -> list[asyncio.Task[bool]]:
         tasks = [
-            asyncio.create_task(calls.wait_for_items(f"edge-{nth}", want, jobs, LONG))
+            asyncio.create_task(calls.wait_for_items(f"edge-{nth}", want, jobs, LONG_TIMEOUT))
             for nth, want in enumerate(wants)
         ]
-        await turn()
+        await run_ready_tasks()
         return tasks
 
-    async def test_a_call_that_is_held_ends_with_the_next_of_its_dispatcher(self) -> None:
+    async def test_held_call_ends_with_the_next_call_of_its_dispatcher(self) -> None:
         calls = LeaseCalls()
-        first, other = await self.held(calls, [2, 2])
+        first, other = await self.held_tasks(calls, [2, 2])
         calls.supersede("edge-0")
-        await turn()
+        await run_ready_tasks()
         self.assertTrue(await first)
-        second = asyncio.create_task(calls.wait_for_items("edge-0", 2, (), LONG))
-        await turn()
+        second = asyncio.create_task(calls.wait_for_items("edge-0", 2, (), LONG_TIMEOUT))
+        await run_ready_tasks()
         calls.supersede("unknown")
         calls.offer(2)
-        await turn()
+        await run_ready_tasks()
         self.assertFalse(await other)
         self.assertFalse(second.done())
         calls.wake_all()
         self.assertFalse(await second)
 
-    async def test_a_call_that_was_woken_already_is_replaced_too(self) -> None:
+    async def test_call_that_was_already_woken_is_superseded_too(self) -> None:
         calls = LeaseCalls()
-        (first,) = await self.held(calls, [2])
+        (first,) = await self.held_tasks(calls, [2])
         calls.offer(2)
         calls.supersede("edge-0")
         self.assertTrue(await first)
 
-    async def test_as_many_are_woken_as_there_are_items_for_the_longest_held_first(self) -> None:
+    async def test_calls_are_woken_in_order_of_arrival_as_far_as_items_suffice(self) -> None:
         calls = LeaseCalls()
-        tasks = await self.held(calls, [2, 2, 2, 2])
+        tasks = await self.held_tasks(calls, [2, 2, 2, 2])
         calls.offer(3)
-        await turn()
+        await run_ready_tasks()
         self.assertEqual([t.done() for t in tasks], [True, True, False, False])
         calls.wake_all()
 
-    async def test_items_promised_to_a_call_wake_no_second_one(self) -> None:
+    async def test_items_offered_to_a_call_do_not_wake_a_second_one(self) -> None:
         calls = LeaseCalls()
-        tasks = await self.held(calls, [3, 3])
+        tasks = await self.held_tasks(calls, [3, 3])
         calls.offer(3)
-        calls.offer(3)  # the first has not taken them yet
-        await turn()
+        calls.offer(3)  # the first call has not taken them yet
+        await run_ready_tasks()
         self.assertEqual([t.done() for t in tasks], [True, False])
-        calls.offer(1)  # it has gone on since, and something is left
-        await turn()
+        calls.offer(1)  # the first call has continued, and one item is left
+        await run_ready_tasks()
         self.assertTrue(tasks[1].done())
 
-    async def test_who_wants_nothing_is_woken_by_an_end_alone(self) -> None:
+    async def test_call_without_wanted_items_is_woken_only_by_the_end_of_its_job(self) -> None:
         calls = LeaseCalls()
-        (idle,) = await self.held(calls, [0], ("job",))
+        (idle,) = await self.held_tasks(calls, [0], ("job",))
         calls.offer(5)
         calls.wake_for_ended_jobs({"other"})
-        await turn()
+        await run_ready_tasks()
         self.assertFalse(idle.done())
         calls.wake_for_ended_jobs({"job"})
-        await turn()
+        await run_ready_tasks()
         self.assertTrue(idle.done())
 
-    async def test_a_cancelled_call_leaves_nothing_behind(self) -> None:
+    async def test_cancelled_call_releases_its_offered_items(self) -> None:
         calls = LeaseCalls()
-        first, second = await self.held(calls, [2, 2])
+        first, second = await self.held_tasks(calls, [2, 2])
         calls.offer(2)
-        first.cancel()  # woken, and gone before it takes anything
-        await turn()
+        first.cancel()  # cancelled after being woken, before it takes anything
+        await run_ready_tasks()
         calls.offer(2)
-        await turn()
+        await run_ready_tasks()
         self.assertTrue(second.done())
--- a/tests/tier/test_overview.py
+++ b/tests/tier/test_overview.py
@@ -1,4 +1,4 @@
-"""What `heronstall ctl status` sees of nodes of our own that answer by the internal protocol."""
+"""Tests of `heronstall ctl status` with fake nodes that answer by the internal protocol."""
 
 from __future__ import annotations
 
@@ -39,8 +39,8 @@
 DOCUMENT = {"revision": 4, "routes": [{"name": "a", "service": "s"}, {"name": "b", "service": "t"}]}
 
 
-def told() -> SyncReply:
-    """What a core node in touch says."""
+def sync_reply() -> SyncReply:
+    """Returns the reply of a core node that is in touch with a majority."""
     worker = Worker(id="w", service="s", address="127.0.0.1:1", state="ready", capacity=8)
     return SyncReply(
         config_version=9,
@@ -53,19 +53,19 @@
     )
 
 
-class Nodes:
-    """Nodes at loopback addresses; those that are left out are silent."""
+class FakeNodes:
+    """Fake nodes at loopback addresses. Addresses without a handler are silent."""
 
     def __init__(self, **answers: Callable[[Kind, bytes], Reply]) -> None:
         self._answers = answers
         self._servers: list[LinkServer] = []
-        self.asked: list[Kind] = []
+        self.calls: list[Kind] = []
 
-    async def __aenter__(self) -> Nodes:
+    async def __aenter__(self) -> FakeNodes:
         for name, answer in self._answers.items():
 
             async def serve(kind: Kind, body: bytes, answer: Any = answer) -> Reply:
-                self.asked.append(kind)
+                self.calls.append(kind)
                 return Reply(*answer(kind, body))
 
             server = LinkServer(serve, lambda kind, body: None)
@@ -79,19 +79,19 @@
             server.close()
 
 
-def core(kind: Kind, body: bytes) -> Reply:
-    """A core node in touch; it must be asked as an operator."""
+def in_touch(kind: Kind, body: bytes) -> Reply:
+    """A core node in touch; checks that it is called as an operator."""
     assert SyncRequest().parse(body).session.machine_class == "operator"
-    return Reply(Status.OK, bytes(told()))
+    return Reply(Status.OK, bytes(sync_reply()))
 
 
-def unsure(kind: Kind, body: bytes) -> Reply:
-    """A node that is cut off."""
+def out_of_touch(kind: Kind, body: bytes) -> Reply:
+    """A node that has no contact with a majority."""
     return Reply(Status.UNSURE)
 
 
 def owner(kind: Kind, body: bytes) -> Reply:
-    """The owner of each shard: it knows that there is no such job."""
+    """The owner of each shard, which knows no job."""
     assert not ReadRequest().parse(body).job
     return Reply(Status.UNKNOWN)
 
@@ -101,94 +101,100 @@
     return Reply(Status.NOT_OWNER, bytes(Hint(f"{OWNER}#1")))
 
 
-class Asking(unittest.IsolatedAsyncioTestCase):
+class OverviewTest(unittest.IsolatedAsyncioTestCase):
     def setUp(self) -> None:
         for name, value in (("PAUSE", 0.0), ("ANSWER_WITHIN", 0.4)):
             patch = mock.patch.object(ask, name, value)
             patch.start()
             self.addCleanup(patch.stop)
 
-    async def test_all_that_is_well(self) -> None:
-        async with Nodes(CORE=core, OTHER_CORE=core, OWNER=owner, FOLLOWER=follower) as nodes:
-            seen = await ask.overview([CORE])
-        self.assertEqual((seen.revision, seen.dispatchers), (4, 2))
-        self.assertEqual([node.state for node in seen.control], [NodeState.FINE] * 2)
-        self.assertEqual(seen.control[0].versions, {"config": 9, "placement": 3, "workers-0": 5})
-        self.assertEqual([replica.owner for replica in seen.batch[0].replicas], [True, False])
-        self.assertEqual(seen.services, [ServiceView("s", 1, 0, 8, 1), ServiceView("t", routes=1)])
-        self.assertEqual(seen.problems(), ["service t has 1 routes and no ready worker"])
-        self.assertEqual(set(nodes.asked), {Kind.SYNC, Kind.READ})  # nothing that changes anything
+    async def test_healthy_tier(self) -> None:
+        async with FakeNodes(CORE=in_touch, OTHER_CORE=in_touch, OWNER=owner, FOLLOWER=follower) as nodes:
+            observed = await ask.overview([CORE])
+        self.assertEqual((observed.revision, observed.dispatchers), (4, 2))
+        self.assertEqual([node.state for node in observed.control], [NodeState.FINE] * 2)
+        self.assertEqual(observed.control[0].versions, {"config": 9, "placement": 3, "workers-0": 5})
+        self.assertEqual([replica.owner for replica in observed.batch[0].replicas], [True, False])
+        self.assertEqual(observed.services, [ServiceView("s", 1, 0, 8, 1), ServiceView("t", routes=1)])
+        self.assertEqual(observed.problems(), ["service t has 1 routes and no ready worker"])
+        self.assertEqual(set(nodes.calls), {Kind.SYNC, Kind.READ})  # only calls that change nothing
 
     async def test_silent_nodes_and_nodes_out_of_touch_are_named(self) -> None:
-        async with Nodes(CORE=core, OTHER_CORE=unsure, FOLLOWER=follower):
+        async with FakeNodes(CORE=in_touch, OTHER_CORE=out_of_touch, FOLLOWER=follower):
             problems = (await ask.overview([OTHER_CORE, CORE])).problems()
         self.assertIn(f"core node {OTHER_CORE} is out of touch", problems)
         self.assertIn("1 of 2 core nodes are in touch: no majority", problems)
         self.assertIn("batch-0 has no owner", problems)
         self.assertIn(f"batch-0: replica {OWNER}#1 is silent", problems)
 
-    async def test_an_owner_that_comes_back_within_the_rounds_is_seen(self) -> None:
-        """An owner that stood still for longer than its lease leaves its shard without one for a moment."""
+    async def test_owner_that_returns_within_the_rounds_is_found(self) -> None:
+        """An owner that was paused for longer than its lease leaves its shard without an owner briefly."""
         answers = iter([follower, owner])
 
-        def returning(kind: Kind, body: bytes) -> Reply:
+        def follower_then_owner(kind: Kind, body: bytes) -> Reply:
             return next(answers, owner)(kind, body)
 
-        async with Nodes(CORE=core, OTHER_CORE=core, OWNER=returning, FOLLOWER=follower):
-            seen = await ask.overview([CORE])
-        self.assertEqual([replica.owner for replica in seen.batch[0].replicas], [True, False])
+        async with FakeNodes(
+            CORE=in_touch, OTHER_CORE=in_touch, OWNER=follower_then_owner, FOLLOWER=follower
+        ):
+            observed = await ask.overview([CORE])
+        self.assertEqual([replica.owner for replica in observed.batch[0].replicas], [True, False])
 
-    async def test_no_node_in_touch_is_said(self) -> None:
-        async with Nodes(CORE=unsure):
+    async def test_missing_contact_to_any_node_is_reported(self) -> None:
+        async with FakeNodes(CORE=out_of_touch):
             with self.assertRaisesRegex(ask.NoNode, CORE):
                 await ask.overview([CORE, OTHER_CORE])
 
 
-class Judgement(unittest.TestCase):
-    def test_nothing_known_is_nothing_well(self) -> None:
+class ProblemDetection(unittest.TestCase):
+    def test_empty_overview_reports_problems(self) -> None:
         problems = Overview().problems()
         for text in ("no majority", "no configuration", "no dispatcher"):
             self.assertTrue(any(text in problem for problem in problems), text)
 
-    def test_two_owners_are_said(self) -> None:
+    def test_two_owners_are_reported(self) -> None:
         replicas = [ReplicaView(name, NodeState.FINE, owner=True) for name in ("a#1", "b#1")]
-        seen = Overview(batch=[BatchShardView("batch-0", replicas), BatchShardView("batch-1", [])])
-        self.assertIn("batch-0: a#1, b#1 say that they own it", seen.problems())
-        self.assertIn("batch-1 has no replicas", seen.problems())
+        observed = Overview(batch=[BatchShardView("batch-0", replicas), BatchShardView("batch-1", [])])
+        self.assertIn("batch-0: a#1, b#1 say that they own it", observed.problems())
+        self.assertIn("batch-1 has no replicas", observed.problems())
 
     def test_services_are_counted_by_routes_and_workers(self) -> None:
-        split = [{"service": "s", "weight": 1}, {"service": "s", "weight": 2}, {"service": "t", "weight": 0}]
-        document = {"routes": [{"traffic_split": split}, {"service": "s"}]}
+        traffic_split = [
+            {"service": "s", "weight": 1},
+            {"service": "s", "weight": 2},
+            {"service": "t", "weight": 0},
+        ]
+        document = {"routes": [{"traffic_split": traffic_split}, {"service": "s"}]}
         workers = [("s", "ready", 4), ("s", "draining", 4), ("u", "ready", 2)]
-        wanted = [ServiceView("s", 1, 1, 4, 2), ServiceView("t", routes=1), ServiceView("u", 1, 0, 2)]
-        self.assertEqual(services_of(document, workers), wanted)
+        expected = [ServiceView("s", 1, 1, 4, 2), ServiceView("t", routes=1), ServiceView("u", 1, 0, 2)]
+        self.assertEqual(services_of(document, workers), expected)
 
 
 class CommandLine(unittest.TestCase):
-    def run_status(self, seen: Callable[[Any], Coroutine[Any, Any, Overview]], *words: str) -> Result:
-        """Run `heronstall ctl status` on what was seen."""
-        with mock.patch.object(ask, "overview", seen):
-            return CliRunner().invoke(ctl, ["status", *words])
+    def run_status(self, observed: Callable[[Any], Coroutine[Any, Any, Overview]], *arguments: str) -> Result:
+        """Runs `heronstall ctl status` with a given overview."""
+        with mock.patch.object(ask, "overview", observed):
+            return CliRunner().invoke(ctl, ["status", *arguments])
 
     @staticmethod
-    async def well(_addresses: object) -> Overview:
+    async def healthy_tier(_addresses: object) -> Overview:
         """A tier without problems."""
         shard = BatchShardView("batch-0", [ReplicaView("a:1#1", NodeState.FINE, True)])
         control = [ControlNode("c:1", NodeState.FINE, {"config": 3})]
         return Overview(7, 2, control, [shard], [ServiceView("s", 2, 0, 16, 3)])
 
     @staticmethod
-    async def ill(_addresses: object) -> Overview:
+    async def tier_with_silent_core(_addresses: object) -> Overview:
         """A tier with a silent core node."""
         return Overview(7, 2, [ControlNode(f"c:{k}", NodeState(s)) for k, s in enumerate(("fine", "silent"))])
 
     @staticmethod
-    async def nobody(_addresses: object) -> Overview:
+    async def no_node(_addresses: object) -> Overview:
         """No node answers."""
         raise ask.NoNode("c:1")
 
-    def test_a_tier_that_is_well(self) -> None:
-        result = self.run_status(self.well, "--node", CORE)
+    def test_healthy_tier_is_printed(self) -> None:
+        result = self.run_status(self.healthy_tier, "--node", CORE)
         self.assertEqual(result.exit_code, 0, result.output)
         for text in (
             "revision 7, 2 dispatchers",
@@ -198,22 +204,22 @@
         ):
             self.assertIn(text, result.output)
 
-    def test_problems_end_with_status_1_and_stand_in_the_record(self) -> None:
-        result = self.run_status(self.ill, "--node", CORE, "--json")
+    def test_problems_give_status_1_and_are_in_the_record(self) -> None:
+        result = self.run_status(self.tier_with_silent_core, "--node", CORE, "--json")
         self.assertEqual(result.exit_code, 1)
         record = json.loads(result.output.splitlines()[0])
         self.assertIn("core node c:1 is silent", record["problems"])
         self.assertEqual(record["control"][1]["state"], "silent")
 
-    def test_nobody_answers(self) -> None:
-        result = self.run_status(self.nobody, "--node", CORE)
+    def test_no_node_answers(self) -> None:
+        result = self.run_status(self.no_node, "--node", CORE)
         self.assertEqual(result.exit_code, 1)
         self.assertIn("no core node in touch answers at c:1", result.output)
 
-    def test_bad_addresses_are_named(self) -> None:
+    def test_invalid_addresses_are_named(self) -> None:
         for address in ("nowhere", ":7720", "10.0.0.1:", "10.0.0.1:x", "10.0.0.1:70000"):
             with self.subTest(address):
-                result = self.run_status(self.well, "--node", address)
+                result = self.run_status(self.healthy_tier, "--node", address)
                 self.assertEqual(result.exit_code, 2)
                 self.assertIn(address, result.output)
 
--- a/tests/tier/test_pulling.py
+++ b/tests/tier/test_pulling.py
@@ -1,4 +1,4 @@
-"""Pulls past silent, refusing and stale control nodes, in virtual time."""
+"""Tests of pulling past silent, refusing and unsure control nodes, in virtual time."""
 
 from __future__ import annotations
 
@@ -26,42 +26,44 @@
 )
 from tests.tier.virtual_loop import run_virtually
 
-TRIP = 0.002  # seconds there and back
+ROUND_TRIP = 0.002  # seconds
 
 
 class ControlNode:
-    """A control node that may be silent, refuse calls or say that it is unsure."""
+    """A control node that can be silent, late, refuse calls or reply UNSURE."""
 
     def __init__(self, tier: ControlNodes) -> None:
         self._tier = tier
-        self.mood = "well"
-        self.answers_at = 0.0  # of one that is late
+        self.behaviour = "normal"
+        self.answers_at = 0.0  # steady time at which a late node answers
         self.calls: list[float] = []
-        self.under_way = 0
+        self.running_calls = 0
 
     async def call(self, kind: Kind, body: bytes, within: float) -> Reply:
         self.calls.append(time.monotonic())
-        self.under_way += 1
-        self._tier.most = max(self._tier.most, sum(n.under_way for n in self._tier.nodes.values()))
+        self.running_calls += 1
+        self._tier.max_running_calls = max(
+            self._tier.max_running_calls, sum(n.running_calls for n in self._tier.nodes.values())
+        )
         try:
             return await self._answer(SyncRequest().parse(body), within)
         finally:
-            self.under_way -= 1
+            self.running_calls -= 1
 
     async def _answer(self, request: SyncRequest, within: float) -> Reply:
-        await asyncio.sleep(TRIP)
-        if self.mood == "silent":
+        await asyncio.sleep(ROUND_TRIP)
+        if self.behaviour == "silent":
             await asyncio.sleep(within)
             return CALL_FAILED
-        if self.mood == "late":
+        if self.behaviour == "late":
             await asyncio.sleep(max(0.0, self.answers_at - time.monotonic()))
-        if self.mood == "refusing":
+        if self.behaviour == "refusing":
             return CALL_FAILED
-        if self.mood == "unsure":
+        if self.behaviour == "unsure":
             return Reply(Status.UNSURE)
         known = {v.shard: v.version for v in request.versions}.get("config", 0)
-        until = time.monotonic() + request.wait_ms / 1000
-        while time.monotonic() < until and self._tier.version <= known:
+        deadline = time.monotonic() + request.wait_ms / 1000
+        while time.monotonic() < deadline and self._tier.version <= known:
             await asyncio.sleep(0.01)
         reply = SyncReply(config_version=self._tier.version, control=sorted(self._tier.members))
         if self._tier.version > known:
@@ -69,7 +71,7 @@
         return Reply(Status.OK, bytes(reply))
 
     def disconnect(self) -> None:
-        """No connection to end."""
+        """Does nothing: there is no connection."""
 
 
 class ControlNodes:
@@ -79,18 +81,18 @@
         self.nodes = {name: ControlNode(self) for name in names}
         self.members = set(names)
         self.version = 1
-        self.most = 0  # calls under way at once
+        self.max_running_calls = 0  # largest number of concurrent calls
 
     def to(self, address: str) -> ControlNode:
         return self.nodes[address]
 
 
-class Pulls(unittest.TestCase):
-    def play(self, run: Coroutine[Any, Any, None]) -> None:
+class PullerTest(unittest.TestCase):
+    def run_in_virtual_time(self, run: Coroutine[Any, Any, None]) -> None:
         run_virtually(run)
 
     @staticmethod
-    async def begun(nodes: ControlNodes, seeds: str = "abc") -> StatePuller:
+    async def start_puller(nodes: ControlNodes, seeds: str = "abc") -> StatePuller:
         puller = StatePuller(
             cast(Links, nodes), View(), lambda: Session(name="e"), lambda: list(seeds), lambda _: None
         )
@@ -100,161 +102,160 @@
         return puller
 
     async def seconds_to(self, puller: StatePuller, version: int) -> float:
-        """How long it takes until a version is known."""
-        began = time.monotonic()
+        """Returns the seconds until the puller knows a version."""
+        started_at = time.monotonic()
         while puller._view.versions.get("config", 0) < version:
-            self.assertLess(time.monotonic() - began, 10.0)
+            self.assertLess(time.monotonic() - started_at, 10.0)
             await asyncio.sleep(0.01)
-        return time.monotonic() - began
+        return time.monotonic() - started_at
 
-    def test_a_silent_node_costs_a_hold_and_a_little(self) -> None:
+    def test_silent_node_delays_an_update_by_one_hold_and_one_hedge_delay(self) -> None:
         async def run() -> None:
             for _ in range(20):
                 nodes = ControlNodes("abc")
-                puller = await self.begun(nodes)
-                nodes.nodes[puller._preferred_node].mood = "silent"
+                puller = await self.start_puller(nodes)
+                nodes.nodes[puller._preferred_node].behaviour = "silent"
                 nodes.version = 2
                 self.assertLess(await self.seconds_to(puller, 2), POLL_HOLD + HEDGE_DELAY + 0.1)
 
-        self.play(run())
+        self.run_in_virtual_time(run())
 
-    def test_each_further_silent_node_costs_only_the_little(self) -> None:
+    def test_each_further_silent_node_adds_only_one_hedge_delay(self) -> None:
         async def run() -> None:
             for _ in range(20):
                 nodes = ControlNodes("abcde")
-                puller = await self.begun(nodes, seeds="abc")
+                puller = await self.start_puller(nodes, seeds="abc")
                 for name in sorted(nodes.nodes, key=lambda n: n != puller._preferred_node)[:3]:
-                    nodes.nodes[name].mood = "silent"
+                    nodes.nodes[name].behaviour = "silent"
                 nodes.version = 2
                 self.assertLess(await self.seconds_to(puller, 2), POLL_HOLD + 3 * HEDGE_DELAY + 0.1)
-                self.assertLessEqual(nodes.most, MAX_PARALLEL_CALLS)
+                self.assertLessEqual(nodes.max_running_calls, MAX_PARALLEL_CALLS)
 
-        self.play(run())
+        self.run_in_virtual_time(run())
 
-    def test_nodes_that_refuse_or_are_unsure_cost_nothing(self) -> None:
+    def test_refusing_and_unsure_nodes_add_no_delay(self) -> None:
         async def run() -> None:
-            for mood in ("refusing", "unsure"):
+            for behaviour in ("refusing", "unsure"):
                 nodes = ControlNodes("abc")
-                puller = await self.begun(nodes)
+                puller = await self.start_puller(nodes)
                 for name in sorted(nodes.nodes, key=lambda n: n != puller._preferred_node)[:2]:
-                    nodes.nodes[name].mood = mood
+                    nodes.nodes[name].behaviour = behaviour
                 nodes.version = 2
                 self.assertLess(await self.seconds_to(puller, 2), POLL_HOLD + 0.1)
 
-        self.play(run())
+        self.run_in_virtual_time(run())
 
-    def test_a_node_that_failed_is_left_out_for_a_while(self) -> None:
+    def test_failed_node_is_avoided_for_a_while(self) -> None:
         async def run() -> None:
             nodes = ControlNodes("abc")
-            puller = await self.begun(nodes)
-            dead = nodes.nodes[puller._preferred_node]
-            dead.mood = "silent"
+            puller = await self.start_puller(nodes)
+            failed_node = nodes.nodes[puller._preferred_node]
+            failed_node.behaviour = "silent"
             await asyncio.sleep(POLL_HOLD + HEDGE_DELAY + 0.1)
-            calls = len(dead.calls)
-            for _ in range(4):  # another one fails: the dead one is not asked again
-                at = nodes.nodes[puller._preferred_node]
-                at.mood = "refusing"
+            calls = len(failed_node.calls)
+            for _ in range(4):  # another node fails; the silent one must not be called again
+                current = nodes.nodes[puller._preferred_node]
+                current.behaviour = "refusing"
                 await asyncio.sleep(0.05)
-                at.mood = "well"
+                current.behaviour = "normal"
                 await asyncio.sleep(0.3)
-            self.assertEqual(len(dead.calls), calls)
+            self.assertEqual(len(failed_node.calls), calls)
 
-        self.play(run())
+        self.run_in_virtual_time(run())
 
-    def test_members_that_were_replaced_are_followed(self) -> None:
+    def test_puller_follows_replaced_members(self) -> None:
         async def run() -> None:
             nodes = ControlNodes("abcdef")
             nodes.members = set("abc")
-            puller = await self.begun(nodes)
-            nodes.members = set("def")  # all at once: the last answer tells them
+            puller = await self.start_puller(nodes)
+            nodes.members = set("def")  # all replaced at once: the last answer names the new members
             await asyncio.sleep(POLL_HOLD + 0.1)
             for name in "abc":
-                nodes.nodes[name].mood = "silent"
+                nodes.nodes[name].behaviour = "silent"
             nodes.version = 2
             self.assertLess(await self.seconds_to(puller, 2), POLL_HOLD + 3 * HEDGE_DELAY + 0.1)
             await asyncio.sleep(2 * POLL_HOLD)
             self.assertIn(puller._preferred_node, "def")
 
-        self.play(run())
+        self.run_in_virtual_time(run())
 
-    def test_while_all_fail_calls_are_few(self) -> None:
+    def test_call_rate_is_bounded_while_all_nodes_fail(self) -> None:
         async def run() -> None:
             nodes = ControlNodes("abc")
-            await self.begun(nodes)
+            await self.start_puller(nodes)
             for node in nodes.nodes.values():
-                node.mood = "refusing"
+                node.behaviour = "refusing"
                 node.calls.clear()
             await asyncio.sleep(5.0)
             self.assertLess(sum(len(n.calls) for n in nodes.nodes.values()), 5.0 / 0.1 + 5)
 
-        self.play(run())
+        self.run_in_virtual_time(run())
 
-    def test_what_is_known_is_as_old_as_the_call_that_was_answered(self) -> None:
+    def test_state_is_as_current_as_the_start_of_the_answered_call(self) -> None:
         async def run() -> None:
             nodes = ControlNodes("a")
-            puller = await self.begun(nodes, seeds="a")
+            puller = await self.start_puller(nodes, seeds="a")
             self.assertLess(time.monotonic() - puller.current_as_of, 2 * POLL_HOLD + 0.1)
             self.assertIn(puller.current_as_of, nodes.nodes["a"].calls)
-            nodes.nodes["a"].mood = "silent"
+            nodes.nodes["a"].behaviour = "silent"
             current_as_of = puller.current_as_of
             await asyncio.sleep(3.0)
-            self.assertLessEqual(puller.current_as_of, current_as_of + POLL_HOLD + TRIP + 0.01)
+            self.assertLessEqual(puller.current_as_of, current_as_of + POLL_HOLD + ROUND_TRIP + 0.01)
 
-        self.play(run())
+        self.run_in_virtual_time(run())
 
-    def test_answers_that_come_at_one_moment_are_all_taken(self) -> None:
+    def test_simultaneous_answers_are_all_handled(self) -> None:
         async def run() -> None:
-            for helpful in ("well", "unsure"):
+            for final_behaviour in ("normal", "unsure"):
                 nodes = ControlNodes("abc")
-                puller = await self.begun(nodes)
+                puller = await self.start_puller(nodes)
                 late = nodes.nodes[puller._preferred_node]
-                late.mood = "late"
-                late.answers_at = (
-                    time.monotonic() + 2 * POLL_HOLD + HEDGE_DELAY + TRIP
-                )  # as the one asked beside it
+                late.behaviour = "late"
+                # The late answer comes at the same time as that of the parallel call.
+                late.answers_at = time.monotonic() + 2 * POLL_HOLD + HEDGE_DELAY + ROUND_TRIP
                 for node in nodes.nodes.values():
                     if node is not late:
-                        node.mood, node.answers_at = "late", late.answers_at
+                        node.behaviour, node.answers_at = "late", late.answers_at
                 await asyncio.sleep(2 * POLL_HOLD + HEDGE_DELAY + 1.0)
                 for node in nodes.nodes.values():
-                    node.mood = helpful
+                    node.behaviour = final_behaviour
                 await asyncio.sleep(0.2)
                 for node in nodes.nodes.values():
-                    node.mood = "well"
+                    node.behaviour = "normal"
                 nodes.version = 2
                 self.assertLess(await self.seconds_to(puller, 2), POLL_HOLD + HEDGE_DELAY + 0.2)
 
-        self.play(run())
+        self.run_in_virtual_time(run())
 
-    def test_an_answer_that_cannot_be_taken_ends_one_round_alone(self) -> None:
+    def test_malformed_answer_ends_only_one_round(self) -> None:
         async def run() -> None:
             nodes = ControlNodes("abc")
-            puller = await self.begun(nodes)
+            puller = await self.start_puller(nodes)
             with mock.patch.object(View, "take", side_effect=ValueError("malformed")):
                 await asyncio.sleep(1.0)
             nodes.version = 2
             self.assertLess(await self.seconds_to(puller, 2), POLL_HOLD + 0.3)
 
-        self.play(run())
+        self.run_in_virtual_time(run())
 
-    def test_a_dead_node_is_given_up_in_the_end(self) -> None:
+    def test_call_to_a_silent_node_times_out(self) -> None:
         async def run() -> None:
             nodes = ControlNodes("a")
-            puller = await self.begun(nodes, seeds="a")
-            nodes.nodes["a"].mood = "silent"
+            puller = await self.start_puller(nodes, seeds="a")
+            nodes.nodes["a"].behaviour = "silent"
             await asyncio.sleep(2 * (POLL_HOLD + ANSWER_TIMEOUT) + 0.5)
-            nodes.nodes["a"].mood = "well"
+            nodes.nodes["a"].behaviour = "normal"
             nodes.version = 2
             self.assertLess(await self.seconds_to(puller, 2), POLL_HOLD + ANSWER_TIMEOUT + 0.3)
 
-        self.play(run())
+        self.run_in_virtual_time(run())
 
 
-puller_tasks: list[asyncio.Task[None]] = []  # held so that none is collected while it runs
+puller_tasks: list[asyncio.Task[None]] = []  # references that keep running tasks from being garbage-collected
 
 
-class Choice(unittest.TestCase):
-    def test_members_go_first_then_seeds_then_who_failed_first(self) -> None:
+class NodeSelection(unittest.TestCase):
+    def test_order_is_members_then_seeds_then_oldest_failure(self) -> None:
         selector = ControlNodeSelector(random.Random(1))
         self.assertIn(selector.choose(10.0, "ab", "cd", set()), "ab")
         selector.record_failure(10.0, "a")
@@ -272,8 +273,8 @@
         self.assertFalse(selector.all_failed_recently(10.6, "abcd"))
 
 
-class Limits(unittest.TestCase):
-    def test_what_is_refused_is_known_to_be_refused_within_the_bound(self) -> None:
+class KnowledgeLimitsTest(unittest.TestCase):
+    def test_refusals_follow_a_configuration_within_the_bound(self) -> None:
         limits = KnowledgeLimits.within(config_apply=2.0, max_skew=5.0, recover=12.0)
         self.assertLessEqual(limits.refuse + TOLD_WITHIN + MARGIN, 2.0 + 1e-9)
         self.assertAlmostEqual(limits.serve, limits.refuse + 17.0)
--- a/tests/tier/test_store.py
+++ b/tests/tier/test_store.py
@@ -1,4 +1,4 @@
-"""A storage node's calls, with one voter, its real disk, and no sockets."""
+"""Tests of a storage node's calls, with a single voter, real files and no sockets."""
 
 from __future__ import annotations
 
@@ -34,12 +34,12 @@
 
 
 def item_id(leased: LeasedItem) -> str:
-    """The id of an item that was leased."""
+    """Returns the id of a leased item."""
     return BatchItem().parse(leased.item).id
 
 
 def settings(folder: Path) -> dict[str, Any]:
-    """A storage node's settings."""
+    """Returns a storage node's settings."""
     return {
         "node_name": "store",
         "role": "storage",
@@ -54,7 +54,7 @@
     }
 
 
-class OneStore(unittest.IsolatedAsyncioTestCase):
+class SingleStoreTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         folder = tempfile.TemporaryDirectory(prefix="heronstall-")
         self.addCleanup(folder.cleanup)
@@ -75,85 +75,89 @@
         self.calls = 0
 
     async def call(self, kind: Kind, request: Any) -> tuple[Status, bytes]:
-        """One call of another node."""
+        """Makes one call to the node."""
         reply = await self.store._handle_call(kind, bytes(request))
         return reply.status, reply.body
 
-    async def submit(self, name: str, items: int = 3, most: int = 0, attempts: int = 2) -> Status:
-        """Submit a job whose items have 10 tokens each."""
+    async def submit(
+        self, name: str, items: int = 3, max_queued_tokens: int = 0, attempts: int = 2
+    ) -> Status:
+        """Submits a job whose items have 10 tokens each."""
         listed = [BatchItem(id=f"{name}-{k}", path="/p", body=b"b", tokens=10) for k in range(items)]
         job = BatchJob(id=name, route="r", host="h", completion_ms=8000, retention_ms=60_000)
         job.max_attempts = attempts
         put_items(job, listed)
-        status, _ = await self.call(Kind.SUBMIT, SubmitRequest(job, most, SHARD))
+        status, _ = await self.call(Kind.SUBMIT, SubmitRequest(job, max_queued_tokens, SHARD))
         return status
 
     async def lease(self, want: int, held: list[LeasedItem] | None = None) -> list[LeasedItem]:
-        """A dispatcher's call for items, not held by the owner; `held` are all that have reached it."""
-        status, body = await self.call(Kind.LEASE, self.wanting(want, held or [], 0))
+        """Leases items without waiting; `held` are all items that the dispatcher has received."""
+        status, body = await self.call(Kind.LEASE, self.next_lease_request(want, held or [], 0))
         self.assertEqual(status, Status.OK)
         return LeaseReply().parse(body).items
 
-    def wanting(self, want: int, held: list[LeasedItem], wait_ms: int) -> LeaseRequest:
-        """A dispatcher's next call for items."""
+    def next_lease_request(self, want: int, held: list[LeasedItem], wait_ms: int) -> LeaseRequest:
+        """Returns a dispatcher's next request for items."""
         self.calls += 1
         names = [ItemName(i.job, item_id(i), i.lease) for i in held]
         return LeaseRequest("edge", want, wait_ms, [], SHARD, names, self.calls)
 
     async def report(self, item: LeasedItem, outcome: Outcome, text: bytes = b"") -> None:
-        """A dispatcher's report of one item."""
+        """Reports the outcome of one item."""
         report = ItemReport(item.job, item_id(item), outcome, text, item.lease)
         status, _ = await self.call(Kind.FINISH, FinishRequest("edge", [report], SHARD))
         self.assertEqual(status, Status.OK)
 
     async def read(self, name: str, start: int = 0) -> list[tuple[str, bool, bytes]]:
-        """Results from a position on."""
+        """Returns results from a position on."""
         status, body = await self.call(Kind.READ, ReadRequest(job=name, start=start, shard=SHARD))
         self.assertEqual(status, Status.OK)
         return [(r.item, r.succeeded, r.text) for r in ReadReply().parse(body).results]
 
-    async def test_a_job_is_taken_once_and_only_if_it_fits(self) -> None:
-        self.assertEqual(await self.submit("a", 3, most=50), Status.OK)
-        self.assertEqual(await self.submit("a", 3, most=50), Status.OK)
+    async def test_job_is_accepted_once_and_only_within_the_quota(self) -> None:
+        self.assertEqual(await self.submit("a", 3, max_queued_tokens=50), Status.OK)
+        self.assertEqual(await self.submit("a", 3, max_queued_tokens=50), Status.OK)
         self.assertEqual(len(self.owned.state.jobs), 1)
-        self.assertEqual(await self.submit("b", 3, most=50), Status.OVER_QUOTA)
+        self.assertEqual(await self.submit("b", 3, max_queued_tokens=50), Status.OVER_QUOTA)
         for item in await self.lease(1):
             await self.report(item, Outcome.DONE, b"t")
-        self.assertEqual(await self.submit("b", 3, most=50), Status.OK)
+        self.assertEqual(await self.submit("b", 3, max_queued_tokens=50), Status.OK)
 
-    async def test_the_same_job_twice_at_once_is_taken_once(self) -> None:
+    async def test_concurrent_submissions_of_a_job_are_accepted_once(self) -> None:
         statuses = await asyncio.gather(self.submit("a"), self.submit("a"))
         self.assertEqual(statuses, [Status.OK, Status.OK])
         self.assertEqual(self.owned.state.waiting_tokens["r"], 30)
 
-    async def test_lost_answers_are_given_again_and_repeated_failures_count_once(self) -> None:
+    async def test_items_of_lost_replies_are_leased_again_and_repeated_failures_count_once(self) -> None:
         await self.submit("a", 3)
-        kept = await self.lease(1)
-        lost = await self.lease(2, held=kept)
+        received = await self.lease(1)
+        lost = await self.lease(2, held=received)
         self.assertEqual(len(lost), 2)
-        again = await self.lease(3, held=kept)
-        rest = await self.lease(3, held=[*kept, *again])
+        again = await self.lease(3, held=received)
+        rest = await self.lease(3, held=[*received, *again])
         await self.submit("b", 1, attempts=2)
-        first = next(i for i in await self.lease(3, held=[*kept, *again]) if i.job == "b")
-        await self.report(first, Outcome.FAILED)
-        await self.report(first, Outcome.FAILED)  # the same report, sent again
-        early = await self.read("b")
-        self.assertEqual(({item_id(i) for i in again}, rest, early), ({item_id(i) for i in lost}, [], []))
-
-    async def test_positions_stay_and_repeated_reports_change_nothing(self) -> None:
+        first_item = next(i for i in await self.lease(3, held=[*received, *again]) if i.job == "b")
+        await self.report(first_item, Outcome.FAILED)
+        await self.report(first_item, Outcome.FAILED)  # a repeated report
+        results_of_b = await self.read("b")
+        self.assertEqual(
+            ({item_id(i) for i in again}, rest, results_of_b), ({item_id(i) for i in lost}, [], [])
+        )
+
+    async def test_result_positions_are_stable_and_repeated_reports_change_nothing(self) -> None:
         await self.submit("a", 2)
-        first, second = await self.lease(2)
+        first_item, second = await self.lease(2)
         await self.report(second, Outcome.DONE, b"two")
-        await self.report(first, Outcome.DONE, b"one")
+        await self.report(first_item, Outcome.DONE, b"one")
         await self.report(second, Outcome.DONE, b"other")
-        wanted = [(item_id(second), True, b"two"), (item_id(first), True, b"one")]
-        self.assertEqual(await self.read("a"), wanted)
-        self.assertEqual(await self.read("a", 1), wanted[1:])
+        expected = [(item_id(second), True, b"two"), (item_id(first_item), True, b"one")]
+        self.assertEqual(await self.read("a"), expected)
+        self.assertEqual(await self.read("a", 1), expected[1:])
 
-    async def test_an_item_is_dead_after_its_attempts(self) -> None:
+    async def test_item_fails_after_its_last_attempt(self) -> None:
         await self.submit("a", 1, attempts=2)
-        (first,) = await self.lease(1)
-        await self.report(first, Outcome.FAILED)
+        (first_item,) = await self.lease(1)
+        await self.report(first_item, Outcome.FAILED)
         self.assertEqual(await self.read("a"), [])
         self.assertEqual(await self.lease(1), [])
         self.now += FAILED_PAUSE
@@ -161,13 +165,13 @@
         await self.report(second, Outcome.FAILED)
         self.assertEqual(await self.read("a"), [("a-0", False, b"")])
 
-    async def test_what_cannot_be_done_is_dead_at_once(self) -> None:
+    async def test_undoable_item_fails_immediately(self) -> None:
         await self.submit("a", 1)
         (item,) = await self.lease(1)
         await self.report(item, Outcome.UNDOABLE)
         self.assertEqual(await self.read("a"), [("a-0", False, b"")])
 
-    async def test_an_ended_job_gives_out_nothing_and_stays_readable(self) -> None:
+    async def test_ended_job_leases_no_items_and_stays_readable(self) -> None:
         await self.submit("a", 2)
         (item,) = await self.lease(1)
         await self.report(item, Outcome.DONE, b"t")
@@ -176,41 +180,43 @@
         self.assertEqual(await self.lease(2), [])
         self.assertEqual(await self.read("a"), [("a-0", True, b"t")])
 
-    async def test_bodies_are_told_until_their_item_is_listed(self) -> None:
+    async def test_item_body_is_readable_until_the_item_has_a_result(self) -> None:
         await self.submit("a", 1)
-        asked = ReadRequest(job="a", item="a-0", shard=SHARD)
-        status, body = await self.call(Kind.BODY, asked)
+        read_request = ReadRequest(job="a", item="a-0", shard=SHARD)
+        status, body = await self.call(Kind.BODY, read_request)
         self.assertEqual((status, ReadReply().parse(body).body), (Status.OK, b"b"))
         (item,) = await self.lease(1)
         await self.report(item, Outcome.DONE, b"t")
-        self.assertEqual((await self.call(Kind.BODY, asked))[0], Status.UNKNOWN)
+        self.assertEqual((await self.call(Kind.BODY, read_request))[0], Status.UNKNOWN)
 
-    async def test_an_unknown_job_is_unknown_only_under_a_lease(self) -> None:
-        asked = ReadRequest(job="none", shard=SHARD)
-        self.assertEqual((await self.call(Kind.READ, asked))[0], Status.UNKNOWN)
+    async def test_job_is_reported_unknown_only_while_the_owner_holds_its_lease(self) -> None:
+        read_request = ReadRequest(job="none", shard=SHARD)
+        self.assertEqual((await self.call(Kind.READ, read_request))[0], Status.UNKNOWN)
         with mock.patch.object(self.replica, "holds_lease", return_value=False):
-            self.assertEqual((await self.call(Kind.READ, asked))[0], Status.NOT_OWNER)
-
-    async def test_while_a_submission_may_yet_be_applied_a_repeat_is_not_refused(self) -> None:
-        """The entry is in the log and the disk refuses it: no refusal and no acceptance would be true."""
-        refuses = mock.patch.object(self.store.host._journal, "append", side_effect=OSError("full"))
-        with refuses, mock.patch("heronstall.controlplane.store.COMMIT_TIMEOUT", 0.02):
-            self.assertEqual(await self.submit("j", most=100), Status.UNSURE)
-            self.assertEqual(await self.submit("j", most=1), Status.UNSURE)  # it would not fit any more
-            self.assertEqual(await self.submit("other", most=40), Status.OVER_QUOTA)  # its tokens count
+            self.assertEqual((await self.call(Kind.READ, read_request))[0], Status.NOT_OWNER)
+
+    async def test_repeat_is_not_refused_while_the_submission_may_still_be_applied(self) -> None:
+        """While the disk refuses the log entry, neither a refusal nor an acceptance would be correct."""
+        full_disk = mock.patch.object(self.store.host._journal, "append", side_effect=OSError("full"))
+        with full_disk, mock.patch("heronstall.controlplane.store.COMMIT_TIMEOUT", 0.02):
+            self.assertEqual(await self.submit("j", max_queued_tokens=100), Status.UNSURE)
+            # The repeat would exceed this quota.
+            self.assertEqual(await self.submit("j", max_queued_tokens=1), Status.UNSURE)
+            # The tokens of "j" count already.
+            self.assertEqual(await self.submit("other", max_queued_tokens=40), Status.OVER_QUOTA)
             end = await self.call(Kind.END, ReadRequest(job="j", shard=SHARD))
             self.assertEqual(end[0], Status.UNSURE)
         self.now += 1.0
         self.assertEqual(await self.submit("next"), Status.OK)
-        self.assertEqual(await self.submit("j", most=1), Status.OK)
+        self.assertEqual(await self.submit("j", max_queued_tokens=1), Status.OK)
         self.assertEqual(set(self.owned.state.jobs), {"j", "next"})
         self.assertEqual(self.owned.pending_submissions, {})
         self.assertEqual(self.owned.pending_tokens["r"], 0)
 
-    async def test_a_disk_that_refuses_gives_no_acceptance(self) -> None:
-        refusing = mock.patch.object(self.store.host._journal, "append", side_effect=OSError("full"))
-        soon = mock.patch("heronstall.controlplane.store.COMMIT_TIMEOUT", 0.01)
-        with refusing, soon:
+    async def test_submission_is_not_accepted_while_the_disk_refuses_writes(self) -> None:
+        full_disk = mock.patch.object(self.store.host._journal, "append", side_effect=OSError("full"))
+        short_timeout = mock.patch("heronstall.controlplane.store.COMMIT_TIMEOUT", 0.01)
+        with full_disk, short_timeout:
             self.assertEqual(await self.submit("a"), Status.UNSURE)
         self.assertEqual(self.owned.state.jobs, {})
 
--- a/tests/tier/test_store_simulation.py
+++ b/tests/tier/test_store_simulation.py
@@ -1,4 +1,4 @@
-"""Days of a simulated tier: batch jobs as storage and core nodes are lost; and planted mistakes."""
+"""Tests of the simulated tier: random runs of batch jobs with node failures, mutants, and scenarios."""
 
 from __future__ import annotations
 
@@ -19,33 +19,33 @@
 from heronstall.storage.journal import Journal
 from heronstall.transport.frames import Status
 from heronstall.transport.links import Reply
-from tests.tier.core_simulation import CATCH_UP, Violated
+from tests.tier.core_simulation import RECOVERY_BOUND, InvariantViolation
 from tests.tier.power_loss import Crashed, SyncedFiles
 from tests.tier.store_simulation import SimulatedTier, simulated_tier
-from tests.tier.store_walks import FORMED, Day, play
+from tests.tier.store_walks import FORMATION_SECONDS, RunSummary, simulate
 from tests.tier.virtual_loop import run_virtually
 
-DAYS = 3
+RUNS = 3
 FIRST_SEED = 4000
-FOUND_WITHIN = 3  # days in which a planted mistake is found
-PLANTED_SECONDS = 20.0
+MAX_RUNS_PER_MUTANT = 3  # random runs in which a mutant must be detected
+MUTANT_RUN_SECONDS = 20.0
 
 
-class Days(unittest.TestCase):
+class RandomRuns(unittest.TestCase):
     def test_every_promise_holds(self) -> None:
-        days: list[Day] = [play(seed) for seed in range(FIRST_SEED, FIRST_SEED + DAYS)]
-        self.assertGreater(sum(d.accepted for d in days), 50 * DAYS)
-        self.assertGreater(sum(sum(d.faults.values()) for d in days), 3 * DAYS)
+        runs: list[RunSummary] = [simulate(seed) for seed in range(FIRST_SEED, FIRST_SEED + RUNS)]
+        self.assertGreater(sum(d.accepted for d in runs), 50 * RUNS)
+        self.assertGreater(sum(sum(d.faults.values()) for d in runs), 3 * RUNS)
 
 
-async def decided_at_once(decision: asyncio.Future[Any]) -> Reply:
-    """Planted: a submission is acknowledged when it is proposed."""
+async def acknowledge_when_proposed(decision: asyncio.Future[Any]) -> Reply:
+    """Mutant: a submission is acknowledged when it is proposed."""
     return Reply(Status.OK)
 
 
 @contextlib.contextmanager
-def nothing_is_synced() -> Iterator[None]:
-    """Planted: the log is written and not synced."""
+def skip_syncs() -> Iterator[None]:
+    """Mutant: the log is written but not synced."""
 
     def sync(journal: Journal) -> None:
         journal._synced = journal._length
@@ -54,45 +54,45 @@
         yield
 
 
-class Planted(NamedTuple):
-    """A planted mistake, and the first of the days that are played for it."""
+class Mutant(NamedTuple):
+    """A mutant and the first seed of the random runs that must detect it."""
 
-    plant: Callable[[], AbstractContextManager[Any]]
+    apply: Callable[[], AbstractContextManager[Any]]
     seed: int
 
 
-PLANTED: dict[str, Planted] = {
-    "a submission is acknowledged when proposed": Planted(
-        lambda: mock.patch.object(Store, "_submission_reply", staticmethod(decided_at_once)), 2
+MUTANTS: dict[str, Mutant] = {
+    "a submission is acknowledged when proposed": Mutant(
+        lambda: mock.patch.object(Store, "_submission_reply", staticmethod(acknowledge_when_proposed)), 2
     ),
-    "an owner answers before it has applied its log": Planted(
+    "an owner answers before it has applied its log": Mutant(
         lambda: mock.patch.object(Leases, "established", property(lambda leases: leases._state.leads)), 1
     ),
-    "a machine counts as emptied at once": Planted(
+    "a machine counts as empty immediately": Mutant(
         lambda: mock.patch.object(Core, "_holds_no_shards", lambda core, replica: True), 3
     ),
-    "nothing is synced": Planted(nothing_is_synced, 1),
+    "nothing is synced": Mutant(skip_syncs, 1),
 }
 
 
-class PlantedMistakes(unittest.TestCase):
-    def test_each_is_found(self) -> None:
-        for name, planted in PLANTED.items():
-            days = range(planted.seed, planted.seed + FOUND_WITHIN)
-            with self.subTest(name), planted.plant():
-                self.assertTrue(any(self.found(seed) for seed in days), name)
+class MutantTest(unittest.TestCase):
+    def test_each_mutant_is_detected(self) -> None:
+        for name, mutant in MUTANTS.items():
+            runs = range(mutant.seed, mutant.seed + MAX_RUNS_PER_MUTANT)
+            with self.subTest(name), mutant.apply():
+                self.assertTrue(any(self.is_detected(seed) for seed in runs), name)
 
     @staticmethod
-    def found(seed: int) -> bool:
+    def is_detected(seed: int) -> bool:
         try:
-            play(seed, PLANTED_SECONDS)
-        except Violated:
+            simulate(seed, MUTANT_RUN_SECONDS)
+        except InvariantViolation:
             return True
         return False
 
 
 class PowerLosses(unittest.TestCase):
-    """What the simulated disks leave."""
+    """The contents of simulated disks after a power loss."""
 
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
@@ -100,9 +100,9 @@
         self.folder = Path(folder.name)
         self.files = SyncedFiles(random.Random(1))
 
-    def test_what_was_synced_stays_and_the_rest_is_lost_in_part(self) -> None:
+    def test_synced_bytes_survive_and_others_are_lost_in_part(self) -> None:
         path = self.folder / "log"
-        left = set()
+        contents = set()
         for _ in range(40):
             with path.open("wb") as file:
                 file.write(b"safe")
@@ -110,39 +110,39 @@
                 self.files.sync(file.fileno())
                 file.write(b"rest")
             self.files.lose_power(self.folder)
-            left.add(path.read_bytes())
-        self.assertTrue(all(found.startswith(b"safe") for found in left), left)
-        self.assertLessEqual({b"safe", b"saferest"}, left)
+            contents.add(path.read_bytes())
+        self.assertTrue(all(found.startswith(b"safe") for found in contents), contents)
+        self.assertLessEqual({b"safe", b"saferest"}, contents)
         self.assertEqual(self.files.torn, 40)
 
-    def test_a_node_may_end_within_its_next_sync(self) -> None:
-        struck: list[bool] = []
-        self.files.doom(self.folder, lambda: struck.append(True))
+    def test_power_loss_can_interrupt_the_next_sync(self) -> None:
+        power_losses: list[bool] = []
+        self.files.doom(self.folder, lambda: power_losses.append(True))
         with (self.folder / "log").open("wb") as file, self.assertRaises(Crashed):
             self.files.sync(file.fileno())
-        self.assertEqual(struck, [True])
+        self.assertEqual(power_losses, [True])
         self.assertFalse(self.files.spare(self.folder))
 
 
-class Situations(unittest.TestCase):
-    def play(self, run: Callable[[SimulatedTier], Coroutine[Any, Any, None]]) -> None:
+class Scenarios(unittest.TestCase):
+    def run_scenario(self, run: Callable[[SimulatedTier], Coroutine[Any, Any, None]]) -> None:
         with tempfile.TemporaryDirectory() as folder, simulated_tier(Path(folder), 5) as tier:
             run_virtually(run(tier))
 
-    def test_a_lost_disk_is_made_good_within_the_bound(self) -> None:
+    def test_lost_disk_is_recovered_within_the_bound(self) -> None:
         async def run(tier: SimulatedTier) -> None:
             await tier.start(dispatchers=1)
-            await asyncio.sleep(FORMED)
-            self.assertTrue(tier.stores_whole())
+            await asyncio.sleep(FORMATION_SECONDS)
+            self.assertTrue(tier.stores_have_expected_voters())
             for ip in sorted(tier.stores):
-                await tier.restart_store(ip, 0.5, power=True, wiped=True)
-                await asyncio.sleep(CATCH_UP)
-                self.assertTrue(tier.stores_whole(), tier.placements())
+                await tier.restart_store(ip, 0.5, power_loss=True, wiped=True)
+                await asyncio.sleep(RECOVERY_BOUND)
+                self.assertTrue(tier.stores_have_expected_voters(), tier.placements())
 
-        self.play(run)
+        self.run_scenario(run)
 
     def test_a_day_is_the_same_when_it_is_played_again(self) -> None:
-        first, second = (play(FIRST_SEED, 6.0) for _ in range(2))
+        first, second = (simulate(FIRST_SEED, 6.0) for _ in range(2))
         self.assertEqual(first, second)
 
 
