--- a/benchmarks/tier_days.py
+++ b/benchmarks/tier_days.py
@@ -2,8 +2,8 @@
 
     python -m benchmarks.tier_days [--days 1000] [--first 0] [--at-once 8] [--kind tier|core]
 
-Real programs in virtual time (`tests/tier/store_walks.py`, `core_walks.py`): each day draws its troubles from
-its seed, and every promise is checked. Prints a line for each broken one, with what led to it, then the sums.
+Real programs in virtual time (`tests/tier/store_random_runs.py`, `core_random_runs.py`): each day draws its
+troubles from its seed, and every promise is checked. Prints a line for each broken one, with what led to it, then the sums.
 Ends with 1 where a promise is broken.
 """
 
@@ -17,7 +17,7 @@
 from concurrent.futures import ProcessPoolExecutor
 from typing import NamedTuple
 
-from tests.tier import core_walks, store_walks
+from tests.tier import core_random_runs, store_random_runs
 from tests.tier.core_simulation import InvariantViolation
 
 
@@ -32,7 +32,7 @@
 def tier_day(seed: int) -> Outcome:
     """A day of core and storage nodes."""
     try:
-        day = store_walks.simulate(seed)
+        day = store_random_runs.simulate(seed)
     except InvariantViolation as violation:
         return Outcome(seed, str(violation), Counter())
     told = {"jobs accepted": day.accepted, "jobs refused": day.refused, "files torn": day.torn}
@@ -42,7 +42,7 @@
 def core_day(seed: int) -> Outcome:
     """A day of the core alone: every fourth one has five nodes."""
     try:
-        calls = core_walks.simulate(seed, size=3 if seed % 4 else 5)
+        calls = core_random_runs.simulate(seed, size=3 if seed % 4 else 5)
     except InvariantViolation as violation:
         return Outcome(seed, str(violation), Counter())
     return Outcome(seed, "", Counter(f"calls: {call.answer.value}" for call in calls))
--- a/tests/tier/store_walks.py
+++ b/tests/tier/store_random_runs.py
@@ -10,8 +10,8 @@
 from typing import NamedTuple, cast
 
 from heronstall.distribution.shards import BATCH_SHARDS
+from tests.tier.core_random_runs import CHECK_INTERVAL, Operator
 from tests.tier.core_simulation import RECOVERY_BOUND, InvariantViolation
-from tests.tier.core_walks import CHECK_INTERVAL, Operator
 from tests.tier.store_simulation import BatchDispatcher, Clients, SimulatedTier, simulated_tier
 from tests.tier.virtual_loop import run_virtually
 
--- a/tests/tier/test_core_simulation.py
+++ b/tests/tier/test_core_simulation.py
@@ -24,8 +24,8 @@
 from heronstall.replication.protocol import Timing
 from heronstall.transport.frames import Status
 from heronstall.transport.messages import ConfigChange, Session, ShardVersion, SyncReply, SyncRequest
+from tests.tier.core_random_runs import simulate
 from tests.tier.core_simulation import CONFIG_APPLY, InvariantViolation, SimulatedCore, simulated
-from tests.tier.core_walks import simulate
 from tests.tier.register_history import Answer
 from tests.tier.virtual_loop import run_virtually
 
--- a/tests/tier/test_store_simulation.py
+++ b/tests/tier/test_store_simulation.py
@@ -21,8 +21,8 @@
 from heronstall.transport.links import Reply
 from tests.tier.core_simulation import RECOVERY_BOUND, InvariantViolation
 from tests.tier.power_loss import Crashed, SyncedFiles
+from tests.tier.store_random_runs import FORMATION_SECONDS, RunSummary, simulate
 from tests.tier.store_simulation import SimulatedTier, simulated_tier
-from tests.tier.store_walks import FORMATION_SECONDS, RunSummary, simulate
 from tests.tier.virtual_loop import run_virtually
 
 RUNS = 3
