--- a/benchmarks/tier_days.py
+++ b/benchmarks/tier_days.py
@@ -3,8 +3,8 @@
     python -m benchmarks.tier_days [--days 1000] [--first 0] [--at-once 8] [--kind tier|core]
 
 Real programs in virtual time (`tests/tier/store_random_runs.py`, `core_random_runs.py`): each day draws its
-troubles from its seed, and every promise is checked. Prints a line for each broken one, with what led to it, then the sums.
-Ends with 1 where a promise is broken.
+troubles from its seed, and every promise is checked. Prints a line for each broken one, with what led to it,
+then the sums. Ends with 1 where a promise is broken.
 """
 
 from __future__ import annotations
--- a/heronstall/controlplane/api.py
+++ b/heronstall/controlplane/api.py
@@ -103,9 +103,9 @@
         submitted = parsed.ok_value
         base = if_match.strip('" ')
         digest = hashlib.sha256(method.encode() + base.encode() + canonical_json(submitted)).hexdigest()[:32]
-        accepted_revision = config.accepted_revision(digest)
-        if accepted_revision is not None:
-            return json_response(200, {"revision": accepted_revision})
+        known_revision = config.accepted_revision(digest)
+        if known_revision is not None:
+            return json_response(200, {"revision": known_revision})
         if base != str(current):
             revision = submitted.get("revision")
             if isinstance(revision, int) and config.may_be_forgotten(revision):
--- a/tests/tier/store_simulation.py
+++ b/tests/tier/store_simulation.py
@@ -111,9 +111,9 @@
 
     def is_complete(self, job: str) -> bool:
         """Whether a successful result was read for every item of a job."""
-        results = self.results.get(job, [])
-        return len(results) == self.accepted[job] and all(
-            done and text == result_text(job, item) for item, done, text in results
+        rows = self.results.get(job, [])
+        return len(rows) == self.accepted[job] and all(
+            done and text == result_text(job, item) for item, done, text in rows
         )
 
 
@@ -455,9 +455,9 @@
             missing = [job for job in missing if not observations.is_complete(job)]
             await asyncio.sleep(0.1)
         if missing:
-            results = {job: observations.results.get(job) for job in missing[:3]}
+            examples = {job: observations.results.get(job) for job in missing[:3]}
             raise InvariantViolation(
-                f"{len(missing)} accepted jobs are not complete: {results}; {self._tier.placements()}"
+                f"{len(missing)} accepted jobs are not complete: {examples}; {self._tier.placements()}"
             )
 
     def _dispatcher(self) -> BatchDispatcher:
--- a/tests/tier/test_drain.py
+++ b/tests/tier/test_drain.py
@@ -1,10 +1,10 @@
 """Tests that a dispatcher that shuts down answers each request that it has read.
 
 They guard against a fault seen in rolling restarts: the answer to a forwarded request was truncated 100 ms
-after the draining dispatcher had closed its listener, 5 s before the end of its grace time. The drain counted
+after the draining dispatcher had closed its listener, 5 s before its grace time was over. The drain counted
 requests whose handler had started and so missed one whose bytes had been read in the same iteration of the
-event loop. The tests let the bytes arrive a varying number of iterations before the shutdown; the fault showed
-for some of these numbers.
+event loop. The tests let the bytes arrive a varying number of iterations before the shutdown; the fault
+showed for some of these numbers.
 """
 
 from __future__ import annotations
