--- a/heronstall/controlplane/store.py
+++ b/heronstall/controlplane/store.py
@@ -349,8 +349,8 @@
             return False
         if not request.call:
             return True  # the dispatcher does not number its calls
-        kept = {(name.job, name.item) for name in (*request.held, *request.reported)}
-        if owned.leases.take_back(request.holder, kept):
+        still_held = {(name.job, name.item) for name in (*request.held, *request.reported)}
+        if owned.leases.take_back(request.holder, still_held):
             owned.wake()
         return True
 
--- a/tests/tier/register_history.py
+++ b/tests/tier/register_history.py
@@ -63,12 +63,12 @@
     """Whether some order of the calls, each within its time, gives all answers (Wing and Gong's search)."""
     order = sorted(calls, key=lambda c: c.start)
     ends = [NEVER if c.answer is Answer.UNKNOWN else c.end for c in order]
-    clear = frozenset(n for n, c in enumerate(order) if c.answer is not Answer.UNKNOWN)
+    definite_calls = frozenset(n for n, c in enumerate(order) if c.answer is not Answer.UNKNOWN)
     visited: set[tuple[frozenset[int], Register]] = set()
     pending = [(frozenset[int](), Register())]
     while pending:
         done, register = pending.pop()
-        if clear <= done:
+        if definite_calls <= done:
             return True
         if (done, register) in visited:
             continue
--- a/tests/tier/store_simulation.py
+++ b/tests/tier/store_simulation.py
@@ -253,10 +253,10 @@
         deadline = time.monotonic() + 12.0
         while time.monotonic() < deadline:
             node = self.rng.choice(sorted(self.machines))
-            asked = await self.http(
+            post_response = await self.http(
                 node, "POST", f"/-/retire/{name}", json.dumps({"deadline_s": 10}).encode(), ""
             )
-            if asked is not None and asked.status == 409:
+            if post_response is not None and post_response.status == 409:
                 return False
             state = await self.http(node, "GET", f"/-/retire/{name}", b"", "")
             if state is not None and state.status == 200 and b"succeeded" in cast(bytes, state.body):
