--- a/heronstall/controlplane/api.py
+++ b/heronstall/controlplane/api.py
@@ -59,13 +59,13 @@
             return await self._handle_retirement(method, path.removeprefix("/-/retire/"), request)
         if path == "/-/readyz":
             return json_response(200)
-        return json_response(404, {"error": "unknown path"})
+        return json_response(404, {"error": "no such path"})
 
     def _redirect_to_leader(self, group: str, request: web.BaseRequest) -> web.Response:
         """Redirects the caller to the group's leader, or responds with 503 if none is known."""
         address = self._core.leader_address(group)
         if address is None:
-            return unavailable_response("this node knows no leader")
+            return unavailable_response("no leader is known here")
         response = json_response(307)
         host = address.rpartition(":")[0]
         response.headers["Location"] = f"http://{host}:{self._control_port}{request.raw_path}"
@@ -76,7 +76,7 @@
     async def _handle_config(self, request: web.BaseRequest, method: str) -> web.StreamResponse:
         """Responds with the newest state: a majority confirms the leadership after the request arrived."""
         if method not in ("GET", "PUT", "PATCH"):
-            return json_response(405, {"error": "expected method GET, PUT or PATCH"})
+            return json_response(405, {"error": "GET, PUT or PATCH is wanted"})
         body = await request.read()
         if not await self._is_confirmed_leader(CONFIG):
             return self._redirect_to_leader(CONFIG, request)
@@ -109,8 +109,8 @@
         if base != str(current):
             revision = submitted.get("revision")
             if isinstance(revision, int) and config.may_be_forgotten(revision):
-                return unavailable_response("a change to this revision may have been accepted long ago")
-            return self._reject(ConfigFault.WRONG_BASE, f"the current revision is {current}")
+                return unavailable_response("so old a change may have been taken")
+            return self._reject(ConfigFault.WRONG_BASE, f"revision {current} is current")
         successor = self._build_successor(method, submitted)
         if isinstance(successor, Err):
             return self._reject(*successor.err_value)
@@ -119,9 +119,9 @@
         change = ConfigChange(current, document["revision"], text, digest)
         outcome = await self._core.change_config(change)
         if outcome is None:
-            return unavailable_response("unknown whether the change was accepted")
+            return unavailable_response("it may or may not have been taken")
         if outcome is ChangeOutcome.REFUSED:
-            return self._reject(ConfigFault.WRONG_BASE, f"the current revision is {config.state.revision}")
+            return self._reject(ConfigFault.WRONG_BASE, f"revision {config.state.revision} is current")
         log.info("configuration taken", revision=change.revision, again=outcome is ChangeOutcome.REPEATED)
         return json_response(200, {"revision": change.revision})
 
@@ -153,13 +153,13 @@
         if method == "DELETE":
             return await self._deregister(request, worker)
         if method != "PUT":
-            return json_response(405, {"error": "expected method PUT or DELETE"})
+            return json_response(405, {"error": "PUT or DELETE is wanted"})
         parsed = parse_object(await request.read())
         if isinstance(parsed, Err):
             return json_response(400, {"error": parsed.err_value[1]})
         heartbeat = _parse_heartbeat(worker, parsed.ok_value)
         if heartbeat is None:
-            return json_response(400, {"error": "expected service, address and state"})
+            return json_response(400, {"error": "service, address and state are wanted"})
         group = shard_of_service(heartbeat.service)
         if not self._core.leads(group):
             return self._redirect_to_leader(group, request)
@@ -168,7 +168,7 @@
         known = shard.workers.get(worker)
         has_news = _differs(known, heartbeat) and not shard.is_gone(worker)
         if has_news and await self._core.commit(group, worker_shard.encode_put(heartbeat)) is None:
-            return unavailable_response("unknown whether the change was committed")
+            return unavailable_response("not known to be kept")
         return json_response(200, {"heartbeat_url": self._core.settings.listen["control"]})
 
     async def _deregister(self, request: web.BaseRequest, worker: str) -> web.StreamResponse:
@@ -179,13 +179,13 @@
         core = self._core
         groups = [name for name, shard in core.workers.items() if shard.knows(worker)]
         if not groups and not core.is_fresh():
-            return unavailable_response("this node has no current contact with the leaders")
+            return unavailable_response("out of touch with the leaders")
         for group in groups:
             if not core.leads(group):
                 return self._redirect_to_leader(group, request)
         for group in groups or core.workers:
             if not await core.remove_worker(group, worker):
-                return unavailable_response("unknown whether the change was committed")
+                return unavailable_response("not known to be kept")
         return json_response(200)
 
     # ------------------------------------------------------------------ storage nodes
@@ -199,28 +199,26 @@
         known = core.config.storage_node(node)
         if known is None:
             return (
-                json_response(404, {"error": "unknown storage node"})
+                json_response(404, {"error": "no such storage node"})
                 if core.knows_live_stores()
-                else unavailable_response("this node started too recently to know the storage nodes")
+                else unavailable_response("just started")
             )
         if method == "GET":
             succeeded = known.stage == StoreStage.RETIRED
             return json_response(200, {"state": "succeeded" if succeeded else "active"})
         if method != "POST":
-            return json_response(405, {"error": "expected method GET or POST"})
+            return json_response(405, {"error": "GET or POST is wanted"})
         if known.stage != StoreStage.ACTIVE:
             return json_response(200)
         if not core.knows_live_stores():
-            return unavailable_response("this node started too recently to know the storage nodes")
+            return unavailable_response("just started")
         live = core.live_storage_replicas()
         staying = [s for s in core.config.state.stores if s.stage == StoreStage.ACTIVE and s.replica in live]
         if len([s for s in staying if s.name != node]) < core.replicas_per_shard:
-            return json_response(
-                409, {"error": f"at least {core.replicas_per_shard} storage nodes must remain"}
-            )
+            return json_response(409, {"error": f"{core.replicas_per_shard} storage nodes must remain"})
         retiring = StoreNode(known.name, known.replica, known.zone, StoreStage.RETIRING)
         if await core.commit(CONFIG, encode_command(Command.STORE, retiring)) is None:
-            return unavailable_response("unknown whether the change was accepted")
+            return unavailable_response("it may or may not have been taken")
         log.info("retiring", node=node, shards=len(BATCH_SHARDS))
         return json_response(200)
 
--- a/heronstall/controlplane/state/documents.py
+++ b/heronstall/controlplane/state/documents.py
@@ -57,11 +57,11 @@
     try:
         value = json.loads(body, object_pairs_hook=reject_duplicates)
     except _DuplicateKeyError as error:
-        return fault_result(ConfigFault.DUPLICATE, f"duplicate key {error}")
+        return fault_result(ConfigFault.DUPLICATE, f"key {error} stands twice")
     except ValueError as error:
         return fault_result(ConfigFault.UNREADABLE, str(error))
     if not isinstance(value, dict):
-        return fault_result(ConfigFault.UNREADABLE, "expected a JSON object")
+        return fault_result(ConfigFault.UNREADABLE, "an object is wanted")
     return Ok(value)
 
 
--- a/heronstall/controlplane/state/operator_config.py
+++ b/heronstall/controlplane/state/operator_config.py
@@ -52,21 +52,19 @@
     document["revision"] = patch.get("revision")
     upsert, remove = patch.get("upsert", {}), patch.get("remove", {})
     if not isinstance(upsert, dict) or not isinstance(remove, dict):
-        return fault_result(ConfigFault.WRONG_TYPE, "upsert, remove: expected objects")
+        return fault_result(ConfigFault.WRONG_TYPE, "upsert, remove: objects are wanted")
     for key, names in remove.items():
         if not isinstance(names, list):
-            return fault_result(ConfigFault.WRONG_TYPE, f"remove.{key}: expected a list")
+            return fault_result(ConfigFault.WRONG_TYPE, f"remove.{key}: a list is wanted")
         document[key] = [x for x in document.get(key, []) if x.get("name") not in names]
     for key, items in upsert.items():
         if isinstance(items, dict):
             document[key] = {**document.get(key, {}), **items}
             continue
         if not isinstance(items, list) or not all(isinstance(x, dict) and "name" in x for x in items):
-            return fault_result(
-                ConfigFault.WRONG_TYPE, f"upsert.{key}: expected a list of objects with a name"
-            )
+            return fault_result(ConfigFault.WRONG_TYPE, f"upsert.{key}: a list of named items is wanted")
         if len({str(x["name"]) for x in items}) < len(items):
-            return fault_result(ConfigFault.DUPLICATE, f"upsert.{key}: duplicate name")
+            return fault_result(ConfigFault.DUPLICATE, f"upsert.{key}: a name stands twice")
         new = {x["name"]: x for x in items}
         merged = [new.pop(x["name"], x) for x in document.get(key, [])]
         document[key] = [*merged, *new.values()]
@@ -77,7 +75,7 @@
     """Validates a document that is to replace the current revision."""
     revision = document.get("revision")
     if isinstance(revision, bool) or not isinstance(revision, int):
-        return fault_result(ConfigFault.WRONG_TYPE, "revision: expected an integer")
+        return fault_result(ConfigFault.WRONG_TYPE, "revision: a whole number is wanted")
     try:
         config = serde.from_dict(OperatorConfig, document)
     except Exception as error:  # pyserde passes on any exception of a value's conversion
@@ -85,11 +83,11 @@
     if revision <= current_revision:
         return fault_result(
             ConfigFault.OLD_REVISION,
-            f"revision {revision} is not greater than the current revision {current_revision}",
+            f"revision {revision} is not above {current_revision}",
         )
     for name, items in (("routes", config.routes), ("services", config.services)):
         if len({x.name for x in items}) < len(items):
-            return fault_result(ConfigFault.DUPLICATE, f"{name}: duplicate name")
+            return fault_result(ConfigFault.DUPLICATE, f"{name}: a name stands twice")
     return _validate_routes(config)
 
 
@@ -100,12 +98,12 @@
         route_match = (route.hostname.lower(), route.path_prefix)
         if route_match in route_matches:
             return fault_result(
-                ConfigFault.SAME_PLACE, f"{route.name}: another route has the same hostname and path_prefix"
+                ConfigFault.SAME_PLACE, f"{route.name}: another route has this host and prefix"
             )
         route_matches.add(route_match)
         if not route.path_prefix.startswith("/") or not route.path_prefix.endswith("/"):
             return fault_result(
-                ConfigFault.BAD_PREFIX, f"{route.name}: path_prefix must start and end with a slash"
+                ConfigFault.BAD_PREFIX, f"{route.name}: path_prefix must begin and end with a slash"
             )
         targets = {s.service for s in route.traffic_split} | ({route.service} if route.service else set())
         unknown = targets - services
@@ -117,8 +115,8 @@
         if weights and (sum(weights) <= 0 or min(weights) < 0):
             return fault_result(
                 ConfigFault.NO_WEIGHT,
-                f"{route.name}: weights must not be negative and their sum must be positive",
+                f"{route.name}: the weights sum to 0",
             )
         if not route.timeout_ms > 0:
-            return fault_result(ConfigFault.NO_TIMEOUT, f"{route.name}: timeout_ms must be positive")
+            return fault_result(ConfigFault.NO_TIMEOUT, f"{route.name}: timeout_ms must be above 0")
     return Ok(config)
