--- a/heronstall/decide.py
+++ b/heronstall/decide.py
@@ -1,8 +1,6 @@
-"""The decisions of one node. Its settings, events and actions are in `heronstall/interface.py`.
+"""Dispatch decisions of one node, after ProFaaStinate: two lanes, a busy/idle switch and a weighted draw.
 
-ProFaaStinate's two lanes, busy/idle switch and (ours) weighted draw decide the ordinary path: docs/design.md.
-Everything here is driven by `Balancer.handle`; time comes from its argument alone, in whole microseconds.
-"""
+`Balancer.handle` drives it; its `now`, in whole microseconds, is the only clock. See docs/design.md."""
 
 from __future__ import annotations
 
@@ -17,311 +15,315 @@
 from heronstall.policy.switch import Switch
 
 MS, SECOND = 1_000, 1_000_000
-NEVER = -(10**15)  # before any clock
-PACE = 200 * MS  # housekeeping: switch, doubts, background probes
-PROBE_LOST = 2 * SECOND  # a probe unanswered for so long is sent again
-START_WAIT = 40 * MS  # an attempt not started by then found no free slot, whatever a report said
-ROOM = 0.5  # weight, as a part of the slots wanted, from which a worker counts as having room
-BLIND = 1.05  # seconds: others' jobs of so long are not in a report, nor over, when an own job comes in
-SPEED_POWER, SPEED_PRIOR = 1.6, 5.0  # how much fast kinds are preferred; jobs it is shrunk by
-NEAR, NEAR_EVEN, NEAR_LEAST = 1.2, 2.0, 0.03  # near workers: in own loads, in even parts; least weight
-UNHEARD_NEAR, UNHEARD_LEAST = 2.4, 0.003  # the same where no worker reports: only own jobs are known
-REACH_HALF, REACH_LEAST = 2 * SECOND, 0.02  # a zone's lost reach is half forgotten after; its least weight
-UNREACHED, UNPROBED, REACHED = 0.4, 0.7, 1.3  # on reach: no connection, lost probe, answer
-SLOW_START = 300 * MS  # an attempt that waits longer for its start found its worker jammed
-TAKE_LESS, TAKE_MORE, TAKE_LEAST = 0.12, 0.04, 0.2  # per slow start, quick start; least
-REPROBE = 400 * MS  # a worker heard of more recently is not probed in the background; longer, the farther
-PROBES_PER_JOB, PROBE_CREDIT = 2.0, 10.0  # earned by an arrival (and one a second), saved up at the most
-PROBES_FIRST = 4.0  # credit to begin with; less from 40 nodes on, since all may start at one moment
-PROBE_WORTH = 0.004  # price of a probe a job up to which it earns more; a dearer one is earned more rarely
-TAKE_AGAIN = 0.1  # a second: who takes few jobs sees few starts to learn from
-LOOK_AGAIN = 30 * MS  # a job that no worker had room for is looked at again after, whatever comes in
-SHORT_FOR = 3 * SECOND  # after a job found no room in time, tenants beyond their share yield for so long
-SHARE_BURST = 3.0  # requests of a tenant at a time that a node takes as within its share, however small
-SAMPLE = 24  # workers looked at for one draw, whatever the fleet's size
-FADE = 4 * SECOND  # a report is worth half after, and what is free on the average the rest
-FULL_FADE = 300 * MS  # the same of a worker seen full, where no reports tell that it has room again
-SHARP = 4.0  # power of the weights where no start is told: a wrong send is neither seen nor taken back
-UNKNOWN_SIZE = 5.0  # slots of a worker, where none are told of
-REPORT_LAG = 900 * MS  # reports tell of a moment about so long ago
-OWN_ZONE = 2.0  # weight of a worker in the node's zone: the way is shorter and often cheaper
-MOVE_WAIT = SECOND  # before an attempt that has not started is moved: its work may run on
-SILENCE = SECOND  # an attempt not started by then, at a worker that reports room, is left unanswered
-DOUBT, DOUBT_FOR = 0.05, 15 * SECOND  # weight of a worker not proven meanwhile, and how long doubt lasts
-QUIET = 1.5  # times between notes of progress, after which an attempt counts as dead and its slot as free
-BREAKS = 1.0  # broken connections that a worker is allowed; each job that it serves halves their number
-EJECT_SHARE, EJECT_LONGEST = 0.4, 16.0  # share of workers ejected for failing, seconds of one: at the most
-RETRY_SHARE, RETRY_BURST = 0.2, 20.0  # retries earned by an arrival, and saved up at the most
-MOVE_SHARE = 1.0  # moves of unstarted attempts earned by an arrival: a cap on what may run twice
-COLD_SAFETY = 0.35  # part of a mean worker's cold budget given out; up to half more where nodes are many
-COLD_LARGEST = 0.3  # part of what is given out that a single job may take
+NEVER = -(10**15)  # earlier than any clock reading
+HOUSEKEEPING_PERIOD = 200 * MS  # of the switch, the suspicions and the background probes
+PROBE_TIMEOUT = 2 * SECOND  # after which an unanswered probe is sent again
+START_TIMEOUT = 40 * MS  # an attempt not started by then found no free slot, whatever a report said
+MIN_WEIGHT_PER_SLOT = 0.5  # least weight per requested slot at which a worker counts as having room
+UNREPORTED_SENDS_S = 1.05  # seconds of other nodes' sends that run, unreported, when a job arrives
+SPEED_EXPONENT, SPEED_PRIOR_JOBS = 1.6, 5.0  # of a kind's speed; jobs at mean speed that damp its estimate
+SUBSET_LOADS, SUBSET_SHARES, SUBSET_FLOOR = 1.2, 2.0, 0.03  # size in own loads, in even shares; weight floor
+UNREPORTED_LOADS, UNREPORTED_FLOOR = 2.4, 0.003  # the same without reports, when only own jobs are known
+REACH_HALF_LIFE, MIN_REACH = 2 * SECOND, 0.02  # of a zone's lost reachability; its least reachability
+NO_CONNECTION_FACTOR, PROBE_LOST_FACTOR, RESPONSE_FACTOR = 0.4, 0.7, 1.3  # applied to reachability
+SLOW_START_DELAY = 300 * MS  # an attempt that waits longer for its start found its worker congested
+ADMISSION_DECREASE, ADMISSION_INCREASE, MIN_ADMISSION = 0.12, 0.04, 0.2  # per slow, quick start; floor
+REPROBE_INTERVAL = 400 * MS  # since a worker's last report, until a background probe; longer when distant
+PROBES_PER_ARRIVAL, MAX_PROBE_CREDIT = 2.0, 10.0  # credit earned by an arrival (and one a second); its cap
+INITIAL_PROBE_CREDIT = 4.0  # less from 40 nodes on, since all may start at the same moment
+FULL_RATE_PROBE_PRICE = 0.004  # price of one probe per job up to which credit is earned at the full rate
+ADMISSION_RECOVERY_PER_S = 0.1  # a node that admits few jobs sees few starts to learn from
+RECHECK_DELAY = 30 * MS  # until a job without a worker is checked again, whichever events arrive
+SHORTAGE_DURATION = 3 * SECOND  # how long tenants over their share yield after a job found no room in time
+TENANT_BURST = 3.0  # simultaneous requests of a tenant that count as within its share, however small
+SAMPLE_SIZE = 24  # workers considered in one draw, whatever the fleet's size
+REPORT_HALF_LIFE = 4 * SECOND  # of a report's weight; the mean of the reported free slots has the rest
+FULL_HALF_LIFE = 300 * MS  # the same for a worker observed full, where no report tells of free slots
+WEIGHT_EXPONENT = 4.0  # where starts are not signalled: a wrong send is neither noticed nor taken back
+DEFAULT_SLOTS = 5.0  # assumed slots of a worker where none are reported
+REPORT_LAG = 900 * MS  # typical age of the state that a report describes
+OWN_ZONE_WEIGHT = 2.0  # factor for workers in the node's zone: the path is shorter and often cheaper
+MOVE_DELAY = SECOND  # until an unstarted attempt is moved: its work may run on after cancellation
+NEGLECT_TIMEOUT = SECOND  # an attempt not started by then, at a worker that reports room, is neglected
+UNPROVEN_WEIGHT, SUSPICION_DURATION = 0.05, 15 * SECOND  # factor for workers not proven since the suspicion
+PROGRESS_PERIODS = 1.5  # without a progress note, after which an attempt counts as dead and its slot as free
+TOLERATED_RESETS = 1.0  # connection resets that a worker is allowed; each job it serves halves the count
+MAX_EJECTED_SHARE, MAX_EJECTION_S = 0.4, 16.0  # of workers, for failures; longest ejection
+RETRIES_PER_ARRIVAL, RETRY_BURST = 0.2, 20.0  # retry budget earned by an arrival; its cap
+MOVES_PER_ARRIVAL = 1.0  # move budget earned by an arrival: limits the jobs that may run twice
+COLD_BUDGET_SHARE = 0.35  # used share of a mean worker's cold budget; up to half more with many nodes
+MAX_COLD_JOB_SHARE = 0.3  # share of the used cold budget that a single job may take
 
 
 class _Worker:
-    """What this node knows of one worker, and its own part of the load there."""
+    """What this node knows of one worker, and its own share of the load there."""
 
     def __init__(self, entry: i.WorkerEntry) -> None:
         self.entry = entry
-        self.started_at = entry.started_at or NEVER  # as the list or its own failing tells
+        self.started_at = entry.started_at or NEVER  # from the list, or inferred from a refused connection
         self.listed = True
-        self.far, self.near = 0.0, 1.0  # way round the ring from this node's place, and what it weighs
-        self.part = 1.0  # of what all nodes may send it while cold, times their number
-        self.size = 0.0  # slots, averaged over reports
-        self.own = 0.0  # own slots in flight
-        self.waiting: dict[tuple[int, int], _Attempt] = {}  # own attempts not known to have started
+        self.ring_distance, self.subset_weight = 0.0, 1.0  # from this node's position; the weight it gives
+        self.cold_share = 1.0  # of what all nodes may send it while cold, times the number of nodes
+        self.slots = 0.0  # averaged over reports
+        self.own_slots = 0.0  # slots of own attempts in flight
+        self.unstarted: dict[tuple[int, int], _Attempt] = {}  # own attempts not known to have started
         self.running: dict[tuple[int, int], _Attempt] = {}  # own attempts that have started
         self.changes: deque[tuple[int, float, float]] = deque()  # own slots, memory taken (<0) or returned
-        self.cold_sent: deque[tuple[int, float]] = deque()  # work sent while cold
-        self.forget()
+        self.cold_sends: deque[tuple[int, float]] = deque()  # time and work of jobs sent while cold
+        self.reset()
 
-    def forget(self) -> None:
-        """A new process under the same id: nothing learned of the old one holds."""
-        self.free, self.memory, self.util = UNKNOWN_SIZE, -1.0, -1.0
-        self.reported_at = self.probed_at = self.probe_until = self.last_sign = self.ejected_until = NEVER
-        self.lot, self.lot_until = 1.0, NEVER
-        self.trial = self.unreachable = False
-        self.timeout = SECOND
-        self.breaks = 0.0  # of connections, lately, between jobs that were served
-        self.failures = self.largest = 0.0  # largest: slots that it may have at the most, as far as reported
+    def reset(self) -> None:
+        """Forgets what was learned, since a new process runs under the same id."""
+        self.free_slots, self.free_memory, self.util = DEFAULT_SLOTS, -1.0, -1.0
+        self.reported_at = self.probed_at = self.probe_deadline = self.last_seen = self.ejected_until = NEVER
+        self.cold_draw, self.redraw_at = 1.0, NEVER
+        self.on_trial = self.unreachable = False
+        self.response_timeout = SECOND
+        self.recent_resets = 0.0  # of connections; served jobs reduce it
+        self.failures = self.max_slots = 0.0  # max_slots: the most slots it may have, as far as reported
 
 
 class _Attempt:
+    """One send of a job to a worker."""
+
     def __init__(self, job: _Job, index: int, worker: _Worker, now: int) -> None:
         self.job, self.index, self.worker = job, index, worker
-        self.sent = self.last_sign = now
-        self.started: int | None = None
-        self.out = self.maybe_ran = True
-        self.cancelled = self.judged = False  # judged: whether its start was slow has been counted
+        self.sent_at = self.last_seen = now
+        self.started_at: int | None = None
+        self.in_flight = self.may_have_run = True
+        self.cancelled = self.start_counted = False  # start_counted: in the admitted share, as slow or quick
 
 
 class _Job:
-    def __init__(self, e: i.Arrival, give_up: int) -> None:
-        self.id, self.cls, self.slots, self.memory = e.request, e.cls, e.slots, e.memory
-        self.give_up = self.aim_at = self.due = give_up
-        self.key = (0, give_up)
-        self.work = self.cold_cost = 0.0
-        self.hinted = e.work is not None
+    """A request in hand and its attempts."""
+
+    def __init__(self, event: i.Arrival, give_up_at: int) -> None:
+        self.id, self.cls, self.slots, self.memory = event.request, event.cls, event.slots, event.memory
+        self.give_up_at = self.aim_at = self.due_at = give_up_at
+        self.queue_key = (0, give_up_at)
+        self.work = self.cold_work = 0.0
+        self.has_work_hint = event.work is not None
         self.attempts: list[_Attempt] = []
         self.queued = self.done = self.streaming = self.late = False
-        self.yields = 0  # 1 when late, 2 when its tenant is beyond its share while room is short
+        self.rank = 0  # in the queue: 1 when late, 2 when its tenant is over its share during a shortage
 
-    def out(self) -> bool:
-        return any(a.out for a in self.attempts)
+    def in_flight(self) -> bool:
+        return any(a.in_flight for a in self.attempts)
 
-    def anchor(self) -> _Attempt | None:
-        """The first attempt that may have run: groups and repeat windows count from it."""
-        return next((a for a in self.attempts if a.maybe_ran), None)
+    def first_possible_run(self) -> _Attempt | None:
+        """Returns the first attempt that may have run; repeat groups and windows count from it."""
+        return next((a for a in self.attempts if a.may_have_run), None)
 
 
-class _Bucket:
-    """Tokens that time and `add` bring, up to a cap, and `take` uses."""
+class _TokenBucket:
+    """Tokens that accrue with time and by `add`, up to a capacity, and that `take` consumes."""
 
-    def __init__(self, cap: float, level: float, per_second: float = 0.0) -> None:
-        self.cap, self.level, self.per_second = cap, level, per_second
-        self.at: int | None = None
+    def __init__(self, capacity: float, tokens: float, refill_per_s: float = 0.0) -> None:
+        self.capacity, self.tokens, self.refill_per_s = capacity, tokens, refill_per_s
+        self.refilled_at: int | None = None
 
-    def add(self, tokens: float) -> None:
-        self.level = min(self.cap, self.level + tokens)
+    def add(self, amount: float) -> None:
+        self.tokens = min(self.capacity, self.tokens + amount)
 
     def take(self, now: int) -> bool:
-        if self.at is not None:
-            self.add(self.per_second * (now - self.at) / SECOND)
-        self.at = now
-        enough = self.level >= 1.0
-        self.level -= float(enough)
-        return enough
+        if self.refilled_at is not None:
+            self.add(self.refill_per_s * (now - self.refilled_at) / SECOND)
+        self.refilled_at = now
+        available = self.tokens >= 1.0
+        self.tokens -= float(available)
+        return available
 
 
 class Balancer:
-    """Decides for one node. Feed it every event; carry out every action, in order."""
+    """Decides for one node: takes every event, and returns the actions to carry out in order."""
 
     def __init__(self, settings: i.Settings, seed: int) -> None:
-        self._set = settings
+        self._settings = settings
         self._random = random.Random(seed)
         self._workers: dict[int, _Worker] = {}
         self._active: list[_Worker] = []  # those that the list names as active
-        self._rings: dict[int, list[_Worker]] = {}  # the same by zone, in the order that all nodes share
+        self._rings: dict[int, list[_Worker]] = {}  # the active ones by zone, in an order all nodes share
         self._jobs: dict[int, _Job] = {}
-        self._queue: DeadlineLane[_Job] = DeadlineLane()  # by deadline; those that yield behind
-        self._timers: list[tuple[int, int, _Job, _Attempt | None]] = []  # attempts to watch, last answers
-        self._out: list[i.Action] = []
-        self._taking = 1.0  # part of the arrivals that are taken
-        self._own, self._running = 6.0, 0.0  # own slots in flight lately, and those that had started
-        self._mean_size = 1.0  # slots of a worker, over those whose size is known
-        self._reach: dict[int, tuple[int, float]] = {}  # by zone: when last tried, how well it went
-        self._kinds: dict[int, tuple[float, float]] = {}  # by kind: sum of speeds seen, and their weight
-        self._mean_free: float | None = None  # reported by the workers on the average
-        self._born: int | None = None
-        self._pace_at = self._wake_at = self._look_at = self._tie = 0
+        self._queue: DeadlineLane[_Job] = DeadlineLane()  # by rank, then by deadline
+        self._timers: list[tuple[int, int, _Job, _Attempt | None]] = []  # attempt checks, final answers
+        self._actions: list[i.Action] = []
+        self._admission = 1.0  # of the arrivals
+        self._mean_own, self._mean_running = 6.0, 0.0  # own slots in flight; those started
+        self._mean_slots = 1.0  # of a worker, over those whose slots are known
+        self._reach: dict[int, tuple[int, float]] = {}  # by zone: when last tried, and the result
+        self._kind_speeds: dict[int, tuple[float, float]] = {}  # by kind: sum of observed speeds, weight
+        self._mean_free: float | None = None  # reported by the workers
+        self._started_at: int | None = None
+        self._housekeeping_at = self._wake_at = self._recheck_at = self._timer_number = 0
         self._switch = Switch()
-        self._longest = [0] * len(settings.classes)  # time that clients leave a request
-        self._mean = [c.aim * 1.0 for c in settings.classes]  # learned running time at speed 1
-        self._mean_run = 1.0 * SECOND  # of a job, at the workers' speeds
-        self._work_done, self._time_run = 1.0, 1.0  # by hints and by notes: the mean speed
-        self._proven: dict[tuple[int, int], list[_Worker]] = {}  # by class, zone in doubt: who started one
-        self._doubted_at: dict[tuple[int, int], int] = {}
-        self._retries, self._moves = (_Bucket(RETRY_BURST, RETRY_BURST / 2) for _ in range(2))
-        self._probes = _Bucket(PROBE_CREDIT, PROBES_FIRST - min(14.0, max(0.0, 0.2 * (settings.nodes - 40))))
-        self._probing = PROBE_WORTH / max(PROBE_WORTH, settings.probe_price)
-        self._next_probe = self._random.randrange(2**20)  # nodes must not ask the same worker at a time
-        self._stuck: _Job | None = None  # no worker had room for it, and nothing has changed since
-        self._ask_at, self._ask_pause = 0, SECOND
+        self._longest_wait = [0] * len(settings.classes)  # time that clients leave a request, by class
+        self._mean_work = [c.aim * 1.0 for c in settings.classes]  # learned running time at speed 1
+        self._mean_run = 1.0 * SECOND  # running time of a job at the workers' speeds
+        self._hinted_work, self._hinted_run_time = 1.0, 1.0  # their ratio is the mean speed
+        self._proven: dict[tuple[int, int], list[_Worker]] = {}  # by suspected class, zone: who started one
+        self._suspected_at: dict[tuple[int, int], int] = {}
+        self._retry_budget, self._move_budget = (_TokenBucket(RETRY_BURST, RETRY_BURST / 2) for _ in range(2))
+        self._probe_budget = _TokenBucket(
+            MAX_PROBE_CREDIT, INITIAL_PROBE_CREDIT - min(14.0, max(0.0, 0.2 * (settings.nodes - 40)))
+        )
+        self._probe_rate = FULL_RATE_PROBE_PRICE / max(FULL_RATE_PROBE_PRICE, settings.probe_price)
+        self._next_probe = self._random.randrange(2**20)  # random, so that nodes probe different workers
+        self._blocked_job: _Job | None = None  # no worker had room for it, and nothing has changed since
+        self._subscribe_at, self._subscribe_delay = 0, SECOND
         self._subscribed = not settings.discovery_on_request
         quotas = [t.quota_per_s / settings.nodes for t in settings.tenants]
-        self._shares = [_Bucket(max(SHARE_BURST, 2 * q), SHARE_BURST, q) for q in quotas]
-        self._short_until = NEVER  # end of a shortage of room
-        top = max(c.priority for c in settings.classes)
-        shortest = min(c.aim for c in settings.classes)
-        watchable = settings.cancelling and settings.tells_start
-        self._sharp = 1.0 if settings.tells_start else SHARP
-        self._note_after = 0 if settings.tells_start else settings.progress  # first note, from the start on
-        self._movable = [c.effect != "unsafe" and watchable for c in settings.classes]
-        self._deferrable = [c.priority < top or c.aim >= 2 * shortest for c in settings.classes]
+        self._tenant_budgets = [_TokenBucket(max(TENANT_BURST, 2 * q), TENANT_BURST, q) for q in quotas]
+        self._shortage_until = NEVER
+        top_priority = max(c.priority for c in settings.classes)
+        shortest_aim = min(c.aim for c in settings.classes)
+        can_move = settings.cancelling and settings.tells_start
+        self._weight_exponent = 1.0 if settings.tells_start else WEIGHT_EXPONENT
+        self._first_note_delay = 0 if settings.tells_start else settings.progress  # since the start of a job
+        self._movable = [c.effect != "unsafe" and can_move for c in settings.classes]
+        self._deferrable = [c.priority < top_priority or c.aim >= 2 * shortest_aim for c in settings.classes]
 
     def handle(self, now: int, events: Sequence[i.Event]) -> list[i.Action]:
-        """Take the events of one moment and say what to do. Events of unknown requests change nothing."""
-        self._out = []
-        self._born = now if self._born is None else self._born
+        """Processes the events of one moment and returns the actions. Ignores events of unknown requests."""
+        self._actions = []
+        self._started_at = now if self._started_at is None else self._started_at
         for e in events:
             if isinstance(e, i.Arrival):
-                self._arrive(now, e)
+                self._handle_arrival(now, e)
             elif isinstance(e, i.Outcome):
-                self._outcome(now, e)
+                self._handle_outcome(now, e)
             elif isinstance(e, i.JobNote):
-                self._started(now, e.request, e.attempt)
+                self._record_start(now, e.request, e.attempt)
             elif isinstance(e, i.ProbeResult):
-                self._probed(now, e)
+                self._handle_probe_result(now, e)
             elif isinstance(e, i.Hearsay):
-                self._heard(now, e)
+                self._handle_hearsay(now, e)
             elif isinstance(e, i.WorkerList):
-                self._list(now, e)
+                self._handle_worker_list(now, e)
             elif isinstance(e, (i.ClientGone, i.StreamStarted)) and e.request in self._jobs:
                 job = self._jobs[e.request]
                 if isinstance(e, i.StreamStarted):
                     job.streaming = True
-                    self._started(now, e.request, e.attempt)
+                    self._record_start(now, e.request, e.attempt)
                 elif not job.done:
                     self._end(job)
-        if now >= self._look_at or any(not isinstance(e, (i.Arrival, i.JobNote)) for e in events):
-            self._stuck = None
+        if now >= self._recheck_at or any(not isinstance(e, (i.Arrival, i.JobNote)) for e in events):
+            self._blocked_job = None
         while self._timers and self._timers[0][0] <= now:
             _, _, job, attempt = heapq.heappop(self._timers)
             if job.done or job.streaming:
                 continue
             if attempt is None:
-                self._finish(now, job)
+                self._refuse_or_fail(now, job)
             else:
-                self._watch(now, attempt)
-        if now >= self._pace_at:
-            self._pace_at = now + PACE
-            self._switch.update(now, self._utilisation(now))
-            self._housekeeping(now)
-        self._release(now)
-        wake = min(self._pace_at, self._timers[0][0]) if self._timers else self._pace_at
-        if self._stuck is not None:
-            wake = min(wake, max(self._look_at, now + self._set.tick))
+                self._check_attempt(now, attempt)
+        if now >= self._housekeeping_at:
+            self._housekeeping_at = now + HOUSEKEEPING_PERIOD
+            self._switch.update(now, self._mean_utilisation(now))
+            self._run_housekeeping(now)
+        self._dispatch_queued(now)
+        wake = min(self._housekeeping_at, self._timers[0][0]) if self._timers else self._housekeeping_at
+        if self._blocked_job is not None:
+            wake = min(wake, max(self._recheck_at, now + self._settings.tick))
         if not now < self._wake_at <= wake:
             self._wake_at = max(wake, now + 1)
-            self._out.append(i.WakeAt(self._wake_at))
-        return self._out
+            self._actions.append(i.WakeAt(self._wake_at))
+        return self._actions
 
-    def avoided(self, now: int) -> list[int]:
-        """The workers that are left out now by a decision of this node, though they are listed as active."""
+    def ejected_workers(self, now: int) -> list[int]:
+        """Returns the workers that the list names as active but that this node currently ejects."""
         return [w.entry.worker for w in self._active if w.ejected_until > now]
 
-    def _arrive(self, now: int, e: i.Arrival) -> None:
-        if e.request in self._jobs or not 0 <= e.cls < len(self._set.classes):
+    def _handle_arrival(self, now: int, e: i.Arrival) -> None:
+        if e.request in self._jobs or not 0 <= e.cls < len(self._settings.classes):
             return
-        c = self._set.classes[e.cls]
+        c = self._settings.classes[e.cls]
         job = self._jobs[e.request] = _Job(e, now + e.time_left)
-        # A client's later try has less time left than its first; the aim runs from the first.
-        self._longest[e.cls] = longest = max(self._longest[e.cls], e.time_left)
-        later = e.retry if self._set.marks_retry else e.time_left > c.aim
-        job.work = float(e.work) if e.work else self._mean[e.cls]
-        job.cold_cost = max(job.work, 0.5 * self._mean[e.cls])
-        run = job.work / self._speed()
-        first = now - (longest - e.time_left) * int(later)
-        job.aim_at = min(first + c.aim + int(c.stretch * job.work), first + c.deadline)
-        # Due: the last moment to start and still be in time; an expected size is trusted by half.
-        slack = c.stretch * job.work - run
-        job.due = first + c.aim // 2 + int(slack * 0.5 if slack > 0 else slack)
-        self._retries.add(RETRY_SHARE)
-        self._moves.add(MOVE_SHARE)
-        self._probes.add(PROBES_PER_JOB * self._probing)
-        if 0 <= e.tenant < len(self._shares):
-            job.yields = 2 * int(not self._shares[e.tenant].take(now) and now < self._short_until)
-        job.key = (job.yields, job.aim_at)
-        answer_at = job.give_up - 2 * self._set.tick
-        self._remind(answer_at, job, None)
+        self._longest_wait[e.cls] = longest_wait = max(self._longest_wait[e.cls], e.time_left)
+        is_retry = e.retry if self._settings.marks_retry else e.time_left > c.aim
+        job.work = float(e.work) if e.work else self._mean_work[e.cls]
+        job.cold_work = max(job.work, 0.5 * self._mean_work[e.cls])
+        run_time = job.work / self._mean_speed()
+        first_try_at = now - (longest_wait - e.time_left) * int(is_retry)  # a retry has less time left
+        job.aim_at = min(first_try_at + c.aim + int(c.stretch * job.work), first_try_at + c.deadline)
+        slack = c.stretch * job.work - run_time  # half of it is used, since the work is only expected
+        job.due_at = first_try_at + c.aim // 2 + int(slack * 0.5 if slack > 0 else slack)
+        self._retry_budget.add(RETRIES_PER_ARRIVAL)
+        self._move_budget.add(MOVES_PER_ARRIVAL)
+        self._probe_budget.add(PROBES_PER_ARRIVAL * self._probe_rate)
+        if 0 <= e.tenant < len(self._tenant_budgets):
+            job.rank = 2 * int(not self._tenant_budgets[e.tenant].take(now) and now < self._shortage_until)
+        job.queue_key = (job.rank, job.aim_at)
+        answer_at = job.give_up_at - 2 * self._settings.tick
+        self._set_timer(answer_at, job, None)
         if answer_at <= now:
             return
-        fits = (c.kind in (-1, w.entry.kind) and not 0 < w.largest < job.slots for w in self._active)
+        fits = (c.kind in (-1, w.entry.kind) and not 0 < w.max_slots < job.slots for w in self._active)
         if self._active and not any(fits):
-            self._finish(now, job)  # no wait can help
+            self._refuse_or_fail(now, job)  # waiting cannot help
             return
-        taking = self._taking if job.yields < 2 else 2.0 * self._taking - 1.0
-        if taking < 1.0 and self._set.tells_start and self._random.random() > taking:
-            self._short_until = now + SHORT_FOR
-            self._finish(now, job)
+        share = self._admission if job.rank < 2 else 2.0 * self._admission - 1.0
+        if share < 1.0 and self._settings.tells_start and self._random.random() > share:
+            self._shortage_until = now + SHORTAGE_DURATION
+            self._refuse_or_fail(now, job)
             return
-        urgent = not self._deferrable[e.cls] and not job.yields
-        worker = self._pick(now, job) if urgent else None
+        urgent = not self._deferrable[e.cls] and not job.rank
+        worker = self._choose_worker(now, job) if urgent else None
         if worker is None:
             self._enqueue(job)
         else:
             self._send(now, job, worker)
 
-    def _started(self, now: int, request: int, index: int) -> None:
+    def _record_start(self, now: int, request: int, index: int) -> None:
         job = self._jobs.get(request)
         if job is not None and 0 <= index < len(job.attempts):
             attempt = job.attempts[index]
-            attempt.last_sign = attempt.worker.last_sign = now
-            if attempt.started is None:
-                attempt.started = max(attempt.sent, now - self._note_after)
-                self._judge(attempt, attempt.started - attempt.sent > SLOW_START)
-                attempt.worker.waiting.pop((job.id, index), None)
-                if attempt.out:
+            attempt.last_seen = attempt.worker.last_seen = now
+            if attempt.started_at is None:
+                attempt.started_at = max(attempt.sent_at, now - self._first_note_delay)
+                self._adapt_admission(attempt, attempt.started_at - attempt.sent_at > SLOW_START_DELAY)
+                attempt.worker.unstarted.pop((job.id, index), None)
+                if attempt.in_flight:
                     attempt.worker.running[job.id, index] = attempt
                 proven = self._proven.get((job.cls, attempt.worker.entry.zone))
                 if proven is not None and attempt.worker not in proven:
                     proven.append(attempt.worker)
 
-    def _judge(self, attempt: _Attempt, slow: bool) -> None:
-        """Take fewer jobs while those sent wait long for their start, more again while they start at once."""
-        if not attempt.judged:
-            attempt.judged = True
-            less = max(TAKE_LEAST, self._taking * (1.0 - TAKE_LESS))
-            self._taking = less if slow else min(1.0, self._taking + TAKE_MORE)
+    def _adapt_admission(self, attempt: _Attempt, slow: bool) -> None:
+        """Admits fewer jobs while those sent wait long for their start, and more while they start at once."""
+        if not attempt.start_counted:
+            attempt.start_counted = True
+            reduced = max(MIN_ADMISSION, self._admission * (1.0 - ADMISSION_DECREASE))
+            self._admission = reduced if slow else min(1.0, self._admission + ADMISSION_INCREASE)
 
-    def _outcome(self, now: int, e: i.Outcome) -> None:
+    def _handle_outcome(self, now: int, e: i.Outcome) -> None:
         job = self._jobs.get(e.request)
         if job is None or not 0 <= e.attempt < len(job.attempts):
             return
         attempt = job.attempts[e.attempt]
         worker = attempt.worker
-        self._report(now, worker, e.report)
-        if not attempt.out:
+        self._apply_report(now, worker, e.report)
+        if not attempt.in_flight:
             return
-        attempt.out = False
-        attempt.maybe_ran = e.status not in i.PROVES_NOT_RUN
-        worker.waiting.pop((job.id, e.attempt), None)
+        attempt.in_flight = False
+        attempt.may_have_run = e.status not in i.PROVES_NOT_RUN
+        worker.unstarted.pop((job.id, e.attempt), None)
         worker.running.pop((job.id, e.attempt), None)
-        self._take(now, worker, job, -1.0, not self._gone_quiet(now, attempt))
-        self._health(now, attempt, e)
+        self._account_for(now, worker, job, -1.0, not self._misses_progress(now, attempt))
+        self._update_health(now, attempt, e)
         if e.ended and not job.done:
             self._end(job)
-        elif not job.done and not job.out():
-            self._again(now, job, e.status)
-        if job.done and not job.out():
+        elif not job.done and not job.in_flight():
+            self._retry_or_answer(now, job, e.status)
+        if job.done and not job.in_flight():
             self._jobs.pop(job.id, None)
 
-    def _list(self, now: int, e: i.WorkerList) -> None:
+    def _handle_worker_list(self, now: int, e: i.WorkerList) -> None:
         if e.scope == "error":
-            self._subscribed = not self._set.discovery_on_request
+            self._subscribed = not self._settings.discovery_on_request
             return
         if e.scope != "persisted":
             self._subscribed = True
-            self._ask_pause = SECOND
+            self._subscribe_delay = SECOND
         if e.scope != "changes":
             for worker in self._workers.values():
                 worker.listed = False
@@ -330,447 +332,447 @@
             if known is None:
                 known = self._workers[entry.worker] = _Worker(entry)
             elif entry.started_at and entry.started_at != known.entry.started_at:
-                known.forget()
+                known.reset()
                 known.started_at = entry.started_at
             known.entry = entry
             known.listed = entry.state == "active"
         for worker in list(self._workers.values()):
-            if not worker.listed and not worker.own:
+            if not worker.listed and not worker.own_slots:
                 del self._workers[worker.entry.worker]
         self._active = [w for w in self._workers.values() if w.listed]
-        self._arrange()
+        self._build_rings()
 
-    def _arrange(self) -> None:
-        """Place each zone's workers on a ring, in an order that all nodes share, from an own start."""
-        here = self._set.me * 0.6180339887 % 1.0  # golden section: all nodes, or one zone's, lie evenly apart
+    def _build_rings(self) -> None:
+        """Places each zone's workers on a ring, in an order that all nodes share, relative to this node."""
+        position = self._settings.me * 0.6180339887 % 1.0  # golden ratio: spaces all or a zone's nodes evenly
         self._rings = {}
         for w in sorted(self._active, key=lambda w: w.entry.mark * 2654435761 % 2**32):
             self._rings.setdefault(w.entry.zone, []).append(w)
-        for row in self._rings.values():
-            for k, w in enumerate(row):
-                w.far = ((k + 0.5) / len(row) - here) % 1.0
-        self._weigh_ways()
-
-    def _weigh_ways(self) -> None:
-        """Near are as many workers as this node's own load takes up, and more; at few nodes that is all."""
-        own = sum(w.own for w in self._active) + len(self._queue)
-        self._own += 0.05 * (own - self._own)
-        zone = len(self._rings.get(self._set.zone, ())) or 1
-        near, least = (UNHEARD_NEAR, UNHEARD_LEAST) if self._set.reports == "none" else (NEAR, NEAR_LEAST)
-        wide = max(NEAR_EVEN / self._set.nodes, near * self._own / (zone * UNKNOWN_SIZE))
-        if self._set.me >= 0:
+        for ring in self._rings.values():
+            for index, w in enumerate(ring):
+                w.ring_distance = ((index + 0.5) / len(ring) - position) % 1.0
+        self._update_weights()
+
+    def _update_weights(self) -> None:
+        """Prefers a subset of the workers, sized by this node's own load; with few nodes it holds all."""
+        own_slots = sum(w.own_slots for w in self._active) + len(self._queue)
+        self._mean_own += 0.05 * (own_slots - self._mean_own)
+        zone_size = len(self._rings.get(self._settings.zone, ())) or 1
+        loads, floor = (
+            (UNREPORTED_LOADS, UNREPORTED_FLOOR)
+            if self._settings.reports == "none"
+            else (SUBSET_LOADS, SUBSET_FLOOR)
+        )
+        span = max(SUBSET_SHARES / self._settings.nodes, loads * self._mean_own / (zone_size * DEFAULT_SLOTS))
+        if self._settings.me >= 0:
             for w in self._active:
-                w.near = max(least, min(1.0, math.pow(0.5, w.far / wide - 1.0)))
-        for row in self._rings.values():
-            mean = sum(w.near for w in row) / len(row)
-            for w in row:
-                w.part = w.near / mean
-        sizes = [w.size for w in self._active if w.size > 0]
+                w.subset_weight = max(floor, min(1.0, math.pow(0.5, w.ring_distance / span - 1.0)))
+        for ring in self._rings.values():
+            mean_weight = sum(w.subset_weight for w in ring) / len(ring)
+            for w in ring:
+                w.cold_share = w.subset_weight / mean_weight
+        known_slots = [w.slots for w in self._active if w.slots > 0]
         running = sum(a.job.slots for w in self._workers.values() for a in w.running.values())
-        self._running += 0.05 * (running - self._running)
-        seen = self._running * self._set.nodes / (len(self._active) or 1)
-        self._mean_size = sum(sizes) / len(sizes) if sizes else max(1.0, seen)
+        self._mean_running += 0.05 * (running - self._mean_running)
+        estimate = self._mean_running * self._settings.nodes / (len(self._active) or 1)
+        self._mean_slots = sum(known_slots) / len(known_slots) if known_slots else max(1.0, estimate)
 
-    def _probed(self, now: int, e: i.ProbeResult) -> None:
+    def _handle_probe_result(self, now: int, e: i.ProbeResult) -> None:
         worker = self._workers.get(e.worker)
         if worker is not None:
-            worker.probe_until = now
-            self._tried(now, worker, REACHED if e.ok else UNPROBED)
-            # A probe that got through: no job need try. A lost one may only be slow.
-            if worker.unreachable and e.ok:
-                worker.trial = worker.unreachable = False
+            worker.probe_deadline = now
+            self._update_reach(now, worker, RESPONSE_FACTOR if e.ok else PROBE_LOST_FACTOR)
+            if worker.unreachable and e.ok:  # needs no trial job; a lost probe may only have been slow
+                worker.on_trial = worker.unreachable = False
                 worker.ejected_until = now
             if e.ok:
-                self._report(now, worker, e.report)
+                self._apply_report(now, worker, e.report)
 
-    def _heard(self, now: int, e: i.Hearsay) -> None:
-        """What others have seen counts where nothing newer was seen here; it puts off, and proves nothing."""
+    def _handle_hearsay(self, now: int, e: i.Hearsay) -> None:
+        """Applies other nodes' observations if nothing newer is known; they defer sends, prove nothing."""
         worker = self._workers.get(e.worker)
-        if worker is not None and now - e.age > max(worker.reported_at, worker.last_sign):
+        if worker is not None and now - e.age > max(worker.reported_at, worker.last_seen):
             worker.ejected_until = max(worker.ejected_until, now + e.shun)
-            self._report(now - e.age, worker, e.report)
+            self._apply_report(now - e.age, worker, e.report)
 
-    def _report(self, now: int, worker: _Worker, r: i.Report | None) -> None:
+    def _apply_report(self, now: int, w: _Worker, r: i.Report | None) -> None:
         if r is None or (r.free_slots == 0 and r.inflight == 0 and r.util == 0):
-            return  # nothing in hand, yet nothing free: a worker that has not measured yet is not full
-        worker.reported_at = now
+            return  # nothing in flight yet nothing free: a worker that has not measured yet is not full
+        w.reported_at = now
         if r.util is not None:
-            worker.util = min(r.util, 1.0)
+            w.util = min(r.util, 1.0)
         if r.free_slots is None:
             return
-        # Reports are late: own sends and returns that are newer than the moment one tells of are put to it.
-        newer = [change for change in worker.changes if change[0] >= now - REPORT_LAG]
+        newer = [change for change in w.changes if change[0] >= now - REPORT_LAG]  # not yet reported
         mean = r.free_slots if self._mean_free is None else self._mean_free
         self._mean_free = mean + 0.05 * (r.free_slots - mean)
-        if r.free_slots > 0:  # nothing waits there: what is free and what is in hand make its size
-            size = r.free_slots + (worker.own if r.inflight is None else r.inflight)
-            worker.size += (size - worker.size) * (0.1 if worker.size else 1.0)
-        worker.largest = max(worker.largest, r.free_slots + (1e9 if r.inflight is None else r.inflight))
-        for a in worker.waiting.values():
-            if now - a.sent > SILENCE and r.free_slots >= a.job.slots:
-                self._doubt(now, a)
-        # Own attempts bound what a late report says is free, but not those whose connections are dead.
-        own = worker.own - sum(a.job.slots for a in worker.running.values() if self._gone_quiet(now, a))
-        free = r.free_slots
-        if free <= 0 and r.inflight is not None and worker.size:  # how much more than full
-            free = min(0.0, worker.size - r.inflight)
-        worker.free = min(free + sum(change[1] for change in newer), worker.size - own)
+        if r.free_slots > 0:  # nothing is queued there: free and occupied slots add up to all slots
+            slots = r.free_slots + (w.own_slots if r.inflight is None else r.inflight)
+            w.slots += (slots - w.slots) * (0.1 if w.slots else 1.0)
+        w.max_slots = max(w.max_slots, r.free_slots + (1e9 if r.inflight is None else r.inflight))
+        for a in w.unstarted.values():
+            if now - a.sent_at > NEGLECT_TIMEOUT and r.free_slots >= a.job.slots:
+                self._suspect(now, a)
+        # Own attempts limit what a late report shows as free, except those whose connections are dead.
+        own = w.own_slots - sum(a.job.slots for a in w.running.values() if self._misses_progress(now, a))
+        free_slots = r.free_slots
+        if free_slots <= 0 and r.inflight is not None and w.slots:  # negative by the excess
+            free_slots = min(0.0, w.slots - r.inflight)
+        w.free_slots = min(free_slots + sum(change[1] for change in newer), w.slots - own)
         if r.free_memory is not None:
-            worker.memory = max(0.0, r.free_memory + sum(change[2] for change in newer))
+            w.free_memory = max(0.0, r.free_memory + sum(change[2] for change in newer))
 
-    def _gone_quiet(self, now: int, a: _Attempt) -> bool:
-        """Whether a started attempt has missed its notes of progress."""
-        missed = int(QUIET * self._set.progress)
-        return a.started is not None and 0 < missed < now - a.last_sign
+    def _misses_progress(self, now: int, a: _Attempt) -> bool:
+        timeout = int(PROGRESS_PERIODS * self._settings.progress)
+        return a.started_at is not None and 0 < timeout < now - a.last_seen
 
-    def _take(self, now: int, worker: _Worker, job: _Job, sign: float, held: bool = True) -> None:
-        """A job takes its room at a worker (sign 1) or gives it back (-1), if it was held to the end."""
-        worker.own = max(0.0, worker.own + sign * job.slots)
+    def _account_for(self, now: int, worker: _Worker, job: _Job, sign: float, held: bool = True) -> None:
+        """Counts a job's slots and memory as taken (sign 1) or, if held until its end, as returned (-1)."""
+        worker.own_slots = max(0.0, worker.own_slots + sign * job.slots)
         if not held:
             return
-        worker.free -= sign * job.slots
-        worker.memory -= sign * job.memory
+        worker.free_slots -= sign * job.slots
+        worker.free_memory -= sign * job.memory
         while worker.changes and worker.changes[0][0] < now - REPORT_LAG:
             worker.changes.popleft()
         worker.changes.append((now, -sign * job.slots, -sign * job.memory))
 
-    def _relative(self, kind: int) -> float:
-        """How much better than the mean a kind is: by more than its speed, for late jobs are lost."""
-        total, weight = self._kinds[kind]
-        return math.pow((total + SPEED_PRIOR) / (weight + SPEED_PRIOR), SPEED_POWER)
+    def _kind_preference(self, kind: int) -> float:
+        """Returns a kind's factor: more than in proportion to its speed, because late jobs are lost."""
+        total, weight = self._kind_speeds[kind]
+        return math.pow((total + SPEED_PRIOR_JOBS) / (weight + SPEED_PRIOR_JOBS), SPEED_EXPONENT)
 
-    def _speed(self) -> float:
-        return min(4.0, max(0.25, self._work_done / self._time_run))
+    def _mean_speed(self) -> float:
+        return min(4.0, max(0.25, self._hinted_work / self._hinted_run_time))
 
     def _enqueue(self, job: _Job) -> None:
         job.queued = True
-        self._queue.push(job.key, job)
+        self._queue.push(job.queue_key, job)
 
-    def _release(self, now: int) -> None:
+    def _dispatch_queued(self, now: int) -> None:
         queue = self._queue
         while queue:
             key, job = queue.first()
-            held = job.queued and key == job.key
-            closed = bool(job.attempts) and not self._may_send(now, job)  # a repeat window closes meanwhile
+            valid = job.queued and key == job.queue_key
+            closed = bool(job.attempts) and not self._may_send(now, job)  # its repeat window may have ended
             worker = None
-            if held and not closed:
-                due = job.due <= now
+            if valid and not closed:
+                due = job.due_at <= now
                 if self._switch.busy and not due:
                     break
-                worker = self._pick(now, job) if job is not self._stuck else None
-                if worker is None and not (due and (job.late or now >= self._latest(job))):
-                    self._stuck, self._look_at = job, now + LOOK_AGAIN
+                worker = self._choose_worker(now, job) if job is not self._blocked_job else None
+                if worker is None and not (due and (job.late or now >= self._latest_start(job))):
+                    self._blocked_job, self._recheck_at = job, now + RECHECK_DELAY
                     break
             queue.pop()
-            if not held:
+            if not valid:
                 continue
             job.queued = False
             if worker is not None:
                 self._send(now, job, worker)
             elif closed or job.late:
-                self._finish(now, job)
+                self._refuse_or_fail(now, job)
             else:
-                self._lost(now, job)
-
-    def _lost(self, now: int, job: _Job) -> None:
-        """Its aim is lost for want of room: refused if it is worth nothing now, else behind all in time."""
-        if not job.yields:
-            self._short_until = now + SHORT_FOR
-        if self._set.classes[job.cls].late_worth <= 0 and self._may_refuse(job):
-            self._finish(now, job)
+                self._miss_aim(now, job)
+
+    def _miss_aim(self, now: int, job: _Job) -> None:
+        """Refuses a job that found no room in time, or queues it as late if it is still worth something."""
+        if not job.rank:
+            self._shortage_until = now + SHORTAGE_DURATION
+        if self._settings.classes[job.cls].late_worth <= 0 and self._may_refuse(job):
+            self._refuse_or_fail(now, job)
             return
         job.late = True
-        job.yields = max(1, job.yields)
-        job.key = (job.yields, job.give_up)
-        job.due = job.give_up - int(1.5 * job.work / self._speed()) - 2 * self._set.tick
+        job.rank = max(1, job.rank)
+        job.queue_key = (job.rank, job.give_up_at)
+        job.due_at = job.give_up_at - int(1.5 * job.work / self._mean_speed()) - 2 * self._settings.tick
         self._enqueue(job)
 
-    def _latest(self, job: _Job) -> int:
-        """The last start that can still meet the aim, if the expected size is right."""
-        return job.aim_at - int(job.work / self._speed())
+    def _latest_start(self, job: _Job) -> int:
+        """Returns the latest start that still meets the aim if the expected work is right."""
+        return job.aim_at - int(job.work / self._mean_speed())
 
-    def _utilisation(self, now: int) -> float:
-        heard = [w.util for w in self._active if w.util >= 0 and now - w.reported_at < 5 * SECOND]
-        return sum(heard) / len(heard) if heard else -1.0
+    def _mean_utilisation(self, now: int) -> float:
+        recent = [w.util for w in self._active if w.util >= 0 and now - w.reported_at < 5 * SECOND]
+        return sum(recent) / len(recent) if recent else -1.0
 
-    def _pick(self, now: int, job: _Job) -> _Worker | None:
-        """Weighted draw among the workers with room: what a report leaves free, less what came since."""
-        others = (1.0 - 1.0 / self._set.nodes) * BLIND * SECOND / self._mean_run
-        others *= float(self._set.tells_start and self._mean_free is not None)
-        anchor = job.anchor() if self._set.classes[job.cls].group != "all" else None
+    def _choose_worker(self, now: int, job: _Job) -> _Worker | None:
+        """Draws by weight among the workers with room: reported free slots, less the changes since."""
+        others = (1.0 - 1.0 / self._settings.nodes) * UNREPORTED_SENDS_S * SECOND / self._mean_run
+        others *= float(self._settings.tells_start and self._mean_free is not None)
+        first_run = job.first_possible_run() if self._settings.classes[job.cls].group != "all" else None
         pool = self._active
-        if len(pool) > SAMPLE and anchor is None:  # a repeat group may be too small for a sample
+        if len(pool) > SAMPLE_SIZE and first_run is None:  # a repeat group may be too small for a sample
             first = self._random.randrange(len(pool))
-            pool = pool[first : first + SAMPLE]
-            pool += self._active[: SAMPLE - len(pool)]
-        found: list[_Worker] = []
+            pool = pool[first : first + SAMPLE_SIZE]
+            pool += self._active[: SAMPLE_SIZE - len(pool)]
+        candidates: list[_Worker] = []
         weights: list[float] = []
-        reach = {zone: self._reach_now(now, zone) for zone in self._reach}
-        better = {kind: self._relative(kind) for kind in self._kinds}
-        told = self._mean_free is not None
-        mean, fade = (self._mean_free or 0.0, FADE) if told else (UNKNOWN_SIZE, FULL_FADE)
+        reachability = {zone: self._current_reach(now, zone) for zone in self._reach}
+        preference = {kind: self._kind_preference(kind) for kind in self._kind_speeds}
+        known = self._mean_free is not None
+        mean, decay = (self._mean_free or 0.0, REPORT_HALF_LIFE) if known else (DEFAULT_SLOTS, FULL_HALF_LIFE)
         for w in pool:
-            good = better.get(w.entry.kind, 1.0)
-            usual = mean if told and w.reported_at != NEVER else max(1.0, mean - w.own)
-            known = math.pow(0.5, (now - w.reported_at) / fade)
-            weight = usual + known * (w.free - usual) + others * (w.size or UNKNOWN_SIZE) * good
-            if weight < ROOM * job.slots or 0 <= w.memory < job.memory:
+            factor = preference.get(w.entry.kind, 1.0)
+            usual = mean if known and w.reported_at != NEVER else max(1.0, mean - w.own_slots)
+            recency = math.pow(0.5, (now - w.reported_at) / decay)
+            weight = usual + recency * (w.free_slots - usual) + others * (w.slots or DEFAULT_SLOTS) * factor
+            if weight < MIN_WEIGHT_PER_SLOT * job.slots or 0 <= w.free_memory < job.memory:
                 continue
-            if not self._may_go(now, job, w, anchor) or not self._trusted(now, job, w):
+            if not self._is_allowed(now, job, w, first_run) or not self._is_healthy(now, job, w):
                 continue
             proven = self._proven.get((job.cls, w.entry.zone))
             if proven is not None and w not in proven:
-                weight *= DOUBT
-            home = OWN_ZONE if w.entry.zone == self._set.zone else 1.0
-            weight *= reach.get(w.entry.zone, 1.0) * w.near * home
-            found.append(w)
-            weights.append(math.pow(weight, self._sharp))
-        return self._random.choices(found, weights)[0] if found else None
+                weight *= UNPROVEN_WEIGHT
+            zone_weight = OWN_ZONE_WEIGHT if w.entry.zone == self._settings.zone else 1.0
+            weight *= reachability.get(w.entry.zone, 1.0) * w.subset_weight * zone_weight
+            candidates.append(w)
+            weights.append(math.pow(weight, self._weight_exponent))
+        return self._random.choices(candidates, weights)[0] if candidates else None
 
     def _send(self, now: int, job: _Job, worker: _Worker) -> None:
-        """Every send passes here."""
         attempt = _Attempt(job, len(job.attempts), worker, now)
         job.attempts.append(attempt)
-        worker.waiting[job.id, attempt.index] = attempt
-        self._take(now, worker, job, 1.0)
-        if now < worker.started_at + self._set.cold:
-            worker.cold_sent.append((now, job.cold_cost))
-        repeatable, watched = self._set.classes[job.cls].effect != "unsafe", self._movable[job.cls]
-        # Where a job cannot be moved on a sign, a time-out frees what may be repeated.
-        worker.timeout = self._set.classes[job.cls].aim + int(3 * job.work / self._speed())
-        timeout = 0 if watched or not repeatable else (job.give_up - now) // 2
-        self._out.append(i.Send(job.id, worker.entry.worker, timeout))
-        if watched or self._set.tells_start:
-            self._remind(now + (START_WAIT if watched else SLOW_START + MS), job, attempt)
-
-    def _may_go(self, now: int, job: _Job, w: _Worker, anchor: _Attempt | None) -> bool:
-        """Drains, kinds, repeat groups and cold budgets: whether the rules let this job go to this worker."""
-        c, entry = self._set.classes[job.cls], w.entry
+        worker.unstarted[job.id, attempt.index] = attempt
+        self._account_for(now, worker, job, 1.0)
+        if now < worker.started_at + self._settings.cold:
+            worker.cold_sends.append((now, job.cold_work))
+        repeatable, movable = self._settings.classes[job.cls].effect != "unsafe", self._movable[job.cls]
+        worker.response_timeout = self._settings.classes[job.cls].aim + int(3 * job.work / self._mean_speed())
+        timeout = 0 if movable or not repeatable else (job.give_up_at - now) // 2  # in place of a move
+        self._actions.append(i.Send(job.id, worker.entry.worker, timeout))
+        if movable or self._settings.tells_start:
+            self._set_timer(now + (START_TIMEOUT if movable else SLOW_START_DELAY + MS), job, attempt)
+
+    def _is_allowed(self, now: int, job: _Job, w: _Worker, first_run: _Attempt | None) -> bool:
+        """Returns whether drains, kinds, repeat groups and cold budgets allow this job on this worker."""
+        c, entry = self._settings.classes[job.cls], w.entry
         if not w.listed or (c.kind >= 0 and entry.kind != c.kind):
             return False
         if job.attempts and w is job.attempts[-1].worker and len(self._active) > 1:
             return False
-        if anchor is not None:
-            first = anchor.worker.entry
+        if first_run is not None:
+            first = first_run.worker.entry
             if first.zone != entry.zone if c.group == "zone" else first.cell != entry.cell:
                 return False
-        return self._cold_fits(now, w, job)
+        return self._fits_cold_budget(now, w, job)
 
-    def _cold_fits(self, now: int, w: _Worker, job: _Job) -> bool:
-        """The cold-start budget: this node's even part, drawn by lot where that is less than a job."""
-        s = self._set
+    def _fits_cold_budget(self, now: int, w: _Worker, job: _Job) -> bool:
+        """Checks this node's even share of the cold budget; a share below one job is granted at random."""
+        s = self._settings
         if now >= w.started_at + s.cold:
             return True
-        if now < (self._born or 0) + s.fall:  # what this node sent before its own restart is not known
+        if now < (self._started_at or 0) + s.fall:  # sends before this node's own restart are unknown
             return False
-        while w.cold_sent and w.cold_sent[0][0] < now - s.fall:
-            w.cold_sent.popleft()
-        if now >= w.lot_until:  # at a moment of the node's own, so that not all draw together
-            w.lot_until = now + int(s.fall * (self._random.random() if w.lot_until == NEVER else 1.0))
-            w.lot = self._random.random() if s.nodes > 1 else 1.0
-        capacity = (w.size or self._mean_size) * self._speed() * self._warmth(now, w)
-        budget = COLD_SAFETY * (1.5 - 0.5 / s.nodes) * s.fall_multiple * capacity * s.fall
-        cost = job.cold_cost
-        if cost > COLD_LARGEST * budget:
+        while w.cold_sends and w.cold_sends[0][0] < now - s.fall:
+            w.cold_sends.popleft()
+        if now >= w.redraw_at:  # at a random moment, so that the nodes do not draw together
+            w.redraw_at = now + int(s.fall * (self._random.random() if w.redraw_at == NEVER else 1.0))
+            w.cold_draw = self._random.random() if s.nodes > 1 else 1.0
+        capacity = (w.slots or self._mean_slots) * self._mean_speed() * self._warm_share(now, w)
+        budget = COLD_BUDGET_SHARE * (1.5 - 0.5 / s.nodes) * s.fall_multiple * capacity * s.fall
+        work = job.cold_work
+        if work > MAX_COLD_JOB_SHARE * budget:
             return False
-        return sum(work for _, work in w.cold_sent) + w.lot * cost <= budget * w.part / s.nodes
+        return sum(sent for _, sent in w.cold_sends) + w.cold_draw * work <= budget * w.cold_share / s.nodes
 
-    def _warmth(self, now: int, w: _Worker) -> float:
-        """The part of its capacity that a worker has at least, some time after its start."""
-        s = self._set
+    def _warm_share(self, now: int, w: _Worker) -> float:
+        """Returns the least share of its capacity that a worker has at some time after its start."""
+        s = self._settings
         age = now - w.started_at
         return 1.0 if age >= s.cold else s.cold_from + (1.0 - s.cold_from) * max(0, age) / s.cold
 
     def _cancel(self, a: _Attempt) -> None:
         a.cancelled = True
-        self._out.append(i.Cancel(a.job.id, a.index))
+        self._actions.append(i.Cancel(a.job.id, a.index))
 
     def _may_refuse(self, job: _Job) -> bool:
-        c = self._set.classes[job.cls]
+        c = self._settings.classes[job.cls]
         harmless = c.effect == "safe" or (c.effect == "keyed" and c.group == "all")
-        return harmless or job.anchor() is None
+        return harmless or job.first_possible_run() is None
 
     def _may_send(self, now: int, job: _Job) -> bool:
-        c = self._set.classes[job.cls]
-        if len(job.attempts) >= self._set.max_attempts or job.out():
+        c = self._settings.classes[job.cls]
+        if len(job.attempts) >= self._settings.max_attempts or job.in_flight():
             return False
-        anchor = job.anchor()
-        if anchor is None or c.effect == "safe":
+        first_run = job.first_possible_run()
+        if first_run is None or c.effect == "safe":
             return True
-        return c.effect == "keyed" and now < anchor.sent + c.repeat_window - 2 * self._set.tick
+        return c.effect == "keyed" and now < first_run.sent_at + c.repeat_window - 2 * self._settings.tick
 
-    def _finish(self, now: int, job: _Job) -> None:
-        """The final answer, at once: a refusal where that claim is allowed, else a failure."""
+    def _refuse_or_fail(self, now: int, job: _Job) -> None:
+        """Gives the final answer: a refusal if the job may be refused, else a failure."""
         refuse = self._may_refuse(job)
-        self._out.append(i.Refuse(job.id, self._come_back(now)) if refuse else i.Fail(job.id))
+        self._actions.append(i.Refuse(job.id, self._retry_after(now)) if refuse else i.Fail(job.id))
         self._end(job)
 
     def _end(self, job: _Job) -> None:
         job.done = True
         job.queued = False
-        if not job.out():
+        if not job.in_flight():
             self._jobs.pop(job.id, None)
-        elif self._set.cancelling:
+        elif self._settings.cancelling:
             for a in job.attempts:
-                if a.out and not a.cancelled:
+                if a.in_flight and not a.cancelled:
                     self._cancel(a)
 
-    def _come_back(self, now: int) -> int:
-        """How long a refused client had best wait: until what waits here has had its turn, as known here."""
+    def _retry_after(self, now: int) -> int:
+        """Returns how long a refused client should wait: until the queued jobs have had their turn."""
         up = [w for w in self._active if w.ejected_until <= now]
-        slots = sum(w.size or 1.0 for w in up) / self._set.nodes
-        wait = int(self._mean_run * (1 + len(self._queue)) / slots) if up else self._set.max_retry_after
-        return min(wait, self._set.max_retry_after)
+        slots = sum(w.slots or 1.0 for w in up) / self._settings.nodes
+        wait = int(self._mean_run * (1 + len(self._queue)) / slots) if up else self._settings.max_retry_after
+        return min(wait, self._settings.max_retry_after)
 
-    def _again(self, now: int, job: _Job, status: str) -> None:
-        """No attempt is out and none served: try again where that is allowed, else answer."""
-        budget = self._moves if status == "cancelled" else self._retries
+    def _retry_or_answer(self, now: int, job: _Job, status: str) -> None:
+        """Retries a job with no attempt in flight and none served, if that is allowed; else answers it."""
+        budget = self._move_budget if status == "cancelled" else self._retry_budget
         if not self._may_send(now, job) or (status != "no_connection" and not budget.take(now)):
-            self._finish(now, job)
-        elif status in ("cancelled", "timeout") and not job.late and now > self._latest(job):
-            self._lost(now, job)
+            self._refuse_or_fail(now, job)
+        elif status in ("cancelled", "timeout") and not job.late and now > self._latest_start(job):
+            self._miss_aim(now, job)
         else:
             self._enqueue(job)
 
-    def _remind(self, when: int, job: _Job, attempt: _Attempt | None) -> None:
-        self._tie += 1
-        heapq.heappush(self._timers, (when, self._tie, job, attempt))
+    def _set_timer(self, when: int, job: _Job, attempt: _Attempt | None) -> None:
+        self._timer_number += 1
+        heapq.heappush(self._timers, (when, self._timer_number, job, attempt))
 
-    def _trusted(self, now: int, job: _Job, w: _Worker) -> bool:
-        """Whether nothing that was seen of this worker speaks against sending it this job."""
+    def _is_healthy(self, now: int, job: _Job, w: _Worker) -> bool:
+        """Returns whether nothing observed of this worker speaks against sending it this job."""
         if w.ejected_until > now:
             return False
-        if w.trial and (w.own > 0 or (self._set.classes[job.cls].effect == "unsafe" and not w.unreachable)):
+        if w.on_trial and (
+            w.own_slots > 0 or (self._settings.classes[job.cls].effect == "unsafe" and not w.unreachable)
+        ):
             return False
-        # An own attempt not started proves that no slot is free there, whatever a report says.
-        wait = START_WAIT if self._set.tells_start else w.timeout
+        wait = START_TIMEOUT if self._settings.tells_start else w.response_timeout
         return not any(
-            now - a.sent > wait and (a.job.cls == job.cls or w.last_sign < a.sent) for a in w.waiting.values()
+            now - a.sent_at > wait and (a.job.cls == job.cls or w.last_seen < a.sent_at)
+            for a in w.unstarted.values()
         )
 
-    def _reach_now(self, now: int, zone: int) -> float:
-        """How far a zone can be reached, 1 for one without trouble; a trouble is forgotten with time."""
+    def _current_reach(self, now: int, zone: int) -> float:
+        """Returns a zone's reachability, 1 without failures; the effect of a failure decays with time."""
         at, reach = self._reach.get(zone, (now, 1.0))
-        return 1.0 - (1.0 - reach) * math.pow(0.5, (now - at) / REACH_HALF)
+        return 1.0 - (1.0 - reach) * math.pow(0.5, (now - at) / REACH_HALF_LIFE)
 
-    def _tried(self, now: int, w: _Worker, factor: float) -> None:
-        """What one worker shows of the way to its zone. Never to naught: a zone comes back unsaid."""
+    def _update_reach(self, now: int, w: _Worker, factor: float) -> None:
+        """Applies one worker's result to its zone; never down to zero, since a recovery is not announced."""
         zone = w.entry.zone
-        self._reach[zone] = (now, min(1.0, max(REACH_LEAST, self._reach_now(now, zone) * factor)))
+        self._reach[zone] = (now, min(1.0, max(MIN_REACH, self._current_reach(now, zone) * factor)))
 
-    def _doubt(self, now: int, a: _Attempt) -> None:
-        """A worker hangs or neglects a class: for a while that class goes to workers proved good."""
-        about = (a.job.cls, a.worker.entry.zone)
-        proven = self._proven.setdefault(about, [])
+    def _suspect(self, now: int, a: _Attempt) -> None:
+        """After a worker hung or neglected a class, sends that class mostly to workers proven since."""
+        suspected = (a.job.cls, a.worker.entry.zone)
+        proven = self._proven.setdefault(suspected, [])
         if a.worker in proven:
             proven.remove(a.worker)
-        self._doubted_at[about] = now
+        self._suspected_at[suspected] = now
 
-    def _health(self, now: int, attempt: _Attempt, e: i.Outcome) -> None:
-        w = attempt.worker
-        unstarted = self._set.tells_start and attempt.started is None and w.last_sign < attempt.sent
+    def _update_health(self, now: int, a: _Attempt, e: i.Outcome) -> None:
+        w = a.worker
+        unstarted = self._settings.tells_start and a.started_at is None and w.last_seen < a.sent_at
         silent = e.status == "timeout" and unstarted
         if e.status == "no_connection" and not w.running:
-            # Likely a restart that the list has yet to tell of; not so while own attempts run there.
-            w.started_at = now
+            w.started_at = now  # likely a restart that is not listed yet; not so while own attempts run there
         if e.status == "ok":
-            self._tried(now, w, REACHED)
-            w.last_sign = now
-            w.trial = w.unreachable = False
+            self._update_reach(now, w, RESPONSE_FACTOR)
+            w.last_seen = now
+            w.on_trial = w.unreachable = False
             w.failures = max(0.0, w.failures - 0.1)
-            w.breaks *= 0.5
-            self._retries.add(float(attempt.index > 0))  # a retry that is served was no waste
-            if attempt.started is not None or not self._set.tells_start:
-                self._learn(attempt.job, float(max(1, now - (attempt.started or attempt.sent))), w)
+            w.recent_resets *= 0.5
+            self._retry_budget.add(float(a.index > 0))  # a retry that is served was worth it
+            if a.started_at is not None or not self._settings.tells_start:
+                self._record_run_time(a.job, float(max(1, now - (a.started_at or a.sent_at))), w)
         elif e.status == "no_connection":
-            self._tried(now, w, UNREACHED)
-            # Dead though listed, cut off or full of connections, and proved harmless: no cap, no budget.
+            self._update_reach(now, w, NO_CONNECTION_FACTOR)
             w.failures = min(w.failures + 1.0, 4.0)
             w.ejected_until = max(w.ejected_until, now + int(125 * MS * 2.0**w.failures))
-            w.trial = w.unreachable = True
-        elif e.status == "reset" and w.breaks < BREAKS and not attempt.cancelled:
-            w.breaks += 1.0
-        elif (e.status in ("error", "reset") or silent) and not attempt.cancelled:
-            # Failing fast, or starting nothing: out for 1, 2 .. 16 s, then one repeatable job as a trial.
-            w.unreachable = False
+            w.on_trial = w.unreachable = True  # dead, cut off or full; nothing ran, so no cap and no budget
+        elif e.status == "reset" and w.recent_resets < TOLERATED_RESETS and not a.cancelled:
+            w.recent_resets += 1.0
+        elif (e.status in ("error", "reset") or silent) and not a.cancelled:
+            w.unreachable = False  # fails fast or starts nothing: out 1, 2 .. 16 s, then one repeatable trial
             w.failures += 1.0
-            down = sum(1 for x in self._active if x.trial and not x.unreachable)
-            if down < EJECT_SHARE * len(self._active):
-                w.ejected_until = now + int(SECOND * min(EJECT_LONGEST, 2.0 ** (w.failures - 1)))
-                w.trial = True
+            ejected = sum(1 for x in self._active if x.on_trial and not x.unreachable)
+            if ejected < MAX_EJECTED_SHARE * len(self._active):
+                w.ejected_until = now + int(SECOND * min(MAX_EJECTION_S, 2.0 ** (w.failures - 1)))
+                w.on_trial = True
         elif e.status == "rejected":
-            self._is_full(now, w)
-
-    def _is_full(self, now: int, w: _Worker) -> None:
-        """Seen, not reported: no slot is free there at this moment."""
-        w.free, w.reported_at = min(w.free, 0.0), now
-
-    def _learn(self, job: _Job, run: float, w: _Worker) -> None:
-        self._mean_run += 0.05 * (run - self._mean_run)
-        if job.hinted:
-            self._work_done = 0.99 * self._work_done + job.work
-            self._time_run = 0.99 * self._time_run + run
-            total, weight = self._kinds.get(w.entry.kind, (0.0, 0.0))
-            seen = min(3.0, max(0.3, job.work / run * self._time_run / self._work_done))
-            self._kinds[w.entry.kind] = 0.99 * total + seen, 0.99 * weight + 1.0
-            run = job.work
-        self._mean[job.cls] += 0.05 * (run - self._mean[job.cls])
-
-    def _watch(self, now: int, a: _Attempt) -> None:
-        """An attempt that may be repeated and has not started while others have room is moved."""
+            self._mark_full(now, w)
+
+    def _mark_full(self, now: int, w: _Worker) -> None:
+        """Records an observation, rather than a report, that no slot is free there now."""
+        w.free_slots, w.reported_at = min(w.free_slots, 0.0), now
+
+    def _record_run_time(self, job: _Job, run_time: float, w: _Worker) -> None:
+        self._mean_run += 0.05 * (run_time - self._mean_run)
+        if job.has_work_hint:
+            self._hinted_work = 0.99 * self._hinted_work + job.work
+            self._hinted_run_time = 0.99 * self._hinted_run_time + run_time
+            total, weight = self._kind_speeds.get(w.entry.kind, (0.0, 0.0))
+            speed = min(3.0, max(0.3, job.work / run_time * self._hinted_run_time / self._hinted_work))
+            self._kind_speeds[w.entry.kind] = 0.99 * total + speed, 0.99 * weight + 1.0
+            run_time = job.work
+        self._mean_work[job.cls] += 0.05 * (run_time - self._mean_work[job.cls])
+
+    def _check_attempt(self, now: int, a: _Attempt) -> None:
+        """Moves a repeatable attempt that has not started while other workers have room."""
         job = a.job
-        if not a.out or a.cancelled:
+        if not a.in_flight or a.cancelled:
             return
-        if a.started is None and now - a.sent > SLOW_START:
-            self._judge(a, True)
+        if a.started_at is None and now - a.sent_at > SLOW_START_DELAY:
+            self._adapt_admission(a, True)
         if not self._movable[job.cls]:
-            if a.started is None and now - a.sent < SILENCE:
-                self._remind(a.sent + SILENCE, job, a)
+            if a.started_at is None and now - a.sent_at < NEGLECT_TIMEOUT:
+                self._set_timer(a.sent_at + NEGLECT_TIMEOUT, job, a)
             return
-        silent_at = a.last_sign + 3 * self._set.progress if self._set.progress else job.give_up
-        if a.started is not None and now < silent_at:
-            self._remind(silent_at, job, a)
+        silent_at = a.last_seen + 3 * self._settings.progress if self._settings.progress else job.give_up_at
+        if a.started_at is not None and now < silent_at:
+            self._set_timer(silent_at, job, a)
             return
-        if not job.late and now > self._latest(job) and self._may_refuse(job):
+        if not job.late and now > self._latest_start(job) and self._may_refuse(job):
             self._cancel(a)
             return
-        c = self._set.classes[job.cls]
-        open_still = c.effect == "safe" or now < a.sent + c.repeat_window - 4 * self._set.tick
-        allowed = self._moves.level >= 1.0 and len(job.attempts) < self._set.max_attempts and open_still
-        if a.started is None:
-            self._is_full(now, a.worker)
-            if now - a.sent < MOVE_WAIT:
-                self._remind(a.sent + MOVE_WAIT, job, a)
+        c = self._settings.classes[job.cls]
+        in_time = c.effect == "safe" or now < a.sent_at + c.repeat_window - 4 * self._settings.tick
+        may_move = (
+            self._move_budget.tokens >= 1.0 and len(job.attempts) < self._settings.max_attempts and in_time
+        )
+        if a.started_at is None:
+            self._mark_full(now, a.worker)
+            if now - a.sent_at < MOVE_DELAY:
+                self._set_timer(a.sent_at + MOVE_DELAY, job, a)
                 return
-        if allowed and (c.group == "all" or self._pick(now, job) is not None):
+        if may_move and (c.group == "all" or self._choose_worker(now, job) is not None):
             self._cancel(a)
             return
-        self._remind(now + START_WAIT, job, a)
-
-    def _housekeeping(self, now: int) -> None:
-        """Ask for the worker list where it must be asked for, and for reports, the longest unheard first."""
-        s = self._set
-        if not self._subscribed and now >= self._ask_at:
-            self._ask_at = now + int(self._ask_pause * (0.75 + 0.5 * self._random.random()))
-            self._ask_pause = min(2 * self._ask_pause, max(SECOND, s.ask_within // 2))
-            self._out.append(i.Subscribe())
-        self._weigh_ways()
-        self._taking = min(1.0, self._taking + TAKE_AGAIN * PACE / SECOND)
-        for about in [a for a, at in self._doubted_at.items() if now - at > DOUBT_FOR]:
-            del self._doubted_at[about], self._proven[about]
-        self._probes.add(self._probing * PACE / SECOND)
+        self._set_timer(now + START_TIMEOUT, job, a)
+
+    def _run_housekeeping(self, now: int) -> None:
+        """Subscribes to the worker list where needed, and probes in turn workers not heard from lately."""
+        s = self._settings
+        if not self._subscribed and now >= self._subscribe_at:
+            self._subscribe_at = now + int(self._subscribe_delay * (0.75 + 0.5 * self._random.random()))
+            self._subscribe_delay = min(2 * self._subscribe_delay, max(SECOND, s.ask_within // 2))
+            self._actions.append(i.Subscribe())
+        self._update_weights()
+        self._admission = min(1.0, self._admission + ADMISSION_RECOVERY_PER_S * HOUSEKEEPING_PERIOD / SECOND)
+        for key in [key for key, at in self._suspected_at.items() if now - at > SUSPICION_DURATION]:
+            del self._suspected_at[key], self._proven[key]
+        self._probe_budget.add(self._probe_rate * HOUSEKEEPING_PERIOD / SECOND)
         if not s.probes or s.reports == "none":
             return
         for _ in range(len(self._active)):
             w = self._active[self._next_probe % len(self._active)]
-            heard = max(w.probed_at, w.reported_at if s.reports == "answers" else 0)
-            if w.probe_until <= now and now - heard >= REPROBE / w.near:
-                if not self._probes.take(now):
+            last_report = max(w.probed_at, w.reported_at if s.reports == "answers" else 0)
+            if w.probe_deadline <= now and now - last_report >= REPROBE_INTERVAL / w.subset_weight:
+                if not self._probe_budget.take(now):
                     break
-                self._probe(now, w)
+                self._send_probe(now, w)
             self._next_probe += 1
 
-    def _probe(self, now: int, w: _Worker) -> None:
+    def _send_probe(self, now: int, w: _Worker) -> None:
         w.probed_at = now
-        w.probe_until = now + PROBE_LOST
-        self._out.append(i.Probe(w.entry.worker))
+        w.probe_deadline = now + PROBE_TIMEOUT
+        self._actions.append(i.Probe(w.entry.worker))
--- a/heronstall/net/dispatcher.py
+++ b/heronstall/net/dispatcher.py
@@ -92,7 +92,7 @@
     def handle(self, now: int, events: Sequence[i.Event]) -> list[i.Action]:
         """Take the events of one moment and say what to do."""
 
-    def avoided(self, now: int) -> list[int]:
+    def ejected_workers(self, now: int) -> list[int]:
         """The listed servers that are left out at this moment by the decisions' own choice."""
 
 
@@ -286,7 +286,7 @@
 
     def avoided(self) -> list[int]:
         """The numbers of the servers that the decisions leave out now by their own choice."""
-        return self._balancer.avoided(self._loop.now)
+        return self._balancer.ejected_workers(self._loop.now)
 
     # ------------------------------------------------------------------ actions
 
--- a/tests/test_compare.py
+++ b/tests/test_compare.py
@@ -81,7 +81,7 @@
 
 def test_a_harmful_constant_is_found_worse_and_a_state_file_is_gone_on_from(tmp_path: Path) -> None:
     worse, path = tmp_path / "worse.cue", tmp_path / "state"
-    worse.write_text("package experiment\ndecide: {ROOM: 50, SAMPLE: 1}\n")
+    worse.write_text("package experiment\ndecide: {MIN_WEIGHT_PER_SLOT: 50, SAMPLE_SIZE: 1}\n")
     record = run("this", str(worse), tmp_path, State(path), half_width=0.0001, most=12)
     assert record["figures"]["service"]["verdict"] == "worse"
     assert record["rules_broken"] == {"a": 0, "b": 0}
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -203,5 +203,5 @@
     balancer = begun()
     balancer.handle(SECOND, [i.ProbeResult(1, True, 1, FREE), i.ProbeResult(2, True, 1, FULL)])
     balancer.handle(2 * SECOND, [i.Hearsay(1, SECOND + 1, FULL, SHUN), i.Hearsay(2, SECOND + 1, FREE)])
-    assert balancer.avoided(2 * SECOND) == []
+    assert balancer.ejected_workers(2 * SECOND) == []
     assert set(sent_to(balancer, 2 * SECOND, 3)) == {1}
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -220,11 +220,11 @@
     w.fleet(*workers(3))
     w.request(1, 0)
     failed = w.clients[1].tries[0].worker
-    assert w.balancer.avoided(w.now) == []
+    assert w.balancer.ejected_workers(w.now) == []
     w.started(1)
     w.outcome(1, "error")
-    assert w.balancer.avoided(w.now) == [failed]
-    assert w.balancer.avoided(w.now + 20 * S) == []
+    assert w.balancer.ejected_workers(w.now) == [failed]
+    assert w.balancer.ejected_workers(w.now + 20 * S) == []
 
 
 def test_a_fast_failer_is_no_black_hole() -> None:
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -423,7 +423,7 @@
             self.assertEqual(self.status(client), 400)
             self.rest(0.02)
         workers = cast(Balancer, self.front._dispatcher._balancer)._workers.values()
-        self.assertTrue(all(w.ejected_until < 0 and not w.failures and not w.trial for w in workers))
+        self.assertTrue(all(w.ejected_until < 0 and not w.failures and not w.on_trial for w in workers))
         self.assertFalse(self.front._dispatcher._sessions)
 
     def test_what_was_made_for_another_request_is_served_to_nobody(self) -> None:
--- a/tests/test_untold.py
+++ b/tests/test_untold.py
@@ -52,12 +52,12 @@
     """Jobs too short for a note of progress teach the mean running time all the same."""
     w = without_starts()
     w.step(list_of(2))
-    before = w.balancer._mean[1]
+    before = w.balancer._mean_work[1]
     for number in range(100):
         w.request(number, 1, work=None)  # type: ignore[arg-type]
         w.now += 100 * MS
         served(w, number, util=0.2, inflight=1.0, free_slots=4.0)
-    assert w.balancer._mean[1] < before / 2
+    assert w.balancer._mean_work[1] < before / 2
 
 
 def test_without_told_starts_jobs_go_where_reports_leave_room() -> None:
--- a/tests/versions.py
+++ b/tests/versions.py
@@ -27,9 +27,9 @@
         self.real = Balancer(settings, seed)
         self.settings, self.jobs = settings, 0
 
-    def avoided(self, now: int) -> list[int]:
+    def ejected_workers(self, now: int) -> list[int]:
         """As the module's own."""
-        return self.real.avoided(now)
+        return self.real.ejected_workers(now)
 
     def handle(self, now: int, events: Sequence[i.Event]) -> list[i.Action]:
         """As the module's own."""
