--- a/heronstall/__main__.py
+++ b/heronstall/__main__.py
@@ -14,7 +14,7 @@
 from typing import TYPE_CHECKING
 
 from heronstall import events
-from heronstall.config import Config, ConfigError, fixed_changes, load, reload
+from heronstall.config import Config, ConfigError, load, reload, restart_only_changes
 from heronstall.events import say
 from heronstall.net.backend import HttpBackend, Pool
 from heronstall.net.dispatcher import Dispatcher
@@ -171,7 +171,7 @@
         except ConfigError as error:
             say(log, events.RELOAD_WRONG, reason=str(error))
             return
-        for key in fixed_changes(self.config, config):
+        for key in restart_only_changes(self.config, config):
             say(log, events.RELOAD_FIXED, key=key)
         say(log, events.RELOADED, host=config.discovery[0], port=config.discovery[1])
         self.table.follow(config.discovery)
@@ -222,7 +222,7 @@
         except ImportError as error:
             say(log, events.SETTINGS_WRONG, reason=f"trace.dir: a trace wants the extra `trace`: {error}")
             return 2
-        recorder = Recorder(operator, config.name, config.told, loop.now)
+        recorder = Recorder(operator, config.name, config.settings_json, loop.now)
         program.dispatcher.observers.append(recorder)
     if operator.detail:
         try:
--- a/heronstall/config.py
+++ b/heronstall/config.py
@@ -1,8 +1,8 @@
-"""The one place where configuration is read, checked and given defaults, for both programs.
+"""Reads and validates the configuration of all programs, and applies the defaults.
 
-`run` reads the file that NODE_CONFIG names, `sim` the object of a LAUNCH line; the settings in both
-are one object and are read by one function. Every complaint is a `ConfigError` that names the
-key at fault by its path.
+The dispatcher reads the file that NODE_CONFIG names, the simulator adapter the object of a LAUNCH line. The
+settings in both have the same form and are read by the same function. Every error is a `ConfigError` that
+starts with the path of the key at fault.
 """
 
 from __future__ import annotations
@@ -17,92 +17,90 @@
 
 from heronstall import interface as i
 
-VIA = {"piggyback": "answers", "pull": "probe", "silent": "none"}
-# What a reported value means to us, under the name that the settings use and the one on the sockets.
-REPORT_SLOT = {"cpu_share": "util", "busy_reqs": "inflight", "pending": "queued"}
-ON_SOCKETS = {"cpu_share": "util", "busy_reqs": "inflight", "pending": "queue"}
+REPORT_MODES = {"piggyback": "answers", "pull": "probe", "silent": "none"}
+# Fields of `interface.Report` by the names of the reported values, in the settings and on the sockets.
+SETTINGS_REPORT_FIELDS = {"cpu_share": "util", "busy_reqs": "inflight", "pending": "queued"}
+SOCKET_REPORT_FIELDS = {"cpu_share": "util", "busy_reqs": "inflight", "pending": "queue"}
 SECOND = 1_000_000
 
 
 class ConfigError(ValueError):
-    """A key is missing, distorted or out of range; the message begins with its path."""
+    """A key is missing, malformed or out of range; the message starts with its path."""
 
 
 class _Table:
-    """A JSON object and where it stands, so that every complaint can say which key it means."""
+    """A JSON object and its path, so that every error can name its key."""
 
     def __init__(self, value: object, path: str = "") -> None:
         if not isinstance(value, dict):
-            raise ConfigError(f"{path or 'configuration'}: an object is wanted")
+            raise ConfigError(f"{path or 'configuration'}: must be an object")
         self._value: dict[str, Any] = value
         self._path = path
 
-    def _at(self, key: str) -> str:
+    def _key_path(self, key: str) -> str:
         return f"{self._path}.{key}" if self._path else key
 
     def get(self, key: str, default: Any = None) -> Any:
-        """The plain value; null counts as absent."""
+        """Returns the raw value; null counts as absent."""
         value = self._value.get(key)
         return default if value is None else value
 
     def number(self, key: str, default: float | None, low: float = 0.0, high: float = math.inf) -> float:
         value = self.get(key, default)
         if value is None:
-            raise ConfigError(f"{self._at(key)}: missing")
+            raise ConfigError(f"{self._key_path(key)}: missing")
         if isinstance(value, bool) or not isinstance(value, (int, float)) or not math.isfinite(value):
-            raise ConfigError(f"{self._at(key)}: {value!r} is not a number")
+            raise ConfigError(f"{self._key_path(key)}: {value!r} is not a number")
         if not low <= value <= high:
-            raise ConfigError(
-                f"{self._at(key)}: {value!r} is out of range (at least {low:g}, at most {high:g})"
-            )
+            raise ConfigError(f"{self._key_path(key)}: {value!r} is out of range ({low:g} to {high:g})")
         return value
 
-    def whole(self, key: str, default: int | None, low: int = 0) -> int:
+    def integer(self, key: str, default: int | None, low: int = 0) -> int:
         return int(self.number(key, default, low))
 
     def flag(self, key: str) -> bool:
         value = self.get(key, False)
         if not isinstance(value, bool):
-            raise ConfigError(f"{self._at(key)}: {value!r} is not true or false")
+            raise ConfigError(f"{self._key_path(key)}: {value!r} is not true or false")
         return value
 
     def text(self, key: str, default: str | None = None) -> str:
         value = self.get(key, default)
         if not isinstance(value, str) or not value:
             raise ConfigError(
-                f"{self._at(key)}: " + ("missing" if value is None else f"{value!r} is not a text")
+                f"{self._key_path(key)}: " + ("missing" if value is None else f"{value!r} is not a string")
             )
         return value
 
     def choice(self, key: str, default: str, known: Mapping[str, Any]) -> Any:
         value = self.text(key, default)
         if value not in known:
-            raise ConfigError(f"{self._at(key)}: {value!r} is not one of {', '.join(known)}")
+            raise ConfigError(f"{self._key_path(key)}: {value!r} is not one of {', '.join(known)}")
         return known[value]
 
     def table(self, key: str) -> _Table:
-        return _Table(self.get(key, {}), self._at(key))
+        return _Table(self.get(key, {}), self._key_path(key))
 
-    def rows(self, key: str) -> list[Any]:
+    def array(self, key: str) -> list[Any]:
         value = self.get(key, [])
         if not isinstance(value, list):
-            raise ConfigError(f"{self._at(key)}: a list is wanted")
+            raise ConfigError(f"{self._key_path(key)}: must be a list")
         return value
 
     def tables(self, key: str) -> list[_Table]:
-        return [_Table(row, f"{self._at(key)}[{n}]") for n, row in enumerate(self.rows(key))]
+        return [_Table(row, f"{self._key_path(key)}[{n}]") for n, row in enumerate(self.array(key))]
 
     def per_class(self, key: str, count: int, default: float) -> list[float]:
-        """A figure for each class; a short list is filled up with the default."""
-        row = self.rows(key)
-        for n, value in enumerate(row):
+        """Returns a number for each class; a short list is padded with the default."""
+        values = self.array(key)
+        for n, value in enumerate(values):
             if isinstance(value, bool) or not isinstance(value, (int, float)) or not math.isfinite(value):
-                raise ConfigError(f"{self._at(key)}[{n}]: {value!r} is not a number")
-        return [*row, *[default] * count][:count]
+                raise ConfigError(f"{self._key_path(key)}[{n}]: {value!r} is not a number")
+        return [*values, *[default] * count][:count]
 
 
-def settings(config: dict[str, Any]) -> i.Settings:
-    """The settings object in the decisions' terms; keys that we do not know are ignored."""
+def parse_settings(config: dict[str, Any]) -> i.Settings:
+    """Returns the settings of the decisions from a settings object; unknown keys are ignored."""
     t = _Table(config)
     limits, rules, info, report = (t.table(k) for k in ("policyLimits", "rules", "familyInfo", "loadReport"))
     services = t.tables("services")
@@ -112,14 +110,14 @@
         info.per_class(key, len(services), default)
         for key, default in (("classStretch", 0.0), ("classPriority", 0), ("classKind", -1))
     )
-    same = {word: word for word in ("safe", "keyed", "unsafe", "all", "zone", "cell")}
+    literals = {literal: literal for literal in ("safe", "keyed", "unsafe", "all", "zone", "cell")}
     classes = tuple(
         i.RequestClass(
-            aim=c.whole("aim", None),
-            deadline=c.whole("deadline", None, 1),
-            effect=c.choice("effect", "unsafe", {k: same[k] for k in ("safe", "keyed", "unsafe")}),
-            group=c.choice("group", "all", {k: same[k] for k in ("all", "zone", "cell")}),
-            repeat_window=c.whole("repeatWindow", 0),
+            aim=c.integer("aim", None),
+            deadline=c.integer("deadline", None, 1),
+            effect=c.choice("effect", "unsafe", {k: literals[k] for k in ("safe", "keyed", "unsafe")}),
+            group=c.choice("group", "all", {k: literals[k] for k in ("all", "zone", "cell")}),
+            repeat_window=c.integer("repeatWindow", 0),
             stretch=float(c.number("aimStretch", 0.0) or stretches[n]),
             worth=float(c.number("worth", 1.0)),
             late_worth=float(c.number("lateWorth", 0.0)),
@@ -131,63 +129,63 @@
     )
     read = {
         "tenants": tuple(i.Tenant(float(x.number("quotaPerS", None))) for x in t.tables("tenants")),
-        "nodes": t.whole("balancers", 1, 1),
-        "me": t.whole("me", -1, -1),
-        "zone": t.whole("myZone", 0, -1),
-        "tick": t.whole("tick", 1000, 1),
+        "nodes": t.integer("balancers", 1, 1),
+        "me": t.integer("me", -1, -1),
+        "zone": t.integer("myZone", 0, -1),
+        "tick": t.integer("tick", 1000, 1),
         "discovery_on_request": t.get("discovery") == "on_request",
-        "ask_within": rules.whole("askWithin", 10 * SECOND),
-        "reports": cast(Any, VIA.get(report.get("via", "silent"), "none")),
+        "ask_within": rules.integer("askWithin", 10 * SECOND),
+        "reports": cast(Any, REPORT_MODES.get(report.get("via", "silent"), "none")),
         "probes": limits.flag("probes"),
         "cancelling": limits.flag("cancelling"),
         "second_copies": limits.flag("parallelTries"),
-        "max_attempts": limits.whole("maxAttempts", 1, 1),
+        "max_attempts": limits.integer("maxAttempts", 1, 1),
         "marks_retry": t.table("callers").flag("marksRetry"),
-        "max_retry_after": limits.whole("maxRetryAfter", 0),
-        "answer_grace": rules.whole("graceToAnswer", 0),
-        "cold": rules.whole("cold", 0),
+        "max_retry_after": limits.integer("maxRetryAfter", 0),
+        "answer_grace": rules.integer("graceToAnswer", 0),
+        "cold": rules.integer("cold", 0),
         "cold_from": float(rules.number("coldFrom", 1.0, 0.0, 1.0)),
-        "fall": rules.whole("fall", SECOND, 1),
+        "fall": rules.integer("fall", SECOND, 1),
         "fall_multiple": float(rules.number("fallMultiple", 1.0, 1e-9)),
         "tells_start": info.flag("tellsStart"),
-        "progress": info.whole("progress", 0),
+        "progress": info.integer("progress", 0),
         "probe_price": float(t.table("prices").number("probe", 0.0)),
     }
     try:
         return i.Settings(classes=classes, **read)
-    except ValueError as error:  # what only the decisions' own check knows
+    except ValueError as error:  # checks that only `Settings` makes
         raise ConfigError(f"settings out of range: {error}") from None
 
 
-def report_meanings(config: dict[str, Any]) -> list[tuple[str, int]]:
-    """Each reported value's name, in order, and its place in `interface.Report`, -1 if of no use to us."""
+def report_fields(config: dict[str, Any]) -> list[tuple[str, int]]:
+    """Returns each reported value's name, in order, and its index in `interface.Report`, or -1 if unused."""
     t = _Table(config)
     info = t.table("familyInfo")
-    meaning = dict(REPORT_SLOT)
-    for name, told in (("x0", info.get("reportX0")), ("x1", info.get("reportX1"))):
-        if told in ("free slots", "free memory"):
-            meaning[name] = "free_slots" if told == "free slots" else "free_memory"
-    fields = [str(name) for name in t.table("loadReport").rows("fields")]
-    places = i.Report._fields
-    return [(f, places.index(meaning[f]) if f in meaning else -1) for f in fields]
+    field_names = dict(SETTINGS_REPORT_FIELDS)
+    for name, quantity in (("x0", info.get("reportX0")), ("x1", info.get("reportX1"))):
+        if quantity in ("free slots", "free memory"):
+            field_names[name] = "free_slots" if quantity == "free slots" else "free_memory"
+    fields = [str(name) for name in t.table("loadReport").array("fields")]
+    report_slots = i.Report._fields
+    return [(name, report_slots.index(field_names[name]) if name in field_names else -1) for name in fields]
 
 
-def parse(text: str, what: str) -> dict[str, Any]:
-    """A JSON object from text."""
+def parse_json_object(text: str, source: str) -> dict[str, Any]:
+    """Parses a JSON object."""
     try:
         value = ujson.loads(text)
     except ValueError:
-        raise ConfigError(f"{what}: not JSON") from None
+        raise ConfigError(f"{source}: not valid JSON") from None
     if not isinstance(value, dict):
-        raise ConfigError(f"{what}: not an object")
+        raise ConfigError(f"{source}: not a JSON object")
     return value
 
 
 Address = tuple[str, int]
 
 
-def address(text: str, key: str) -> Address:
-    """Host and port of `host:port`; the host must be an address, since there is no DNS."""
+def parse_address(text: str, key: str) -> Address:
+    """Parses `host:port`; the host must be an IP address, since there is no DNS."""
     host, _, port = text.rpartition(":")
     host = host.strip("[]")
     if not host or not port.isdecimal() or not int(port) < 65536:
@@ -197,53 +195,57 @@
 
 @dataclass(frozen=True)
 class Config:
-    """What `run` is told. Times are microseconds."""
+    """The configuration of the dispatcher. Times are microseconds."""
 
     name: str
     listen: Address
     discovery: Address
     seed: int
-    sockets: int
-    memory: int  # bytes
-    known: dict[str, Any] | None
+    sockets: int  # limit of open sockets
+    memory: int  # limit in bytes
+    known: dict[str, Any] | None  # the server list that the platform hands over
     settings: i.Settings
-    classes: dict[str, int]
+    classes: dict[str, int]  # index by name; so are the next three
     tenants: dict[str, int]
     zones: dict[str, int]
     kinds: dict[str, int]
-    report_slots: dict[str, int]  # name of a value in a report on the sockets: its place in `Report`
+    report_slots: dict[str, int]  # index in `Report` by the name of a value
     connect_timeout: int
     keepalive: int
     drain_grace: int
-    told: str  # the settings object as JSON, for a trace
-    operator: Address | None = None  # where the operators' staff call; nothing is opened without it
+    settings_json: str  # for a trace
+    operator: Address | None = None  # listening address of the operator interface; None to disable it
 
 
 def load(environ: Mapping[str, str]) -> Config:
-    """Read NODE_CONFIG; the other NODE_ variables win over what it says."""
-    return configuration({**_file(environ), **_told(environ)})
+    """Reads the file of NODE_CONFIG; the other NODE_ variables override its values."""
+    return configuration({**_read_file(environ), **_environment_overrides(environ)})
 
 
 def reload(environ: Mapping[str, str]) -> Config:
-    """Read NODE_CONFIG again. NODE_DISCOVERY told of the start: the file's `discovery` is the newer word."""
-    raw = _file(environ)
-    told = {key: value for key, value in _told(environ).items() if key != "discovery" or key not in raw}
-    return configuration({**raw, **told})
+    """Reads the file of NODE_CONFIG again; its `discovery` now overrides NODE_DISCOVERY, which is older."""
+    raw = _read_file(environ)
+    overrides = {
+        key: value
+        for key, value in _environment_overrides(environ).items()
+        if key != "discovery" or key not in raw
+    }
+    return configuration({**raw, **overrides})
 
 
-def fixed_changes(old: Config, new: Config) -> list[str]:
-    """The keys that differ and cannot be followed before a restart.
+def restart_only_changes(old: Config, new: Config) -> list[str]:
+    """Returns the keys that differ and only take effect after a restart.
 
-    `known` and `seed` are not among them: they are of use at a start only and are new in each file.
+    `known` and `seed` are excluded: they are only used at a start, and each file has new ones.
     """
     keys = {key: key for key in ("name", "listen", "operator")}
     keys |= {"sockets": "limits.sockets", "memory": "limits.memory_mb"}
-    passed = ("discovery", "known", "seed", "told")
+    ignored = ("discovery", "known", "seed", "settings_json")
     changed = [f.name for f in fields(Config) if getattr(old, f.name) != getattr(new, f.name)]
-    return sorted({keys.get(name, "settings") for name in changed if name not in passed})
+    return sorted({keys.get(name, "settings") for name in changed if name not in ignored})
 
 
-def _file(environ: Mapping[str, str]) -> dict[str, Any]:
+def _read_file(environ: Mapping[str, str]) -> dict[str, Any]:
     path = environ.get("NODE_CONFIG")
     if not path:
         raise ConfigError("NODE_CONFIG: not set")
@@ -251,10 +253,10 @@
         text = Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
         raise ConfigError(f"NODE_CONFIG: cannot read {path}: {error}") from None
-    return parse(text, "NODE_CONFIG")
+    return parse_json_object(text, "NODE_CONFIG")
 
 
-def _told(environ: Mapping[str, str]) -> dict[str, str]:
+def _environment_overrides(environ: Mapping[str, str]) -> dict[str, str]:
     names = {
         "NODE_NAME": "name",
         "NODE_LISTEN": "listen",
@@ -265,12 +267,12 @@
 
 
 def configuration(raw: dict[str, Any]) -> Config:
-    """Check the whole of what `run` is told."""
+    """Validates the configuration of the dispatcher."""
     t = _Table(raw)
     if t.get("settings") is None:
         raise ConfigError("settings: missing")
     s = t.table("settings")
-    told = t.get("settings")
+    settings_object = t.get("settings")
     limits = s.table("policyLimits")
     seed = t.text("seed", "0")
     try:
@@ -278,45 +280,47 @@
     except ValueError:
         raise ConfigError(f"seed: {seed!r} is not a hexadecimal number") from None
     try:
-        decided = settings(told)
-        slots = dict(report_meanings(told))
+        decision_settings = parse_settings(settings_object)
+        slots = dict(report_fields(settings_object))
         names = [[c.text("name") for c in s.tables(key)] for key in ("services", "tenants")]
     except ConfigError as error:
         raise ConfigError(str(error) if str(error).startswith("settings") else f"settings.{error}") from None
-    slots |= {ON_SOCKETS[name]: place for name, place in slots.items() if name in ON_SOCKETS}
+    slots |= {
+        SOCKET_REPORT_FIELDS[name]: slot for name, slot in slots.items() if name in SOCKET_REPORT_FIELDS
+    }
     known = t.get("known")
     if known is not None:
         _Table(known, "known")
     numbered = [
-        {str(name): n for n, name in enumerate(row)} for row in (*names, s.rows("areas"), s.rows("flavors"))
+        {str(name): n for n, name in enumerate(row)} for row in (*names, s.array("areas"), s.array("flavors"))
     ]
     return Config(
         name=t.text("name", "dispatcher"),
-        listen=address(t.text("listen"), "listen"),
-        discovery=address(t.text("discovery"), "discovery"),
+        listen=parse_address(t.text("listen"), "listen"),
+        discovery=parse_address(t.text("discovery"), "discovery"),
         seed=number,
-        sockets=t.table("limits").whole("sockets", 1024, 64),
+        sockets=t.table("limits").integer("sockets", 1024, 64),
         memory=int(t.table("limits").number("memory_mb", 192, 24) * 1024 * 1024),
         known=known,
-        settings=decided,
+        settings=decision_settings,
         classes=numbered[0],
         tenants=numbered[1],
         zones=numbered[2],
         kinds=numbered[3],
-        report_slots={name: place for name, place in slots.items() if place >= 0},
-        connect_timeout=limits.whole("connectTimeout", 250_000, 1),
-        keepalive=limits.whole("keepalive", 5 * SECOND, 1),
-        drain_grace=s.table("rules").whole("drainGrace", 2 * SECOND),
-        told=ujson.dumps(told),
-        operator=None if t.get("operator") is None else address(t.text("operator"), "operator"),
+        report_slots={name: slot for name, slot in slots.items() if slot >= 0},
+        connect_timeout=limits.integer("connectTimeout", 250_000, 1),
+        keepalive=limits.integer("keepalive", 5 * SECOND, 1),
+        drain_grace=s.table("rules").integer("drainGrace", 2 * SECOND),
+        settings_json=ujson.dumps(settings_object),
+        operator=None if t.get("operator") is None else parse_address(t.text("operator"), "operator"),
     )
 
 
 @dataclass(frozen=True)
 class NodeBounds:
-    """Figures that the rules name; times in seconds."""
+    """Time limits of the deployment, in seconds."""
 
-    grace: float
+    grace: float  # from a stop signal to the end of the process
     config_apply: float
     max_skew: float
     recover: float
@@ -325,7 +329,7 @@
 
 @dataclass(frozen=True)
 class NodeSettings:
-    """What a process of the tier is told at its start."""
+    """The settings of a process of the serving tier."""
 
     name: str
     role: str
@@ -339,21 +343,21 @@
     seeds: tuple[str, ...]
     bootstrap: bool
     data_dir: str | None
-    heartbeat: float
-    machines_lost: int  # counted machines that may be lost at once
+    heartbeat: float  # interval in seconds
+    machines_lost: int  # how many machines may be lost at the same time
     memory_mb: int
     disk_mb: int
     max_fds: int
     bounds: NodeBounds
-    path: str = ""  # of the file that this was read from
+    path: str = ""  # of the settings file
 
     @property
     def seed_addresses(self) -> list[str]:
-        """Addresses for messages of the nodes that the seeds name."""
+        """Returns the message addresses of the seed nodes."""
         return [f"{seed.rpartition(':')[0]}:{self.port}" for seed in self.seeds]
 
-    def read_again(self) -> NodeSettings:
-        """The settings as the file has them now; these where it can't be used."""
+    def reloaded(self) -> NodeSettings:
+        """Returns the current settings of the file, or these if the file is invalid."""
         try:
             return node_settings(self.path)
         except ConfigError:
@@ -361,7 +365,7 @@
 
 
 def node_settings(path: str) -> NodeSettings:
-    """Read a tier process's settings file. Raises ConfigError, which names the key at fault."""
+    """Reads the settings file of a tier process. Raises ConfigError, which names the key at fault."""
     try:
         raw = ujson.loads(Path(path).read_bytes())
     except (OSError, ValueError) as error:
@@ -369,16 +373,16 @@
     table = _Table(raw)
     ports = table.get("port_range")
     if not isinstance(ports, list) or not ports or not all(isinstance(p, int) for p in ports):
-        raise ConfigError("port_range: a list of two ports is wanted")
+        raise ConfigError("port_range: must be a list of two ports")
     seeds = table.get("seed_nodes", [])
     if not isinstance(seeds, list) or not all(isinstance(s, str) and ":" in s for s in seeds):
-        raise ConfigError("seed_nodes: a list of addresses is wanted")
+        raise ConfigError("seed_nodes: must be a list of addresses")
     listen = table.get("listen", {})
     if not isinstance(listen, dict) or not all(isinstance(a, str) and ":" in a for a in listen.values()):
-        raise ConfigError("listen: addresses by name are wanted")
+        raise ConfigError("listen: must map names to addresses")
     zones = table.get("zones", {})
     if not isinstance(zones, dict):
-        raise ConfigError("zones: regions by zone are wanted")
+        raise ConfigError("zones: must map zones to regions")
     limits = _Table(table.get("limits", {}), "limits")
     tolerance = _Table(table.get("fault_tolerance", {}), "fault_tolerance")
     return NodeSettings(
@@ -395,10 +399,10 @@
         bootstrap=table.flag("bootstrap"),
         data_dir=table.get("data_dir"),
         heartbeat=table.number("heartbeat_ms", 1000) / 1000,
-        machines_lost=tolerance.whole("machines", 1),
-        memory_mb=limits.whole("memory_mb", 256),
-        disk_mb=limits.whole("disk_mb", 0),
-        max_fds=limits.whole("max_fds", 1024),
+        machines_lost=tolerance.integer("machines", 1),
+        memory_mb=limits.integer("memory_mb", 256),
+        disk_mb=limits.integer("disk_mb", 0),
+        max_fds=limits.integer("max_fds", 1024),
         bounds=_node_bounds(_Table(table.get("bounds", {}), "bounds")),
         path=path,
     )
--- a/heronstall/controlplane/core.py
+++ b/heronstall/controlplane/core.py
@@ -301,7 +301,7 @@
         """A node that hears of no leader may have seeds that are gone: the file may name others."""
         if now >= self._seeds_after:
             self._seeds_after = now + READ_SEEDS_EVERY
-            self.settings = self.settings.read_again()
+            self.settings = self.settings.reloaded()
 
     def _gossip(self) -> None:
         now = self.host.now()
--- a/heronstall/controlplane/store.py
+++ b/heronstall/controlplane/store.py
@@ -119,7 +119,7 @@
         }
 
         def seeds() -> list[str]:
-            return settings.read_again().seed_addresses
+            return settings.reloaded().seed_addresses
 
         self._puller = Puller(self.links, self.view, self._session, seeds, self._news)
 
--- a/heronstall/dataplane/node.py
+++ b/heronstall/dataplane/node.py
@@ -73,7 +73,7 @@
         )
 
         def seeds() -> list[str]:
-            return settings.read_again().seed_addresses
+            return settings.reloaded().seed_addresses
 
         self.puller = Puller(self.links, self.view, self._session, seeds, self._news, self._answered)
         self._tasks: list[asyncio.Task[None]] = []
--- a/heronstall/decide.py
+++ b/heronstall/decide.py
@@ -1,6 +1,6 @@
-"""Dispatch decisions of one node, after ProFaaStinate: two lanes, a busy/idle switch and a weighted draw.
+"""Dispatch decisions of one node; its settings, events and actions are in `heronstall/interface.py`.
 
-`Balancer.handle` drives it; its `now`, in whole microseconds, is the only clock. See docs/design.md."""
+After ProFaaStinate: docs/design.md. The only clock is `now` of `Balancer.handle`, in whole microseconds."""
 
 from __future__ import annotations
 
--- a/heronstall/keeper/calls.py
+++ b/heronstall/keeper/calls.py
@@ -51,7 +51,7 @@
 def address(text: str) -> tuple[str, int]:
     """Host and port. Raises CallError."""
     try:
-        return config.address(text, "address")
+        return config.parse_address(text, "address")
     except ConfigError:
         raise CallError(f"{text!r} is not host:port") from None
 
--- a/heronstall/keeper/keeper.py
+++ b/heronstall/keeper/keeper.py
@@ -18,7 +18,7 @@
 from typing import Any
 
 from heronstall import events
-from heronstall.config import ConfigError, configuration, fixed_changes
+from heronstall.config import ConfigError, configuration, restart_only_changes
 from heronstall.events import say
 from heronstall.keeper import calls, processes
 from heronstall.keeper.calls import CallError, Desk, no, rows, yes
@@ -354,7 +354,7 @@
         try:
             running = json.loads(self._config(main.token).read_text(encoding="utf-8"))
             coming = compose(self._file.kept[place.name].config, release)
-            return not fixed_changes(configuration(running), configuration(coming))
+            return not restart_only_changes(configuration(running), configuration(coming))
         except (OSError, ValueError, ConfigError, ReleaseError):
             return False
 
--- a/heronstall/net/server_table.py
+++ b/heronstall/net/server_table.py
@@ -12,7 +12,7 @@
 
 from heronstall import events
 from heronstall import interface as i
-from heronstall.config import Address, Config, ConfigError, address
+from heronstall.config import Address, Config, ConfigError, parse_address
 from heronstall.events import say
 from heronstall.net.connection import Connection, Ended, Ending, connect
 from heronstall.net.json_stream import JsonStream
@@ -504,7 +504,7 @@
         if state is None:
             say(log, events.STATE_UNKNOWN, server=uid, state=str(row["state"]))
             state = "leaving"
-        endpoint = address(str(row["endpoint"]), "endpoint")
+        endpoint = parse_address(str(row["endpoint"]), "endpoint")
         started = boot_ms * 1000 - self._offset if boot_ms > 0 else None
         zone, kind = str(row.get("az")), str(row.get("model"))
         entry = i.WorkerEntry(
--- a/heronstall/operator.py
+++ b/heronstall/operator.py
@@ -16,7 +16,7 @@
 
 import ujson
 
-from heronstall.config import Address, ConfigError, address
+from heronstall.config import Address, ConfigError, parse_address
 
 FORMATS = ("plain", "logfmt", "json")
 LEVELS = ("debug", "info", "warning", "error")
@@ -148,7 +148,7 @@
     others = []
     for n, one in enumerate(join):
         try:
-            others.append(address(str(one), f"peers.join[{n}]"))
+            others.append(parse_address(str(one), f"peers.join[{n}]"))
         except ConfigError as error:
             raise OperatorError(f"{name}: {error}") from None
     endpoints = told.get("endpoints", "own")
@@ -156,7 +156,7 @@
         raise OperatorError(f"{name}: peers.endpoints: {endpoints!r} where own or same is wanted")
     shown = told.get("advertise", "")
     try:
-        advertise = address(str(shown), "peers.advertise") if shown else None
+        advertise = parse_address(str(shown), "peers.advertise") if shown else None
     except ConfigError as error:
         raise OperatorError(f"{name}: {error}") from None
     learn = told.get("learn", True)
--- a/heronstall/policy/__init__.py
+++ b/heronstall/policy/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions that both programs share: lanes, switch, draw."""
+"""Scheduling policies that the dispatcher and the serving tier share."""
--- a/heronstall/policy/lane.py
+++ b/heronstall/policy/lane.py
@@ -1,4 +1,4 @@
-"""The deferred lane: work by deadline."""
+"""The lane of deferred work, ordered by deadline."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 
 
 class DeadlineLane(Generic[Work]):
-    """Waiting work, the least key first; equal keys in their order of arrival."""
+    """A queue of waiting work, lowest key first; equal keys keep their order of arrival."""
 
     def __init__(self) -> None:
         self._heap: list[tuple[tuple[int, int], int, Work]] = []
-        self._arrivals = 0
+        self._sequence = 0
 
     def __len__(self) -> int:
         return len(self._heap)
 
     def push(self, key: tuple[int, int], work: Work) -> None:
-        """Add work; the key is its rank, then its deadline."""
-        self._arrivals += 1
-        heapq.heappush(self._heap, (key, self._arrivals, work))
+        """Adds work; the key is its rank, then its deadline."""
+        self._sequence += 1
+        heapq.heappush(self._heap, (key, self._sequence, work))
 
     def first(self) -> tuple[tuple[int, int], Work]:
-        """The work that is next, and its key."""
+        """Returns the key of the next work, and the work."""
         return self._heap[0][0], self._heap[0][2]
 
     def pop(self) -> Work:
-        """Remove the work that is next."""
+        """Removes and returns the next work."""
         return heapq.heappop(self._heap)[2]
--- a/heronstall/wire.py
+++ b/heronstall/wire.py
@@ -1,4 +1,4 @@
-"""The codec between the simulator's text wire and `heronstall.interface`."""
+"""The codec between the simulator's text protocol and `heronstall.interface`."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from typing import Any, cast
 
 from heronstall import interface as i
-from heronstall.config import ConfigError, parse, report_meanings, settings
+from heronstall.config import ConfigError, parse_json_object, parse_settings, report_fields
 
 
 class WireError(ValueError):
-    """Something on the wire is malformed; the message says what, in one sentence."""
+    """Malformed input; the message is one sentence that says what is wrong."""
 
 
 STATUS: dict[str, i.Status] = {
@@ -29,21 +29,21 @@
 SCOPE = {"Partial": "changes", "Complete": "complete", "Persisted": "persisted", "Error": "error"}
 
 
-def integer(text: str) -> int:
-    """A whole number."""
+def parse_integer(text: str) -> int:
+    """Parses an integer."""
     try:
         return int(text)
     except ValueError:
-        raise WireError(f"{text!r} is not a whole number") from None
+        raise WireError(f"{text!r} is not an integer") from None
 
 
-def optional(text: str) -> int:
-    """A whole number, 0 where absent."""
-    return 0 if text == "-" else integer(text)
+def parse_optional_integer(text: str) -> int:
+    """Parses an integer; returns 0 for an absent one."""
+    return 0 if text == "-" else parse_integer(text)
 
 
-def number(text: str) -> float:
-    """A number, 0 where absent."""
+def parse_number(text: str) -> float:
+    """Parses a finite number; returns 0 for an absent one."""
     if text == "-":
         return 0.0
     try:
@@ -55,146 +55,151 @@
     return value
 
 
-def flag(text: str) -> bool:
-    """A bool; absent counts as false."""
+def parse_flag(text: str) -> bool:
+    """Parses a boolean; returns False for an absent one."""
     if text in ("1", "0", "-"):
         return text == "1"
     raise WireError(f"{text!r} is not 1 or 0")
 
 
-def word(table: dict[str, Any], text: str, what: str) -> Any:
-    """The meaning of one of a fixed set of words."""
+def parse_keyword(table: dict[str, Any], text: str, kind: str) -> Any:
+    """Looks up one of a fixed set of keywords."""
     try:
         return table[text]
     except KeyError:
-        raise WireError(f"{text!r} is not a known {what}") from None
+        raise WireError(f"unknown {kind} {text!r}") from None
 
 
 class Codec:
-    """Reads one instance's settings and events. Report rows are read by the settings' field names."""
+    """Decodes one instance's settings and events; the settings name the fields of its load reports."""
 
     def __init__(self, config: dict[str, Any]) -> None:
         try:
-            self._fields = [place for _, place in report_meanings(config)]
-            self.settings = settings(config)
+            self._field_slots = [slot for _, slot in report_fields(config)]
+            self.settings = parse_settings(config)
         except ConfigError as error:
             raise WireError(f"settings: {error}") from None
 
-    def report(self, text: str) -> i.Report | None:
-        """A load report; missing or absurd figures make it none at all."""
+    def decode_report(self, text: str) -> i.Report | None:
+        """Decodes a load report; returns None for an absent one or one with an implausible value."""
         if text == "-" or not text:
             return None
-        row: list[float | None] = [None] * 5
-        for slot, value in zip(self._fields, text.split(","), strict=False):
+        values: list[float | None] = [None] * 5
+        for slot, value in zip(self._field_slots, text.split(","), strict=False):
             if slot < 0 or value == "-":
                 continue
             try:
-                figure = float(value)
+                parsed = float(value)
             except ValueError:
-                raise WireError(f"{value!r} in a load report is not a number") from None
-            if not 0.0 <= figure < 1e12:
+                raise WireError(f"load report: {value!r} is not a number") from None
+            if not 0.0 <= parsed < 1e12:
                 return None
-            row[slot] = figure
-        return None if row.count(None) == 5 else i.Report(*row)
+            values[slot] = parsed
+        return None if values.count(None) == 5 else i.Report(*values)
 
-    def request(self, p: Sequence[str]) -> i.Event:
-        """REQ"""
+    def decode_request(self, fields: Sequence[str]) -> i.Event:
+        """Decodes REQ."""
         return i.Arrival(
-            integer(p[2]),
-            integer(p[3]),
-            integer(p[6]),
-            optional(p[4]),
-            None if p[5] == "-" else p[5],
-            optional(p[7]) or None,
-            number(p[8]) or 1.0,
-            number(p[9]),
-            flag(p[10]),
+            parse_integer(fields[2]),
+            parse_integer(fields[3]),
+            parse_integer(fields[6]),
+            parse_optional_integer(fields[4]),
+            None if fields[5] == "-" else fields[5],
+            parse_optional_integer(fields[7]) or None,
+            parse_number(fields[8]) or 1.0,
+            parse_number(fields[9]),
+            parse_flag(fields[10]),
         )
 
-    def outcome(self, p: Sequence[str]) -> i.Event:
-        """SETTLED"""
+    def decode_outcome(self, fields: Sequence[str]) -> i.Event:
+        """Decodes SETTLED."""
         return i.Outcome(
-            integer(p[2]),
-            integer(p[3]),
-            integer(p[8]),
-            flag(p[4]),
-            word(STATUS, p[6], "outcome"),
-            optional(p[5]),
-            self.report(p[9]),
+            parse_integer(fields[2]),
+            parse_integer(fields[3]),
+            parse_integer(fields[8]),
+            parse_flag(fields[4]),
+            parse_keyword(STATUS, fields[6], "outcome"),
+            parse_optional_integer(fields[5]),
+            self.decode_report(fields[9]),
         )
 
-    def note(self, p: Sequence[str]) -> i.Event | None:
-        """HEARTBEAT; kinds other than start and progress mean nothing to us."""
-        what = integer(p[5])
-        if what not in (1, 2):
+    def decode_note(self, fields: Sequence[str]) -> i.Event | None:
+        """Decodes HEARTBEAT; returns None for kinds other than start (1) and progress (2)."""
+        kind = parse_integer(fields[5])
+        if kind not in (1, 2):
             return None
-        share = number(p[6]) if what == 2 else None
-        return i.JobNote(integer(p[2]), integer(p[4]), integer(p[3]), share)
-
-    def stream(self, p: Sequence[str]) -> i.Event:
-        """ACK_FIRST"""
-        return i.StreamStarted(integer(p[2]), integer(p[3]), integer(p[4]))
-
-    def gone(self, p: Sequence[str]) -> i.Event:
-        """CLIENT_GONE"""
-        return i.ClientGone(integer(p[2]))
-
-    def timer(self, p: Sequence[str]) -> i.Event:
-        """TIMER"""
-        return i.Timer(p[2])
-
-    def probed(self, p: Sequence[str]) -> i.Event:
-        """PROBE_DONE"""
-        status = word(STATUS, p[3], "outcome")
-        return i.ProbeResult(integer(p[2]), status == "ok", optional(p[4]), self.report(p[5]))
+        share = parse_number(fields[6]) if kind == 2 else None
+        return i.JobNote(parse_integer(fields[2]), parse_integer(fields[4]), parse_integer(fields[3]), share)
+
+    def decode_stream_started(self, fields: Sequence[str]) -> i.Event:
+        """Decodes ACK_FIRST."""
+        return i.StreamStarted(parse_integer(fields[2]), parse_integer(fields[3]), parse_integer(fields[4]))
+
+    def decode_client_gone(self, fields: Sequence[str]) -> i.Event:
+        """Decodes CLIENT_GONE."""
+        return i.ClientGone(parse_integer(fields[2]))
+
+    def decode_timer(self, fields: Sequence[str]) -> i.Event:
+        """Decodes TIMER."""
+        return i.Timer(fields[2])
+
+    def decode_probe_result(self, fields: Sequence[str]) -> i.Event:
+        """Decodes PROBE_DONE."""
+        status = parse_keyword(STATUS, fields[3], "outcome")
+        return i.ProbeResult(
+            parse_integer(fields[2]),
+            status == "ok",
+            parse_optional_integer(fields[4]),
+            self.decode_report(fields[5]),
+        )
 
-    def peer(self, p: Sequence[str]) -> i.Event:
-        """INBOX"""
+    def decode_peer_message(self, fields: Sequence[str]) -> i.Event:
+        """Decodes INBOX."""
         try:
-            data = b"" if p[3] == "-" else base64.b64decode(p[3], validate=True)
+            data = b"" if fields[3] == "-" else base64.b64decode(fields[3], validate=True)
         except binascii.Error:
-            raise WireError("a peer's message is not base64") from None
-        return i.PeerMessage(integer(p[2]), data)
+            raise WireError("a peer message is not valid base64") from None
+        return i.PeerMessage(parse_integer(fields[2]), data)
 
 
 Reader = Callable[[Codec, Sequence[str]], "i.Event | None"]
 READERS: dict[str, tuple[int, Reader]] = {
-    "REQ": (11, Codec.request),
-    "SETTLED": (10, Codec.outcome),
-    "HEARTBEAT": (7, Codec.note),
-    "ACK_FIRST": (5, Codec.stream),
-    "CLIENT_GONE": (3, Codec.gone),
-    "TIMER": (3, Codec.timer),
-    "PROBE_DONE": (6, Codec.probed),
-    "INBOX": (4, Codec.peer),
+    "REQ": (11, Codec.decode_request),
+    "SETTLED": (10, Codec.decode_outcome),
+    "HEARTBEAT": (7, Codec.decode_note),
+    "ACK_FIRST": (5, Codec.decode_stream_started),
+    "CLIENT_GONE": (3, Codec.decode_client_gone),
+    "TIMER": (3, Codec.decode_timer),
+    "PROBE_DONE": (6, Codec.decode_probe_result),
+    "INBOX": (4, Codec.decode_peer_message),
 }
 
 
-def topology(parts: Sequence[str], rows: Sequence[Sequence[str]]) -> i.Event:
-    """TOPOLOGY with its ENTRY lines, already split."""
+def decode_topology(parts: Sequence[str], rows: Sequence[Sequence[str]]) -> i.Event:
+    """Decodes TOPOLOGY with its ENTRY lines, already split into fields."""
     entries = []
-    for p in rows:
-        if p[0] != "ENTRY" or len(p) < 8:
-            raise WireError(f"TOPOLOGY wants an ENTRY line with 7 values, not {' '.join(p)!r}")
-        if p[5] not in ("active", "leaving", "left"):
-            raise WireError(f"{p[5]!r} is not a known condition")
+    for fields in rows:
+        if fields[0] != "ENTRY" or len(fields) < 8:
+            raise WireError(f"TOPOLOGY requires an ENTRY line with 7 values, got {' '.join(fields)!r}")
+        if fields[5] not in ("active", "leaving", "left"):
+            raise WireError(f"unknown state {fields[5]!r}")
         entries.append(
             i.WorkerEntry(
-                integer(p[1]),
-                optional(p[2]),
-                optional(p[3]),
-                optional(p[4]),
-                cast(Any, p[5]),
-                number(p[6]) or 1.0,
-                optional(p[7]) or None,
-                mark=integer(p[1]),
+                parse_integer(fields[1]),
+                parse_optional_integer(fields[2]),
+                parse_optional_integer(fields[3]),
+                parse_optional_integer(fields[4]),
+                cast(Any, fields[5]),
+                parse_number(fields[6]) or 1.0,
+                parse_optional_integer(fields[7]) or None,
+                mark=parse_integer(fields[1]),
             )
         )
-    return i.WorkerList(word(SCOPE, parts[2], "scope"), tuple(entries))
+    return i.WorkerList(parse_keyword(SCOPE, parts[2], "scope"), tuple(entries))
 
 
 def encode(node: int, action: i.Action) -> str:
-    """One action as a line."""
+    """Encodes an action as a line."""
     if isinstance(action, i.Send):
         return f"ASSIGN {node} {action.request} {action.worker} {action.timeout}"
     if isinstance(action, i.WakeAt):
@@ -212,9 +217,9 @@
     return f"JOURNAL_LINE {node} {action.text}"
 
 
-def config_object(text: str) -> dict[str, Any]:
-    """The JSON object at the end of a LAUNCH line."""
+def parse_settings_object(text: str) -> dict[str, Any]:
+    """Parses the JSON object at the end of a LAUNCH line."""
     try:
-        return parse(text, "the settings of LAUNCH")
+        return parse_json_object(text, "LAUNCH settings")
     except ConfigError as error:
         raise WireError(str(error)) from None
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -112,14 +112,14 @@
 
 def test_reports_are_read_by_name_in_any_order() -> None:
     codec = Codec(CONFIG)
-    report = codec.report("3,12.5,0.4,1.25")
+    report = codec.decode_report("3,12.5,0.4,1.25")
     assert report is not None
     assert (report.free_slots, report.util, report.free_memory, report.queued) == (3.0, 0.4, 1.25, None)
-    assert codec.report("-") is None
+    assert codec.decode_report("-") is None
     for absurd in ("-1,1,0.4,1", "nan,1,0.4,1", "3,1,inf,1"):
-        assert codec.report(absurd) is None
+        assert codec.decode_report(absurd) is None
     with pytest.raises(WireError):
-        codec.report("3,1,much,1")
+        codec.decode_report("3,1,much,1")
 
 
 def test_settings_are_read_and_bad_ones_named() -> None:
