--- a/heronstall/wire.py
+++ b/heronstall/wire.py
@@ -67,7 +67,7 @@
     try:
         return table[text]
     except KeyError:
-        raise WireError(f"unknown {kind} {text!r}") from None
+        raise WireError(f"{text!r} is not a known {kind}") from None
 
 
 class Codec:
