--- a/benchmarks/fuzz.py
+++ b/benchmarks/fuzz.py
@@ -92,7 +92,7 @@
 def _snapshot() -> Decoder:
     told = {"rev": 3, "all": True, "targets": [{"uid": "s-1", "endpoint": "10.0.0.1:80", "state": "SERVING"}]}
     return Decoder(
-        (snapshot.Unusable,),
+        (snapshot.UnusableSnapshot,),
         lambda data: snapshot.unpack(NODE, SERVICE, data, AGE, AGE),
         None,  # keys that are not known are dropped
         (snapshot.pack(NODE, SERVICE, AGE // 2, told),),
--- a/heronstall/net/server_table.py
+++ b/heronstall/net/server_table.py
@@ -307,9 +307,9 @@
             finally:
                 if connection is not None:
                     connection.close()
-            end = CallEnd.NO_NEWS if watch.heard else CallEnd.NEVER_ANSWERED
+            end = CallEnd.UNCHANGED if watch.heard else CallEnd.NEVER_ANSWERED
             if watch.rev is not None and watch.rev != rev:
-                end = CallEnd.NEWS
+                end = CallEnd.UPDATED
             refusal = Refusal(watch.retry_after) if refused else None
             now = self._loop.now
             yield from sleep(now + backoff.pause(end, refusal, now, has_list=bool(self._by_uid)))
--- a/heronstall/net/snapshots.py
+++ b/heronstall/net/snapshots.py
@@ -18,7 +18,7 @@
 from heronstall.net.loop import Loop
 from heronstall.net.server_table import ServerTable
 from heronstall.operator import SnapshotFile
-from heronstall.start.snapshot import LARGEST, Unusable, fresher, pack, unpack
+from heronstall.start.snapshot import MAX_SIZE, UnusableSnapshot, newer_list, pack, unpack
 
 LOOK = 2_000_000  # between looks at whether the list has changed
 REWRITE = 600_000_000  # an unchanged one is dated anew so often
@@ -41,16 +41,16 @@
         """The list to start from: the snapshot's or the one we are told, whichever is later."""
         snapshot = None
         try:
-            if self._path.stat().st_size > LARGEST:
-                raise Unusable("too large")
+            if self._path.stat().st_size > MAX_SIZE:
+                raise UnusableSnapshot("too large")
             now = self._loop.now + self._offset
             data = self._path.read_bytes()
             snapshot = unpack(self._config.name, self._discovery, data, now, self._most_age)
         except FileNotFoundError:
             pass
-        except (OSError, Unusable) as error:
+        except (OSError, UnusableSnapshot) as error:
             say(log, events.SNAPSHOT_IGNORED, path=str(self._path), reason=str(error))
-        return fresher(snapshot, self._config.known)
+        return newer_list(snapshot, self._config.known)
 
     def begin(self, table: ServerTable) -> None:
         """Keep the file up to date."""
--- a/heronstall/start/__init__.py
+++ b/heronstall/start/__init__.py
@@ -1,1 +1,1 @@
-"""How a dispatcher begins among hundreds that begin with it. Free of I/O."""
+"""What a dispatcher needs at its start, also when hundreds start at the same time. Free of I/O."""
--- a/heronstall/start/backoff.py
+++ b/heronstall/start/backoff.py
@@ -1,4 +1,4 @@
-"""Back-off of the discovery client: when to call the list service again. Free of I/O.
+"""Backoff of the discovery client: when to call the list service again. Free of I/O.
 
 All times are microseconds.
 """
@@ -9,73 +9,74 @@
 import random
 from typing import NamedTuple
 
-# A change counts as told this long after discovery had it and could be reached, whatever call failed in
-# between. The last call before may have hung for three seconds, and one after may fail: two pauses must fit.
-NEWS_TERM = 6_000_000
-FIRST_PAUSE, LONGEST_PAUSE = 100_000, 1_000_000
-UNHEARD_PAUSE = 200_000  # the longest at an address that has yet to answer: news from there is overdue
-LONGEST_FIRST_REFUSAL = 4_500_000  # the longest pause after a first refusal, so that the next call is in term
-REFUSAL_SPREAD = 0.5  # part of it from which pauses that it cuts are drawn
-SPREAD_PER_CLIENT = 100_000  # times the number of clients: the time over which those refused spread
-EARLIEST, LATEST = 0.02, 1.5  # of that time: the list service does not stand idle meanwhile
-WITHOUT_LIST = 0.2  # part of it for a client that has no list at all
-LONGEST_RETRY_AFTER = 60_000_000
+# Time in which a change must arrive after discovery has it and is reachable, whichever calls fail. The call
+# before may have hung for three seconds and the next one may fail, so two pauses must fit.
+PROPAGATION_DEADLINE = 6_000_000
+MIN_PAUSE, MAX_PAUSE = 100_000, 1_000_000
+MAX_UNANSWERED_PAUSE = 200_000  # at an address that has never answered: its first list is overdue
+MAX_FIRST_REFUSAL_PAUSE = 4_500_000  # keeps the next call within the propagation deadline
+FIRST_REFUSAL_JITTER = 0.5  # a pause cut to that maximum is drawn from this share of it up to all of it
+SPREAD_PER_CLIENT = 100_000  # times the number of clients: the period over which refused clients spread
+# The pause in shares of that period. The least is near 0, so that the list service is not idle at first.
+MIN_SPREAD, MAX_SPREAD = 0.02, 1.5
+NO_LIST_FACTOR = 0.2  # factor on that period for a client that has no list at all
+MAX_RETRY_AFTER = 60_000_000
 
 
 class CallEnd(enum.Enum):
     """How a call of the list service ended."""
 
-    NEWS = "it brought something new"
-    NO_NEWS = "it was answered at some time, and brought nothing new"
-    NEVER_ANSWERED = "this address has yet to answer a call"
+    UPDATED = "the call brought a change"
+    UNCHANGED = "the address has answered before, and the call brought no change"
+    NEVER_ANSWERED = "the address has never answered a call"
 
 
 class Refusal(NamedTuple):
-    """The list service answered that it cannot now."""
+    """The list service refused a call because it is overloaded."""
 
-    retry_after: int | None = None  # from now on, where the service tells
+    retry_after: int | None = None  # from now on, if the service gives it
 
 
 class DiscoveryBackoff:
-    """The pauses of one client among `clients` that call the same list service."""
+    """Computes the pauses of one client among `clients` that call the same list service."""
 
-    def __init__(self, clients: int, draw: random.Random) -> None:
+    def __init__(self, clients: int, rng: random.Random) -> None:
         self.clients = clients
-        self._draw = draw
-        self._pause = FIRST_PAUSE
-        self._refused_since: int | None = None  # since when each call has been refused
+        self._rng = rng
+        self._pause = MIN_PAUSE
+        self._refused_since: int | None = None  # time since which every call has been refused
 
     def pause(self, end: CallEnd, refusal: Refusal | None = None, now: int = 0, has_list: bool = True) -> int:
-        """The time to wait for the next call.
+        """Returns the time until the next call.
 
-        `now` is the moment by any one clock; `has_list` tells whether there is one to serve with meanwhile.
+        `now` is read from any one clock. `has_list` says whether the client can serve with a list meanwhile.
         """
-        if end is CallEnd.NEWS:
-            self._pause = FIRST_PAUSE
+        if end is CallEnd.UPDATED:
+            self._pause = MIN_PAUSE
         else:
-            longest = LONGEST_PAUSE if end is CallEnd.NO_NEWS else UNHEARD_PAUSE
-            self._pause = min(2 * self._pause, longest)
+            max_pause = MAX_PAUSE if end is CallEnd.UNCHANGED else MAX_UNANSWERED_PAUSE
+            self._pause = min(2 * self._pause, max_pause)
         if refusal is None:
             self._refused_since = None
             return self._pause
-        first = self._refused_since is None
+        first_refusal = self._refused_since is None
         if self._refused_since is None:
             self._refused_since = now
-        pause = self._refused(refusal, now - self._refused_since, has_list)
-        if first:
-            # It may be one call's alone, and the term runs on. A list service that refuses the next call too
-            # has more to do than it can, and is spared.
-            pause = min(pause, LONGEST_FIRST_REFUSAL * self._draw.uniform(REFUSAL_SPREAD, 1.0))
+        pause = self._pause_when_refused(refusal, now - self._refused_since, has_list)
+        if first_refusal:
+            # A single refusal may be accidental, and the propagation deadline still holds. If the service
+            # refuses the next call too, it is overloaded, and the pauses grow.
+            pause = min(pause, MAX_FIRST_REFUSAL_PAUSE * self._rng.uniform(FIRST_REFUSAL_JITTER, 1.0))
         return max(self._pause, int(pause))
 
-    def _refused(self, refusal: Refusal, refused_for: int, has_list: bool) -> float:
-        """The pause that spares the list service.
+    def _pause_when_refused(self, refusal: Refusal, refused_for: int, has_list: bool) -> float:
+        """Returns a pause that relieves an overloaded list service.
 
-        All clients lose their watches, or restart, at one moment: calling again at one pace they keep an
-        overloaded service down for good. So they spread until together they are few a second, and the longer
-        the more they are refused. A client without any list goes before the others.
+        All clients may lose their watches or restart at the same moment. If all called again at a fixed pace,
+        an overloaded service would never recover. So they spread out until few call per second, and further
+        the longer they are refused. A client without any list calls earlier than the others.
         """
-        if refusal.retry_after is not None:  # all clients may have been told the same
-            return min(refusal.retry_after, LONGEST_RETRY_AFTER) * self._draw.uniform(1.0, LATEST)
-        over = max(SPREAD_PER_CLIENT * self.clients, refused_for) * (1.0 if has_list else WITHOUT_LIST)
-        return over * self._draw.uniform(EARLIEST, LATEST)
+        if refusal.retry_after is not None:  # all clients may have received the same value
+            return min(refusal.retry_after, MAX_RETRY_AFTER) * self._rng.uniform(1.0, MAX_SPREAD)
+        period = max(SPREAD_PER_CLIENT * self.clients, refused_for) * (1.0 if has_list else NO_LIST_FACTOR)
+        return period * self._rng.uniform(MIN_SPREAD, MAX_SPREAD)
--- a/heronstall/start/snapshot.py
+++ b/heronstall/start/snapshot.py
@@ -1,8 +1,8 @@
-"""The server list as it is kept on disk for the next start: its form, and which of several lists is taken.
-Free of I/O.
+"""The snapshot of the server list that is stored for the next start. Free of I/O.
 
-One JSON object: {"format": "heronstall.snapshot", "v": 1, "node", "discovery", "at", "sum", "list"}. `at` is
-Unix time in microseconds, `list` is in the list service's form, `sum` the CRC-32 of it as JSON.
+A snapshot is one JSON object: {"format": "heronstall.snapshot", "v": 1, "node", "discovery", "at", "sum",
+"list"}. `at` is Unix time in microseconds, `list` has the list service's form, and `sum` is the CRC-32 of the
+list as JSON.
 """
 
 from __future__ import annotations
@@ -13,63 +13,67 @@
 import ujson
 
 FORMAT, VERSION = "heronstall.snapshot", 1
-LARGEST = 16 * 1024 * 1024  # bytes
-AHEAD = 60_000_000  # microseconds that the clock may have been set back by since
+MAX_SIZE = 16 * 1024 * 1024  # bytes
+CLOCK_TOLERANCE = 60_000_000  # microseconds by which the clock may have been set back since
 
 
 class Snapshot(NamedTuple):
-    """A list, and when it was written down."""
+    """A server list and the time at which it was written."""
 
-    at: int
-    told: dict[str, Any]
+    at: int  # Unix time in microseconds
+    server_list: dict[str, Any]
 
 
-class Unusable(ValueError):
-    """A snapshot that does not count; the message says why."""
+class UnusableSnapshot(ValueError):
+    """A snapshot that cannot be used; the message says why."""
 
 
-def pack(node: str, discovery: str, at: int, told: dict[str, Any]) -> bytes:
-    """A list as a file holds it."""
+def pack(node: str, discovery: str, at: int, server_list: dict[str, Any]) -> bytes:
+    """Encodes a server list as the content of a file."""
     head = {"format": FORMAT, "v": VERSION, "node": node, "discovery": discovery, "at": at}
-    text = ujson.dumps(told, escape_forward_slashes=False)
+    text = ujson.dumps(server_list, escape_forward_slashes=False)
     head["sum"] = crc32(text.encode())
     return (ujson.dumps(head, escape_forward_slashes=False)[:-1] + f',"list":{text}}}').encode()
 
 
-def unpack(node: str, discovery: str, data: bytes, now: int, most_age: int) -> Snapshot:
-    """What a file holds. Raises Unusable: cut, damaged, foreign, too old, or of a later form."""
-    if len(data) > LARGEST:
-        raise Unusable(f"{len(data)} bytes")
+def unpack(node: str, discovery: str, data: bytes, now: int, max_age: int) -> Snapshot:
+    """Decodes a file. Raises UnusableSnapshot if it is damaged, foreign, too old or of another version."""
+    if len(data) > MAX_SIZE:
+        raise UnusableSnapshot(f"{len(data)} bytes")
     try:
-        whole = ujson.loads(data)
+        content = ujson.loads(data)
     except ValueError:
-        raise Unusable("cut or not JSON") from None
-    if not isinstance(whole, dict) or whole.get("format") != FORMAT:
-        raise Unusable("not a snapshot of ours")
-    if whole.get("v") != VERSION:
-        raise Unusable(f"version {whole.get('v')!r}, {VERSION} is known")
-    if whole.get("node") != node:
-        raise Unusable(f"of another dispatcher, {whole.get('node')!r}")
-    if whole.get("discovery") != discovery:
-        raise Unusable(f"of another list service, {whole.get('discovery')!r}")
-    told, at = whole.get("list"), whole.get("at")
-    text = ujson.dumps(told, escape_forward_slashes=False)
-    if not isinstance(told, dict) or not isinstance(at, int) or whole.get("sum") != crc32(text.encode()):
-        raise Unusable("damaged: its sum is wrong")
-    if now - at > most_age or at - now > AHEAD:
-        raise Unusable(f"{(now - at) / 3.6e9:.1f} h old")
-    return Snapshot(at, told)
-
-
-def fresher(snapshot: Snapshot | None, known: Any) -> Any:
-    """The list to start from, of a snapshot and of the one that the platform hands over; None for none.
-
-    The later revision is the later list: the platform's bears no moment. One list is taken whole, since a
-    server that one of two lists does not name may have gone or come, and only the later one tells.
+        raise UnusableSnapshot("truncated or not JSON") from None
+    if not isinstance(content, dict) or content.get("format") != FORMAT:
+        raise UnusableSnapshot("not a snapshot of a server list")
+    if content.get("v") != VERSION:
+        raise UnusableSnapshot(f"version {content.get('v')!r}, expected {VERSION}")
+    if content.get("node") != node:
+        raise UnusableSnapshot(f"from another dispatcher, {content.get('node')!r}")
+    if content.get("discovery") != discovery:
+        raise UnusableSnapshot(f"from another list service, {content.get('discovery')!r}")
+    server_list, at = content.get("list"), content.get("at")
+    text = ujson.dumps(server_list, escape_forward_slashes=False)
+    if (
+        not isinstance(server_list, dict)
+        or not isinstance(at, int)
+        or content.get("sum") != crc32(text.encode())
+    ):
+        raise UnusableSnapshot("damaged: wrong check sum")
+    if now - at > max_age or at - now > CLOCK_TOLERANCE:
+        raise UnusableSnapshot(f"{(now - at) / 3.6e9:.1f} h old")
+    return Snapshot(at, server_list)
+
+
+def newer_list(snapshot: Snapshot | None, known: Any) -> Any:
+    """Returns the list to start from: the snapshot's or the one that the platform provides; None for none.
+
+    The list with the higher revision is newer, since the platform's list has no time. The lists are not
+    merged: whether a server that only one of them names was added or removed, only the newer list can tell.
     """
     if snapshot is None:
         return known
     try:
-        return snapshot.told if int(snapshot.told["rev"]) > int(known["rev"]) else known
+        return snapshot.server_list if int(snapshot.server_list["rev"]) > int(known["rev"]) else known
     except (KeyError, TypeError, ValueError):
-        return snapshot.told  # what is wrong with the other, the table says
+        return snapshot.server_list  # the server table reports what is wrong with the other
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -15,7 +15,7 @@
 from heronstall.config import configuration
 from heronstall.net.loop import Loop
 from heronstall.operator import SnapshotFile
-from heronstall.start.snapshot import Unusable, fresher, pack, unpack
+from heronstall.start.snapshot import UnusableSnapshot, newer_list, pack, unpack
 from tests.test_net import raw_config
 
 HOUR = 3_600_000_000
@@ -31,7 +31,7 @@
 
 def test_what_was_written_is_read_and_nothing_else_counts() -> None:
     data = pack("n/0", "h:1", 5 * HOUR, listed(7, "s-1"))
-    assert unpack("n/0", "h:1", data, 6 * HOUR, 2 * HOUR).told == listed(7, "s-1")
+    assert unpack("n/0", "h:1", data, 6 * HOUR, 2 * HOUR).server_list == listed(7, "s-1")
     for wrong, says in (
         (("n1", "h:1", data, 6 * HOUR, HOUR), "another dispatcher"),
         (("n/0", "h:2", data, 6 * HOUR, HOUR), "another list service"),
@@ -41,10 +41,10 @@
         (("n/0", "h:1", data.replace(b"s-1", b"s-2"), 6 * HOUR, HOUR), "sum"),
         (("n/0", "h:1", b'{"format": "x"}', 6 * HOUR, HOUR), "not a snapshot"),
     ):
-        with pytest.raises(Unusable, match=says):
+        with pytest.raises(UnusableSnapshot, match=says):
             unpack(*wrong)
     for cut in range(len(data)):
-        with pytest.raises(Unusable):
+        with pytest.raises(UnusableSnapshot):
             unpack("n/0", "h:1", data[:cut], 6 * HOUR, 2 * HOUR)
 
 
@@ -53,16 +53,16 @@
     data = pack("n", "h:1", HOUR, listed(7, "s-1"))
     broken = data[:at] + noise + data[at + len(noise) :]
     try:
-        assert unpack("n", "h:1", broken, HOUR, HOUR).told == listed(7, "s-1")
-    except Unusable:
+        assert unpack("n", "h:1", broken, HOUR, HOUR).server_list == listed(7, "s-1")
+    except UnusableSnapshot:
         assert broken != data
 
 
 def test_the_later_revision_is_begun_with() -> None:
     snapshot = unpack("n", "h:1", pack("n", "h:1", HOUR, listed(7, "s-1")), HOUR, HOUR)
-    assert fresher(snapshot, listed(8, "s-2")) == listed(8, "s-2")
-    assert fresher(snapshot, OLD) == fresher(snapshot, None) == listed(7, "s-1")
-    assert fresher(None, OLD) == OLD
+    assert newer_list(snapshot, listed(8, "s-2")) == listed(8, "s-2")
+    assert newer_list(snapshot, OLD) == newer_list(snapshot, None) == listed(7, "s-1")
+    assert newer_list(None, OLD) == OLD
 
 
 def program(folder: Path, known: Any) -> tuple[Program, Loop]:
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -9,34 +9,34 @@
 
 from heronstall.fleet.desk import Desk
 from heronstall.start.backoff import (
-    FIRST_PAUSE,
-    LONGEST_PAUSE,
-    LONGEST_RETRY_AFTER,
-    NEWS_TERM,
-    UNHEARD_PAUSE,
+    MAX_PAUSE,
+    MAX_RETRY_AFTER,
+    MAX_UNANSWERED_PAUSE,
+    MIN_PAUSE,
+    PROPAGATION_DEADLINE,
     CallEnd,
     DiscoveryBackoff,
     Refusal,
 )
 
-NEWS, NO_NEWS, UNHEARD = CallEnd.NEWS, CallEnd.NO_NEWS, CallEnd.NEVER_ANSWERED
+UPDATED, UNCHANGED, UNANSWERED = CallEnd.UPDATED, CallEnd.UNCHANGED, CallEnd.NEVER_ANSWERED
 
 
 def test_a_watch_that_ends_is_asked_for_again_soon_and_then_ever_later() -> None:
     backoff = DiscoveryBackoff(100, random.Random(1))
-    assert backoff.pause(NEWS) == FIRST_PAUSE
-    pauses = [backoff.pause(NO_NEWS) for _ in range(8)]
-    assert pauses == sorted(pauses) and pauses[-1] == LONGEST_PAUSE
-    assert backoff.pause(UNHEARD) == UNHEARD_PAUSE
-    assert backoff.pause(NEWS) == FIRST_PAUSE
+    assert backoff.pause(UPDATED) == MIN_PAUSE
+    pauses = [backoff.pause(UNCHANGED) for _ in range(8)]
+    assert pauses == sorted(pauses) and pauses[-1] == MAX_PAUSE
+    assert backoff.pause(UNANSWERED) == MAX_UNANSWERED_PAUSE
+    assert backoff.pause(UPDATED) == MIN_PAUSE
 
 
 def test_what_the_list_service_says_of_when_goes_before_any_guess() -> None:
     backoff = DiscoveryBackoff(300, random.Random(1))
-    pauses = [backoff.pause(UNHEARD, Refusal(2_000_000)) for _ in range(50)]
+    pauses = [backoff.pause(UNANSWERED, Refusal(2_000_000)) for _ in range(50)]
     assert min(pauses) >= 2_000_000 and max(pauses) <= 3_000_000 and len(set(pauses)) == 50
-    assert backoff.pause(UNHEARD, Refusal(10**10)) <= 1.5 * LONGEST_RETRY_AFTER
-    assert backoff.pause(UNHEARD) == UNHEARD_PAUSE
+    assert backoff.pause(UNANSWERED, Refusal(10**10)) <= 1.5 * MAX_RETRY_AFTER
+    assert backoff.pause(UNANSWERED) == MAX_UNANSWERED_PAUSE
 
 
 @pytest.mark.parametrize("nodes", [100, 200, 300])
@@ -53,7 +53,7 @@
             now, n = heapq.heappop(heap)
             ready = desk.ask(now, n)
             if ready is None:
-                heapq.heappush(heap, (now + backoffs[n].pause(UNHEARD, Refusal(), now), n))
+                heapq.heappush(heap, (now + backoffs[n].pause(UNANSWERED, Refusal(), now), n))
             else:
                 last = max(last, ready)
         lasts.append(last / 1e6)
@@ -72,7 +72,7 @@
         now, n = heapq.heappop(heap)
         ready = desk.ask(now, n)
         if ready is None:
-            wait = clients[n].pause(UNHEARD, Refusal(), now, has_list=n not in empty)
+            wait = clients[n].pause(UNANSWERED, Refusal(), now, has_list=n not in empty)
             heapq.heappush(heap, (now + wait, n))
         else:
             news[n] = ready / 1e6
@@ -84,10 +84,10 @@
     news = served(desk, [DiscoveryBackoff(100, random.Random(n)) for n in range(100)], set())
     assert len(desk.asked) < 520 and max(news) < 150  # 656 calls at an even pace
     backoff = DiscoveryBackoff(100, random.Random(1))
-    backoff.pause(UNHEARD, Refusal(), now=0)
-    assert max(backoff.pause(UNHEARD, Refusal(), now=90_000_000) for _ in range(30)) > 60_000_000
-    backoff.pause(UNHEARD, now=91_000_000)  # down, then back: that says nothing of its pace
-    assert max(backoff.pause(UNHEARD, Refusal(), now=92_000_000) for _ in range(30)) < 16_000_000
+    backoff.pause(UNANSWERED, Refusal(), now=0)
+    assert max(backoff.pause(UNANSWERED, Refusal(), now=90_000_000) for _ in range(30)) > 60_000_000
+    backoff.pause(UNANSWERED, now=91_000_000)  # down, then back: that says nothing of its pace
+    assert max(backoff.pause(UNANSWERED, Refusal(), now=92_000_000) for _ in range(30)) < 16_000_000
 
 
 def test_who_has_no_list_at_all_is_served_before_those_who_have_one() -> None:
@@ -102,14 +102,17 @@
     """A change counts as told six seconds after it could be reached, whatever call was refused."""
     for seed in range(50):
         backoff = DiscoveryBackoff(350, random.Random(seed))
-        first = backoff.pause(NO_NEWS, Refusal(retry_after), now=0)
-        assert FIRST_PAUSE <= first <= NEWS_TERM - 1_500_000  # time for the call itself
-        backoff.pause(NO_NEWS, now=first)
-        assert backoff.pause(NO_NEWS, Refusal(retry_after), now=NEWS_TERM) <= NEWS_TERM - 1_500_000
+        first = backoff.pause(UNCHANGED, Refusal(retry_after), now=0)
+        assert MIN_PAUSE <= first <= PROPAGATION_DEADLINE - 1_500_000  # time for the call itself
+        backoff.pause(UNCHANGED, now=first)
+        assert (
+            backoff.pause(UNCHANGED, Refusal(retry_after), now=PROPAGATION_DEADLINE)
+            <= PROPAGATION_DEADLINE - 1_500_000
+        )
     hung = 2_600_000  # a call that is given up without an answer
-    assert hung + 2 * LONGEST_PAUSE <= NEWS_TERM - 1_000_000  # and the one after it fails
+    assert hung + 2 * MAX_PAUSE <= PROPAGATION_DEADLINE - 1_000_000  # and the one after it fails
 
 
 def test_one_alone_that_is_turned_away_asks_again_at_once() -> None:
-    pauses = [DiscoveryBackoff(1, random.Random(seed)).pause(UNHEARD, Refusal()) for seed in range(50)]
-    assert max(pauses) <= UNHEARD_PAUSE
+    pauses = [DiscoveryBackoff(1, random.Random(seed)).pause(UNANSWERED, Refusal()) for seed in range(50)]
+    assert max(pauses) <= MAX_UNANSWERED_PAUSE
