--- a/tests/cutting.py
+++ b/tests/cutting.py
@@ -1,9 +1,8 @@
-"""The command line, killed outright right after each step that it writes down: `python -m tests.cutting
-FOLDER ...`.
+"""The command line, killed by SIGKILL after each step that it journals: `python -m tests.cutting FOLDER ...`.
 
-A step is a kind of record for one dispatcher, stage and look. At each it dies once, before it does what it
-has written; every third time in the middle of the record, too. Whoever runs this starts it again until it
-ends by itself; FOLDER holds what it has died of already.
+A step is a kind of record for one dispatcher, stage and look. The process dies once at each step, before it
+carries the record out, and for every third record also in the middle of writing it. The caller restarts it
+until it ends by itself; FOLDER holds a marker for each death.
 """
 
 from __future__ import annotations
@@ -18,11 +17,11 @@
 from heronstall.rollout.journal import Record, pack
 
 FOLDER = Path(sys.argv[1])
-append = log.Log.append
+original_append = log.Log.append
 
 
-def once(name: str) -> bool:
-    """Whether this is the first time."""
+def first_time(name: str) -> bool:
+    """Returns whether this is the first call with a name, over all restarts."""
     marker = FOLDER / f"{name}.cut"
     if marker.exists():
         return False
@@ -30,21 +29,21 @@
     return True
 
 
-def cut(self: log.Log, kind: str, fields: Record) -> Record:
-    """Write a record, or a part of one, and die."""
+def append_and_die(self: log.Log, kind: str, fields: Record) -> Record:
+    """Writes a record, or half of it, and kills the process."""
     step = "-".join(str(fields.get(key, "")) for key in ("d", "dispatcher", "stage", "look"))
     name = f"{self.path.stem}-{kind}-{step}".replace("/", "_")
-    nth = len(self.records)
-    if nth % 3 == 1 and once(f"{name}-half"):
-        line = pack(nth, log.unix_us(), kind, fields)
+    index = len(self.records)
+    if index % 3 == 1 and first_time(f"{name}-half"):
+        line = pack(index, log.unix_us(), kind, fields)
         os.write(self._fd, line[: len(line) // 2])
         os.kill(os.getpid(), signal.SIGKILL)
-    record = append(self, kind, fields)
-    if once(name):
+    record = original_append(self, kind, fields)
+    if first_time(name):
         os.kill(os.getpid(), signal.SIGKILL)
     return record
 
 
-log.Log.append = cut  # type: ignore[method-assign]
+log.Log.append = append_and_die  # type: ignore[method-assign]
 del sys.argv[1]
 main()
--- a/tests/scenes.py
+++ b/tests/scenes.py
@@ -1,4 +1,4 @@
-"""Scenarios for tests, small and checked by the real schema."""
+"""Small scenarios for tests, validated by the real schema."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
 RATE = "arrivals: rate_per_s: 40\n"
 
 
-def scene(more: str = "", rate: str = RATE) -> Scenario:
-    """The small fleet with what a test adds."""
-    return scenario(loads(BASE + rate + more, "test.cue", ("scenario",))[1])
+def scene(extra: str = "", rate: str = RATE) -> Scenario:
+    """Returns the small scenario with the text that a test adds."""
+    return scenario(loads(BASE + rate + extra, "test.cue", ("scenario",))[1])
 
 
 COLD = """troubles: [{kind: "release", at_s: 1, for_s: 1, part: 0.25}]
@@ -37,7 +37,7 @@
 RESETS = 'troubles: [{kind: "resets", at_s: 1, for_s: 6, share: 0.4}]'
 SILENT = 'troubles: [{kind: "silent", at_s: 2, for_s: 5, part: 0.5}]'
 
-# What brings a planted fault out, the rule that it breaks, and under how much traffic.
+# For each planted fault: the trouble that exposes it, the rule that it breaks, and the traffic.
 FAULTS: dict[str, tuple[str, str, str]] = {
     "mute": (SILENT, "one-answer", RATE),
     "again": (RESETS, "one-effect", RATE),
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -1,4 +1,4 @@
-"""The design's parts and the defences, one at a time."""
+"""Tests of each mechanism and each protection of the decisions."""
 
 from __future__ import annotations
 
@@ -33,26 +33,26 @@
         w.report(*w.entries, free=0.0 if util > 0.5 else 4.0, util=util)
 
 
-def holds_a_job_that_is_not_due(w: World, number: int) -> bool:
-    """Whether a free worker is left idle by the lane: only the busy state does that."""
+def defers_a_job(w: World, number: int) -> bool:
+    """Returns whether a job waits though a worker is free, which only happens in the busy state."""
     w.report(*w.entries, free=4.0, util=0.75)
     w.request(number, 1, work=2 * S)
     return not w.sends()
 
 
-def end_one_at_first(w: World, status: Status, cls: int = 1, work: int = 200 * MS) -> None:
-    """Jobs one after another, served at once, until worker 1 has one that ends as named."""
+def end_an_attempt_at_worker_1(w: World, status: Status, cls: int = 1, work: int = 200 * MS) -> None:
+    """Serves jobs one after another until worker 1 gets one, and ends that one with a status."""
     for n in range(60):
         w.request(n, cls, work=work)
         if w.sends()[0].worker == 1:
             w.outcome(n, status)
             return
         w.outcome(n, "ok")
-    raise AssertionError("worker 1 had no job")
+    raise AssertionError("worker 1 got no job")
 
 
-def unsafe_jobs_go_to(w: World) -> set[int]:
-    """The workers that twenty unsafe jobs go to, served at once and one after another."""
+def workers_of_unsafe_jobs(w: World) -> set[int]:
+    """Returns the workers that get twenty unsafe jobs, each served before the next."""
     used = set()
     for n in range(200, 220):
         w.request(n, 1)
@@ -62,28 +62,28 @@
     return used
 
 
-def test_switch_needs_its_threshold_and_its_dwell() -> None:
+def test_the_switch_needs_utilisation_beyond_its_threshold_for_the_dwell_time() -> None:
     for util, seconds, busy in ((0.95, 31, True), (0.95, 28, False), (0.89, 60, False)):
         w = World()
         w.fleet(*workers(3))
         keep_reporting(w, seconds, util)
-        assert holds_a_job_that_is_not_due(w, 1) is busy
+        assert defers_a_job(w, 1) is busy
 
 
-def test_switch_turns_idle_after_its_own_dwell() -> None:
+def test_the_switch_turns_idle_after_the_dwell_time() -> None:
     for util, seconds, busy in ((0.5, 28, True), (0.5, 31, False), (0.7, 60, True)):
         w = World()
         w.fleet(*workers(3))
         keep_reporting(w, 32, 0.95)
         keep_reporting(w, seconds, util)
-        assert holds_a_job_that_is_not_due(w, 1) is busy
+        assert defers_a_job(w, 1) is busy
 
 
-def test_busy_releases_a_job_when_it_is_due() -> None:
+def test_a_job_is_sent_when_due_in_the_busy_state() -> None:
     w = World()
     w.fleet(*workers(3))
     keep_reporting(w, 32, 0.95)
-    assert holds_a_job_that_is_not_due(w, 1)
+    assert defers_a_job(w, 1)
     sent_at = 0
     for _ in range(100):
         w.now += 100 * MS
@@ -92,10 +92,10 @@
             sent_at = w.clients[1].tries[0].sent
             break
     aim = w.clients[1].give_up - 15 * S + S + 2 * 2 * S
-    assert 0 < sent_at <= aim - 2 * S, "due leaves time to run"
+    assert 0 < sent_at <= aim - 2 * S, "a due job still has time to run"
 
 
-def test_released_in_deadline_order() -> None:
+def test_queued_jobs_are_sent_in_deadline_order() -> None:
     w = World(make_settings(nodes=1))
     w.fleet(*workers(1), free=0.0)
     for number, (cls, work) in enumerate([(1, 900 * MS), (0, 300 * MS), (1, 100 * MS), (0, 10 * MS)]):
@@ -125,7 +125,7 @@
         return counts[2] / 300
 
     assert 0.72 < share_of_second(0) < 0.88, "four free slots against one"
-    assert share_of_second(60 * S) < 0.65, "an old figure tells no more than the mean does"
+    assert share_of_second(60 * S) < 0.65, "an old report counts no more than the mean"
 
 
 def test_own_sends_count_against_a_report() -> None:
@@ -142,7 +142,7 @@
     w.step(WorkerList("complete", tuple(workers(2))))
     for n in range(40):
         w.request(n)
-        assert w.sends(), "nothing reported is no reason to wait"
+        assert w.sends(), "a missing report is no reason to wait"
         w.started(n)
     sent = Counter(c.tries[0].worker for c in w.clients.values())
     assert abs(sent[1] - sent[2]) <= 16
@@ -156,8 +156,8 @@
     assert w.sends()
 
 
-def test_late_reports_are_seen_through() -> None:
-    """The report tells of a second ago; sends that it cannot know of must still count."""
+def test_sends_since_a_delayed_report_are_accounted_for() -> None:
+    """Reports describe the state a second ago; newer sends must be subtracted."""
     w = World()
     w.fleet(*workers(1), free=4.0)
     history: list[tuple[int, float]] = [(w.now, 4.0)]
@@ -182,40 +182,40 @@
         assert len(out) <= 5
 
 
-def test_a_silent_worker_gets_no_pile_of_unsafe_jobs() -> None:
+def test_a_silent_worker_gets_few_unsafe_jobs() -> None:
     w = World()
     w.fleet(*workers(4))
     w.request(0, 1)
-    quiet = w.sends()[0].worker
+    silent = w.sends()[0].worker
     for n in range(1, 60):
         w.now += 60 * MS
         w.report(1, 2, 3, 4)
         w.request(n, 1)
         for a in w.sends():
-            if a.worker != quiet:
+            if a.worker != silent:
                 w.started(a.request)
                 w.outcome(a.request, "ok")
-    held = sum(1 for c in w.clients.values() for t in c.tries if t.worker == quiet)
-    assert held <= 2, "a worker that starts nothing looks free and must not be a sink"
+    held = sum(1 for c in w.clients.values() for t in c.tries if t.worker == silent)
+    assert held <= 2, "a worker that starts nothing looks free and must not attract jobs"
 
 
-def test_silence_is_found_where_starts_are_not_told() -> None:
+def test_a_silent_worker_is_detected_without_start_signals() -> None:
     w = World(make_settings(tells_start=False, cancelling=False))
     w.fleet(*workers(4))
-    quiet = 0
+    silent = 0
     for n in range(200):
         w.now += 50 * MS
         w.report(1, 2, 3, 4)
         w.request(n, 1, work=50 * MS)
         for a in w.sends():
-            quiet = quiet or a.worker
-            if a.worker != quiet:
+            silent = silent or a.worker
+            if a.worker != silent:
                 w.outcome(a.request, "ok")
-    late = sum(1 for c in list(w.clients.values())[100:] for t in c.tries if t.worker == quiet)
+    late = sum(1 for c in list(w.clients.values())[100:] for t in c.tries if t.worker == silent)
     assert late == 0
 
 
-def test_who_is_left_out_for_failing_is_told_while_it_lasts() -> None:
+def test_ejected_workers_are_listed_during_their_ejection() -> None:
     w = World()
     w.fleet(*workers(3))
     w.request(1, 0)
@@ -227,7 +227,7 @@
     assert w.balancer.ejected_workers(w.now + 20 * S) == []
 
 
-def test_a_fast_failer_is_no_black_hole() -> None:
+def test_a_worker_that_fails_fast_does_not_attract_jobs() -> None:
     w = World()
     w.fleet(*workers(5))
     failed = 0
@@ -242,10 +242,10 @@
             else:
                 w.started(a.request)
                 w.outcome(a.request, "ok")
-    assert failed <= 5, "eight seconds of a worker that fails all it gets at once"
+    assert failed <= 5, "within eight seconds of immediate failures"
 
 
-def test_trouble_that_strikes_all_ejects_only_some() -> None:
+def test_failures_of_all_workers_eject_only_some() -> None:
     w = World()
     w.fleet(*workers(10))
     used: set[int] = set()
@@ -260,16 +260,16 @@
     assert len(used) >= 5
 
 
-def test_half_open_trial_with_a_repeatable_job_brings_a_worker_back() -> None:
+def test_a_trial_with_a_repeatable_job_readmits_a_worker() -> None:
     w = World()
     w.fleet(*(WorkerEntry(n, zone=0) for n in (1, 2, 3)))
-    end_one_at_first(w, "error")
+    end_an_attempt_at_worker_1(w, "error")
     w.now += 3 * S
     w.report(1, 2, 3)
     for n in range(100, 140):
         w.report(1, 2, 3)
         w.request(n, 1)
-        assert w.sends()[0].worker != 1, "an unsafe job is no trial"
+        assert w.sends()[0].worker != 1, "an unsafe job must not be a trial"
         w.outcome(n, "ok")
     back = 0
     for n in range(200, 260):
@@ -280,7 +280,7 @@
     assert back > 5
 
 
-def test_retries_stay_within_their_budget() -> None:
+def test_retries_stay_within_the_retry_budget() -> None:
     w = World(make_settings(max_attempts=50))
     w.fleet(*workers(10))
     for n in range(200):
@@ -302,7 +302,7 @@
     w.fleet(*workers(3))
     w.request(1, 0)
     first = w.sends()[0].worker
-    # Cancelled work may run on: moved after 40 ms, most jobs ran twice and a loaded fleet collapsed.
+    # Cancelled work may run on: with moves after 40 ms most jobs ran twice and a loaded fleet collapsed.
     assert not [a for a in w.run(900 * MS) if isinstance(a, Cancel)]
     w.report(1, 2, 3)
     assert [a for a in w.run(200 * MS) if isinstance(a, Cancel)]
@@ -310,16 +310,16 @@
     assert w.clients[1].tries[1].worker != first
 
 
-def test_a_restart_clears_what_was_held_against_a_worker() -> None:
+def test_a_restart_clears_an_ejection() -> None:
     w = World(make_settings(cold=0))
     w.fleet(WorkerEntry(1), WorkerEntry(2))
-    end_one_at_first(w, "error")
+    end_an_attempt_at_worker_1(w, "error")
     w.step(WorkerList("changes", (WorkerEntry(1, started_at=w.now),)))
     w.report(1, 2)
-    assert 1 in unsafe_jobs_go_to(w)
+    assert 1 in workers_of_unsafe_jobs(w)
 
 
-def test_overload_sheds_early_and_recovers() -> None:
+def test_overload_is_refused_early_and_ends() -> None:
     w = World(make_settings(nodes=1))
     w.fleet(*workers(2), free=0.0)
     for n in range(400):
@@ -337,7 +337,7 @@
     assert w.sends()
 
 
-def test_tenants_beyond_their_share_yield_first_when_short() -> None:
+def test_tenants_over_their_share_yield_during_a_shortage() -> None:
     one = (RequestClass(aim=150 * MS, deadline=5 * S, stretch=2.0),)
     w = World(make_settings(classes=one, tenants=(Tenant(4.0), Tenant(400.0)), nodes=1))
     w.fleet(*workers(1), free=0.0)
@@ -372,7 +372,7 @@
     assert w.sends()
 
 
-def test_memory_is_kept_like_slots() -> None:
+def test_memory_limits_jobs_like_slots() -> None:
     w = World()
     w.step(WorkerList("complete", tuple(workers(1))))
     w.step(ProbeResult(1, True, 1, Report(util=0.1, inflight=0.0, free_slots=4.0, free_memory=1.0)))
@@ -382,7 +382,7 @@
     assert not w.sends()
 
 
-def test_discovery_is_asked_for_and_asked_again() -> None:
+def test_a_lost_subscription_to_discovery_is_renewed() -> None:
     w = World(make_settings(discovery_on_request=True))
     w.step(WorkerList("persisted", tuple(workers(2))))
     assert Subscribe() in w.last
@@ -409,17 +409,17 @@
     assert set(seen) == set(range(1, 7)) and sum(seen.values()) <= 160
 
 
-def waits_for_its_aim(w: World, number: int, **more: object) -> bool:
-    """Whether a job without room is still waiting after 100 ms: a job whose aim is past is refused."""
+def waits_for_its_aim(w: World, number: int, **options: object) -> bool:
+    """Returns whether a job without room still waits after 100 ms; one past its aim is refused."""
     w.fleet(*workers(3), free=0.0)
-    w.request(number, 0, work=100 * MS, **more)
+    w.request(number, 0, work=100 * MS, **options)
     for _ in range(5):
         w.now += 20 * MS
         w.report(1, 2, 3, free=0.0)
     return w.answer(number) == ""
 
 
-def test_the_aim_of_a_later_try_runs_from_the_first_and_an_impatient_client_is_not_late() -> None:
+def test_the_aim_of_a_client_retry_counts_from_its_first_try() -> None:
     worthless = (RequestClass(aim=150 * MS, deadline=5 * S, stretch=2.0),)
     for marks, left, retry, waits in (
         (True, 5 * S, False, True),
@@ -435,7 +435,7 @@
         assert waits_for_its_aim(w, 2, time_left=left, retry=retry) is waits
 
 
-def test_retries_that_are_served_do_not_use_up_the_budget() -> None:
+def test_served_retries_do_not_use_the_retry_budget() -> None:
     for status, fewest, at_most in (("ok", 200, 200), ("error", 0, 120)):
         w = World(make_settings(nodes=50, max_attempts=2))
         w.fleet(*workers(12))
@@ -453,24 +453,24 @@
         assert fewest <= again <= at_most
 
 
-def test_a_neglected_class_goes_to_workers_that_have_started_one_since() -> None:
+def test_a_neglected_class_goes_to_workers_that_started_it_since() -> None:
     w = World(make_settings(nodes=50, cold=0))
     w.fleet(*workers(12))
-    bad, victims = {1, 2, 3, 4, 5}, 0
+    bad, neglected = {1, 2, 3, 4, 5}, 0
     for n in range(120):
         w.now += 400 * MS
         w.report(*w.entries)
         w.request(n, 1, work=300 * MS)
         for a in w.sends():
             if a.worker in bad:
-                victims += 1
+                neglected += 1
             else:
                 w.started(a.request)
                 w.outcome(a.request, "ok")
-    assert 1 <= victims <= 10, "not a share of all jobs, again and again"
+    assert 1 <= neglected <= 10, "not a constant share of all jobs"
 
 
-def test_nodes_in_step_do_not_probe_the_same_worker() -> None:
+def test_nodes_that_start_together_probe_different_workers() -> None:
     first: set[int] = set()
     for seed in range(40):
         w = World(make_settings(nodes=40), seed=seed)
@@ -480,8 +480,8 @@
     assert len(first) > 15
 
 
-def test_the_more_nodes_the_later_their_first_probes() -> None:
-    """What all do in the second in which all start adds up at each worker."""
+def test_more_nodes_probe_later_after_their_start() -> None:
+    """If all nodes start together, their first probes would reach each worker at the same time."""
 
     def probed(nodes: int, within: int) -> int:
         w = World(make_settings(nodes=nodes), seed=1)
@@ -493,9 +493,9 @@
     assert probed(200, 5 * S) == 0 and probed(200, 15 * S) > 0
 
 
-def test_the_more_nodes_the_less_one_report_draws() -> None:
+def test_with_more_nodes_a_single_report_attracts_fewer_jobs() -> None:
     def drawn(nodes: int) -> float:
-        """How often a worker told idle is drawn before nine told full."""
+        """Returns how often a worker reported idle is chosen among nine reported full."""
         count = 0
         for seed in range(200):
             w = World(make_settings(nodes=nodes), seed=seed)
@@ -505,11 +505,11 @@
             count += w.sends()[0].worker == 1
         return count / 200
 
-    assert drawn(1) == 1.0, "alone, what is told is so"
-    assert drawn(40) < 0.35, "all others have heard it too"
+    assert drawn(1) == 1.0, "a single node can rely on the report"
+    assert drawn(40) < 0.35, "the other nodes have the report too"
 
 
-def test_a_node_keeps_to_its_own_part_of_a_large_fleet_and_few_nodes_use_all() -> None:
+def test_a_node_prefers_a_subset_of_a_large_fleet_and_few_nodes_use_all_workers() -> None:
     def used(me: int, nodes: int, size: int) -> Counter[int]:
         w = World(make_settings(nodes=nodes, me=me))
         w.fleet(*(WorkerEntry(n, zone=0, mark=1000 + n) for n in range(1, size + 1)))
@@ -518,11 +518,11 @@
     mine, others = used(3, 40, 60), used(4, 40, 60)
     home = {worker for worker, _ in mine.most_common(8)}
     assert sum(mine[worker] for worker in home) > 4 * sum(others[worker] for worker in home)
-    assert len(mine) > 20, "though never to that alone: what is far is found out too"
-    assert max(used(0, 2, 8).values()) < 100, "two nodes both use all eight"
+    assert len(mine) > 20, "distant workers get some jobs too"
+    assert max(used(0, 2, 8).values()) < 100, "two nodes use all eight workers"
 
 
-def test_jobs_are_turned_away_while_those_sent_start_late_and_taken_again_soon() -> None:
+def test_jobs_are_refused_while_starts_are_slow_and_admitted_again_soon() -> None:
     w = World(make_settings(nodes=40, tenants=(Tenant(4000.0), Tenant(1.0))))
     w.fleet(*workers(12))
     numbers = itertools.count()
@@ -534,15 +534,15 @@
     assert offer(20, 10 * MS) == 20
     offer(20, 500 * MS)
     short = offer(40, 500 * MS)
-    assert 4 <= short <= 25, "fewer, and never none"
+    assert 4 <= short <= 25, "fewer, but never none"
     offer(60, 10 * MS)
-    assert offer(20, 10 * MS) == 20, "quick starts bring it back"
+    assert offer(20, 10 * MS) == 20, "quick starts restore admission"
     offer(30, 500 * MS)
     w.run(12 * S)
-    assert offer(1, 10 * MS) == 1, "and so does time, when there are none to learn from"
+    assert offer(1, 10 * MS) == 1, "time restores it too, without any starts"
 
 
-def test_a_zone_that_cannot_be_reached_gets_little_and_is_tried_again() -> None:
+def test_an_unreachable_zone_gets_few_jobs_but_is_still_tried() -> None:
     w = World(make_settings(nodes=40, cold=0))
     w.fleet(*(WorkerEntry(n, zone=n % 3) for n in range(1, 61)))
     to_zone: list[int] = []
@@ -560,11 +560,11 @@
             else:
                 w.started(n)
                 w.outcome(n, "ok")
-    assert sum(to_zone[50:]) < 40, "a third of the fleet, yet no third of the jobs"
-    assert sum(to_zone[50:]) > 2, "never given up for good"
+    assert sum(to_zone[50:]) < 40, "far less than its third of the jobs"
+    assert sum(to_zone[50:]) > 2, "the zone is still tried"
 
 
-def test_a_burst_on_one_moment_is_spread() -> None:
+def test_a_simultaneous_burst_is_spread() -> None:
     w = World(make_settings(nodes=1))
     w.fleet(*(WorkerEntry(n, zone=0) for n in range(1, 9)), free=2.0)
     w.step(*(Arrival(n, 0, 5 * S, work=100 * MS) for n in range(16)))
@@ -572,7 +572,7 @@
     assert len(sent) == 8 and max(sent.values()) == 2
 
 
-def test_a_dead_zone_is_left_alone_though_it_is_over_the_ejection_cap() -> None:
+def test_dead_workers_are_avoided_even_beyond_the_ejection_cap() -> None:
     w = World()
     w.fleet(*workers(10))
     dead = {2, 4, 6, 8, 10, 1}
@@ -591,28 +591,28 @@
     assert wasted < 60 and sum(w.answer(n) == "served" for n in range(300)) >= 290
 
 
-def test_a_probe_that_gets_through_readmits_an_unreachable_worker() -> None:
+def test_a_successful_probe_readmits_an_unreachable_worker() -> None:
     w = World(make_settings(cold=0))
     w.fleet(*(WorkerEntry(n, zone=0) for n in (1, 2)))
-    end_one_at_first(w, "no_connection")
+    end_an_attempt_at_worker_1(w, "no_connection")
     w.now += 4 * MS
     w.step(ProbeResult(1, False))
     w.request(100, 1)
-    assert w.sends()[0].worker == 2, "a probe that failed proves nothing new"
+    assert w.sends()[0].worker == 2, "a failed probe does not readmit a worker"
     w.report(1)
-    assert 1 in unsafe_jobs_go_to(w)
+    assert 1 in workers_of_unsafe_jobs(w)
 
 
-def test_a_time_out_leaves_a_job_at_least_half_of_its_time() -> None:
+def test_a_timeout_leaves_a_job_half_of_its_time() -> None:
     w = World(make_settings(cancelling=False))
     w.fleet(*workers(4))
     w.request(1, 0, work=100 * MS)
     assert w.sends()[0].timeout == 2500 * MS
     w.request(2, 1, work=100 * MS)
-    assert w.sends()[0].timeout == 0, "an unsafe job has nothing to gain from one"
+    assert w.sends()[0].timeout == 0, "an unsafe job cannot be retried after a timeout"
 
 
-def test_a_tenant_beyond_its_share_is_turned_away_first_when_jobs_start_late() -> None:
+def test_a_tenant_over_its_share_is_refused_first_when_starts_are_slow() -> None:
     w = World(make_settings(nodes=40, tenants=(Tenant(4000.0), Tenant(1.0))))
     w.fleet(*workers(12))
     refused = Counter[int]()
@@ -622,7 +622,7 @@
     assert refused[1] > 1.3 * refused[0] > 0
 
 
-def test_a_cold_worker_is_drawn_as_others_are_and_its_budget_alone_holds_it_back() -> None:
+def test_only_its_budget_limits_a_cold_worker() -> None:
     counts: Counter[int] = Counter()
     for seed in range(300):
         w = World(make_settings(nodes=1, fall_multiple=50.0), seed=seed)
@@ -636,7 +636,7 @@
     assert 0.4 < counts[2] / 300 < 0.6
 
 
-def test_a_new_worker_that_has_told_nothing_is_taken_for_one_of_the_others_size() -> None:
+def test_a_new_worker_without_a_report_counts_with_the_mean_slots() -> None:
     taken = 0
     for me in range(40):
         w = World(make_settings(nodes=40, me=me, reports="answers"), seed=me)
@@ -651,11 +651,11 @@
             for a in w.sends():
                 taken += a.worker == 99
                 w.started(n)
-    capacity = 4 * 0.3  # in work a second; what the rule allows is three times as much
-    assert 0.3 * capacity < taken * 0.3 < 3 * capacity, "some of it, at once, and within the rule"
+    capacity = 4 * 0.3  # in work per second; the rule allows three times as much
+    assert 0.3 * capacity < taken * 0.3 < 3 * capacity, "it gets jobs at once, within the rule"
 
 
-def test_probes_are_as_rare_as_they_are_dear_and_a_price_of_nothing_is_no_matter() -> None:
+def test_expensive_probes_are_rare_and_a_price_of_zero_is_valid() -> None:
     def probes(price: float) -> int:
         w = World(make_settings(nodes=40, reports="answers", probe_price=price))
         w.fleet(*workers(60))
@@ -669,13 +669,13 @@
             w.outcome(n, "ok")
         return len(w.probes)
 
-    usual = probes(0.002)
-    assert usual == probes(0.0) > 100
-    assert 0 < probes(0.04) < usual / 4
+    typical = probes(0.002)
+    assert typical == probes(0.0) > 100
+    assert 0 < probes(0.04) < typical / 4
 
 
-def held_after(requests: int) -> int:
-    """Bytes of everything that a node holds after so many requests, with workers coming and going."""
+def state_size_after(requests: int) -> int:
+    """Returns the size in bytes of a node's state after some requests, with workers coming and going."""
     w = World(make_settings(nodes=20))
     statuses: list[Status] = [
         "ok",
@@ -704,39 +704,41 @@
     return len(pickle.dumps(w.balancer))
 
 
-def test_nothing_grows_with_long_service() -> None:
+def test_the_state_does_not_grow_over_time() -> None:
     sys.setrecursionlimit(20_000)
-    usual = max(held_after(n) for n in (500, 600, 700))  # it swings with what happens to wait just then
-    assert held_after(2400) < 1.3 * usual
+    typical = max(state_size_after(n) for n in (500, 600, 700))  # it varies with the jobs that happen to wait
+    assert state_size_after(2400) < 1.3 * typical
 
 
-def test_after_a_stall_news_is_read_before_any_time_out() -> None:
+def test_after_a_stall_events_are_handled_before_timeouts() -> None:
     w = World(make_settings(nodes=50))
     w.fleet(*workers(6))
     w.request(1, 0, work=100 * MS)
     tried = w.clients[1].tries[0].worker
     w.now += 700 * MS
-    said = w.step(
+    actions = w.step(
         JobNote(1, tried, 0), ProbeResult(tried, True, 1, Report(util=0.2, inflight=1.0, free_slots=3.0))
     )
-    assert not any(isinstance(a, Cancel) for a in said), "its own stall is no silence of the worker"
+    assert not any(isinstance(a, Cancel) for a in actions), (
+        "a stall of the node must not count against the worker"
+    )
     w.now += 700 * MS
     burst = [Arrival(n, 0, 5 * S, work=100 * MS) for n in range(10, 22)]
     w.step(*burst)
     busiest = Counter(a.worker for a in w.sends()).most_common(1)
-    assert busiest and busiest[0][1] <= 6, "the backlog does not go to one place"
+    assert busiest and busiest[0][1] <= 6, "the backlog must be spread"
 
 
-def sends_to_first_in_a_second(
+def sends_to_worker_1_in_a_second(
     status: Status, cls: int, classes: tuple[RequestClass, ...] = CLASSES, running: bool = False
 ) -> int:
-    """Jobs that worker 1 of two gets in the second after an attempt there ended so."""
+    """Returns the jobs that worker 1 of two gets in the second after an attempt there ended with a status."""
     w = World(make_settings(nodes=1, classes=classes))
     w.fleet(*(WorkerEntry(n, zone=0) for n in (1, 2)))
     for n in range(80, 86) if running else ():
         w.request(n, 1, work=100 * MS)
         w.started(n)
-    end_one_at_first(w, status, cls, work=100 * MS)
+    end_an_attempt_at_worker_1(w, status, cls, work=100 * MS)
     w.now += 1500 * MS
     count = 0
     for n in range(100, 160):
@@ -750,17 +752,17 @@
     return count
 
 
-def test_a_worker_that_had_no_connection_is_cold_from_then_on_and_one_that_broke_one_is_not() -> None:
-    warm = sends_to_first_in_a_second("rejected", 1)
+def test_a_refused_connection_makes_a_worker_cold_and_a_reset_does_not() -> None:
+    warm = sends_to_worker_1_in_a_second("rejected", 1)
     assert warm > 20
-    assert 0 < sends_to_first_in_a_second("no_connection", 1) < 0.7 * warm
-    assert sends_to_first_in_a_second("reset", 1) > 0.7 * warm
-    # While other jobs run there it has not restarted: it only turned a connection down.
-    usual = sends_to_first_in_a_second("rejected", 1, running=True)
-    assert sends_to_first_in_a_second("no_connection", 1, running=True) > 0.7 * usual > 10
+    assert 0 < sends_to_worker_1_in_a_second("no_connection", 1) < 0.7 * warm
+    assert sends_to_worker_1_in_a_second("reset", 1) > 0.7 * warm
+    # While other jobs run there it has not restarted but only refused a connection.
+    typical = sends_to_worker_1_in_a_second("rejected", 1, running=True)
+    assert sends_to_worker_1_in_a_second("no_connection", 1, running=True) > 0.7 * typical > 10
 
 
-def test_connections_that_break_now_and_then_eject_nobody_and_a_black_hole_is_ejected() -> None:
+def test_rare_resets_do_not_eject_a_worker_and_constant_resets_do() -> None:
     for every, fewest, most in ((6, 120, 180), (1, 2, 20)):
         w = World(make_settings(nodes=1, cold=0))
         w.fleet(*(WorkerEntry(n, zone=0) for n in (1, 2)))
@@ -777,31 +779,31 @@
         assert fewest <= given <= most
 
 
-def test_attempts_that_missed_their_notes_of_progress_hold_no_slot() -> None:
-    for quiet in (True, False):
+def test_attempts_without_progress_notes_hold_no_slot() -> None:
+    for silent in (True, False):
         w = World(make_settings(nodes=1, progress=S, cold=0))
         w.fleet(WorkerEntry(1, zone=0))
-        for n in range(4):  # they fill it
+        for n in range(4):  # fills it
             w.request(n, 1, work=100 * MS)
             w.started(n)
         for _ in range(4):
             w.now += 400 * MS
-            if not quiet:
+            if not silent:
                 for n in range(4):
                     w.step(JobNote(n, 1, 0, 0.1))
-            w.report(1, free=4.0)  # it says that it has none of them, or tells of a moment long past
+            w.report(1, free=4.0)  # it lost the jobs, or the report is old
         w.request(9, 1, work=100 * MS)
-        assert bool(w.sends()) is quiet
-        if quiet:
+        assert bool(w.sends()) is silent
+        if silent:
             w.outcome(0, "timeout")
             sent = 0
             for n in range(10, 16):
                 w.request(n, 1, work=100 * MS)
                 sent += len(w.sends())
-            assert sent == 3, "the end of one gives back no slot that it did not hold"
+            assert sent == 3, "the end of an attempt must only free a slot that it held"
 
 
-def test_all_slow_at_once_ejects_nobody_and_sends_no_storm() -> None:
+def test_slowness_of_all_workers_ejects_none_and_causes_no_retry_storm() -> None:
     w = World()
     w.fleet(*workers(6))
     done: list[tuple[int, int]] = []
@@ -816,11 +818,11 @@
             done.append((w.now + 200 * MS, a.request))  # four times slower than expected
         while done and done[0][0] <= w.now:
             w.outcome(done.pop(0)[1], "ok")
-    assert set(used) == set(range(1, 7)), "slowness of all is nobody's fault"
+    assert set(used) == set(range(1, 7)), "no worker is at fault if all are slow"
     assert sum(len(c.tries) for c in w.clients.values()) <= 310
 
 
-def test_a_restarted_node_with_an_old_list_learns_what_is_gone() -> None:
+def test_a_restarted_node_with_an_old_list_detects_dead_workers() -> None:
     w = World()
     w.step(WorkerList("persisted", tuple(workers(4))))
     w.report(3, 4)
@@ -838,27 +840,27 @@
         w.outcome(n, "ok")
 
 
-def refusal(w: World) -> Refuse:
-    """The refusal of one more job that nobody can take in its time."""
+def refuse_one_more(w: World) -> Refuse:
+    """Returns the refusal of one more job that no worker can take in time."""
     seen = w.request(900 + len(w.clients), 1, time_left=20 * MS) + w.run(60 * MS)
     return next(a for a in seen if isinstance(a, Refuse))
 
 
-def test_a_refusal_says_when_room_may_be_had_again() -> None:
+def test_retry_after_grows_with_the_queue() -> None:
     w = World(make_settings(nodes=1, max_retry_after=10 * S))
-    assert refusal(w).retry_after == 10 * S  # nobody is listed: as long as a client will wait
+    assert refuse_one_more(w).retry_after == 10 * S  # no worker is listed: the maximum
     w.fleet(*workers(2))
     w.report(1, 2, free=4.0)
     w.report(1, 2, free=0.0)
-    idle = refusal(w).retry_after
+    idle = refuse_one_more(w).retry_after
     assert 0 < idle < 2 * S
     for n in range(10):
         w.request(n, 1)
-    assert idle < refusal(w).retry_after <= 10 * S  # what waits here comes first
-    assert refusal(World(make_settings(nodes=1))).retry_after == 0  # a site that gives clients no such advice
+    assert idle < refuse_one_more(w).retry_after <= 10 * S  # queued jobs come first
+    assert refuse_one_more(World(make_settings(nodes=1))).retry_after == 0  # a site without such advice
 
 
-def test_a_report_from_before_the_first_measurement_does_not_make_a_worker_full() -> None:
+def test_a_report_without_any_measurement_does_not_make_a_worker_full() -> None:
     w = World()
     w.fleet(*workers(3))
     blank = Report(util=0.0, inflight=0.0, free_slots=0.0)
@@ -872,11 +874,11 @@
     w.fleet(*workers(2))
     w.report(1, 2, free=4.0)
     w.report(1, 2, free=0.0)
-    w.request(1, 1)  # searches for room
-    w.request(2, 2, work=10 * MS, time_left=200 * MS)  # is due first, and is none to search for
+    w.request(1, 1)  # waits for a free worker
+    w.request(2, 2, work=10 * MS, time_left=200 * MS)  # is due first, and needs no search
     steps, began = 0, w.now
     while w.now < began + 400 * MS and steps < 1000:
-        w.now = max(w.now, min(w.wakes))  # a host whose clock has no ticks
+        w.now = max(w.now, min(w.wakes))  # a host with a continuous clock
         w.step()
         steps += 1
     assert steps < 120
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The four rules: each with its near misses, and a property test over random legal events."""
+"""Tests of the four dispatch rules and their edge cases, and a property test over random legal events."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
 
 
 @pytest.mark.parametrize(("cls", "answer"), [(0, "refused"), (1, "failed"), (2, "failed"), (4, "refused")])
-def test_an_attempt_that_never_answers_still_ends_in_time(cls: int, answer: str) -> None:
+def test_a_request_whose_attempt_never_ends_is_answered_in_time(cls: int, answer: str) -> None:
     w = World()
     w.fleet(*workers(1))
     w.request(1, cls)
@@ -62,7 +62,7 @@
     assert w.answer(1) == answer
 
 
-def test_time_left_counts_and_not_the_class_deadline() -> None:
+def test_the_time_left_overrides_the_class_deadline() -> None:
     w = World()
     w.request(1, 1, time_left=300 * MS)
     w.run(290 * MS)
@@ -71,7 +71,7 @@
     assert w.answer(1) == "refused"
 
 
-def test_hardly_any_time_left_is_answered_at_once() -> None:
+def test_a_request_with_almost_no_time_left_is_refused_at_once() -> None:
     w = World()
     w.fleet(*workers(2))
     w.request(1, 0, time_left=3 * MS)
@@ -81,22 +81,22 @@
 
 @pytest.mark.parametrize("status", STATUSES)
 @pytest.mark.parametrize("cls", range(5))
-def test_every_outcome_on_every_effect(status: Status, cls: int) -> None:
+def test_each_outcome_with_each_class(status: Status, cls: int) -> None:
     w = World()
     w.fleet(*workers(6))
     w.request(1, cls)
     w.outcome(1, status)
     w.run(100 * MS)
-    proved = status in PROVES_NOT_RUN
+    proves_not_run = status in PROVES_NOT_RUN
     if status == "ok":
         assert w.answer(1) == "served"
-    elif CLASSES[cls].effect == "unsafe" and not proved:
+    elif CLASSES[cls].effect == "unsafe" and not proves_not_run:
         assert w.answer(1) == "failed" and len(w.clients[1].tries) == 1
     else:
-        assert len(w.clients[1].tries) == 2, "what may be repeated is tried again elsewhere"
+        assert len(w.clients[1].tries) == 2, "a repeatable request is retried on another worker"
 
 
-def test_the_repeat_window_is_closed_at_its_end_and_open_before() -> None:
+def test_retries_end_with_the_repeat_window() -> None:
     for wait, tries in ((2900 * MS, 2), (3000 * MS, 1)):
         w = World()
         w.fleet(*workers(6))
@@ -109,7 +109,7 @@
         assert (w.answer(1) == "failed") == (tries == 1)
 
 
-def test_a_window_that_closes_while_the_job_waits_is_kept() -> None:
+def test_a_queued_job_is_not_retried_after_its_repeat_window() -> None:
     w = World(make_settings(nodes=1))
     w.fleet(*workers(6))
     w.request(1, 2)
@@ -122,7 +122,7 @@
     assert w.answer(1) == "failed" and len(w.clients[1].tries) == 1
 
 
-def test_no_second_attempt_while_one_is_out() -> None:
+def test_no_second_attempt_while_one_is_in_flight() -> None:
     w = World()
     w.fleet(*workers(4))
     w.request(1, 0)
@@ -133,7 +133,7 @@
 
 
 @pytest.mark.parametrize("state", ["leaving", "left", "missing"])
-def test_drains_are_kept_at_once(state: str) -> None:
+def test_a_worker_that_is_not_active_gets_no_jobs(state: str) -> None:
     w = World()
     w.fleet(*workers(2))
     if state == "missing":
@@ -145,10 +145,10 @@
         assert [a.worker for a in w.sends()] in ([], [2])
 
 
-def cold_work(nodes: int, late: int = 0) -> float:
-    """Work that all nodes together send workers that have just started, in the worst window of the rule.
+def work_sent_to_a_cold_worker(nodes: int, late: int = 0) -> float:
+    """Returns the most work that all nodes together send to a just started worker within the rule's window.
 
-    The nodes are told at moments up to `late` apart, and none sees what the others send.
+    The nodes learn of the worker up to `late` apart, and none sees what the others send.
     """
     sent: list[tuple[int, float]] = []
     for node in range(nodes):
@@ -171,11 +171,13 @@
 
 @pytest.mark.parametrize(("nodes", "late"), [(1, 0), (2, 0), (8, S), (50, 0), (166, 0), (166, 2 * S)])
 def test_cold_budget_over_all_nodes_counts_rejected_sends_too(nodes: int, late: int) -> None:
-    capacity = 4 * (0.3 + 0.7 * 4 / 8)  # its slots at speed 1, halfway warm: the latest moment of the run
-    assert 200 * MS <= cold_work(nodes, late) <= 3.0 * capacity * S, "some work, within the budget"
+    capacity = 4 * (0.3 + 0.7 * 4 / 8)  # slots at speed 1, halfway warm as at the end of the run
+    assert 200 * MS <= work_sent_to_a_cold_worker(nodes, late) <= 3.0 * capacity * S, (
+        "some work, within the budget"
+    )
 
 
-def test_a_restarted_node_does_not_know_what_it_sent_a_cold_worker() -> None:
+def test_a_restarted_node_sends_nothing_to_a_cold_worker_at_first() -> None:
     w = World()
     w.step(WorkerList("persisted", (WorkerEntry(1, started_at=w.now - S),)))
     w.request(1, 0, work=10 * MS)
@@ -209,7 +211,7 @@
 
 
 @pytest.mark.parametrize(
-    "broken",
+    "invalid",
     [
         {"classes": ()},
         {"nodes": 0},
@@ -225,9 +227,9 @@
         {"classes": (RequestClass(aim=1, deadline=5, stretch=float("inf")),)},
     ],
 )
-def test_settings_out_of_range_are_named(broken: dict[str, object]) -> None:
+def test_settings_out_of_range_raise_value_error(invalid: dict[str, object]) -> None:
     with pytest.raises(ValueError, match=r"\w"):
-        make_settings(**broken)
+        make_settings(**invalid)
 
 
 VARIANTS: list[Settings] = [
@@ -238,46 +240,48 @@
 ]
 
 
-def play(variant: int, seed: int, steps: int) -> list[str]:
-    """Random legal events; the world checks the rules after each step."""
-    dice = random.Random(seed)
+def play_random_events(variant: int, seed: int, steps: int) -> list[str]:
+    """Plays random legal events, with the rules checked after each step; returns the actions as text."""
+    rng = random.Random(seed)
     w = World(VARIANTS[variant], seed)
     w.step(WorkerList("persisted", tuple(workers(3))))
     log: list[str] = []
-    number = 0
+    request_number = 0
     for _ in range(steps):
         events: list[Event] = []
-        for _ in range(dice.randrange(4)):
-            number += 1
-            cls = dice.randrange(5)
-            left = int(w.settings.classes[cls].deadline * dice.choice([1.0, 1.0, 0.4, 0.001]))
-            work = dice.choice([None, 20 * MS, 300 * MS, 4 * S])
-            events.append(Arrival(number, cls, left, dice.randrange(2), None, work, dice.choice([1.0, 2.0])))
-        for rid, c in list(w.clients.items()):
+        for _ in range(rng.randrange(4)):
+            request_number += 1
+            cls = rng.randrange(5)
+            time_left = int(w.settings.classes[cls].deadline * rng.choice([1.0, 1.0, 0.4, 0.001]))
+            work = rng.choice([None, 20 * MS, 300 * MS, 4 * S])
+            events.append(
+                Arrival(request_number, cls, time_left, rng.randrange(2), None, work, rng.choice([1.0, 2.0]))
+            )
+        for request, c in list(w.clients.items()):
             for n, t in enumerate(c.tries):
-                if t.out and dice.random() < 0.2:
-                    status = dice.choice(STATUSES + ["ok"] * 5)
+                if t.out and rng.random() < 0.2:
+                    status = rng.choice(STATUSES + ["ok"] * 5)
                     ended = bool(c.answer) or status == "ok"
-                    report = Report(util=dice.random(), free_slots=float(dice.randrange(4)))
-                    got = report if dice.random() < 0.5 else None
-                    events.append(Outcome(rid, t.worker, n, ended, status, 1, got))
+                    report = Report(util=rng.random(), free_slots=float(rng.randrange(4)))
+                    sent_report = report if rng.random() < 0.5 else None
+                    events.append(Outcome(request, t.worker, n, ended, status, 1, sent_report))
                     if ended:
                         break
-                elif t.out and dice.random() < 0.2:
-                    events.append(JobNote(rid, t.worker, n, dice.choice([None, 0.5])))
-        if dice.random() < 0.3 and w.entries:
-            report = Report(util=dice.random(), inflight=2.0, free_slots=float(dice.randrange(5)))
-            events.append(ProbeResult(dice.choice(list(w.entries)), dice.random() < 0.8, 1, report))
-        if dice.random() < 0.15:
-            fresh = w.now if dice.random() < 0.5 else None
-            changed = workers(8, started_at=fresh)[dice.randrange(8)]
-            state = dice.choice(["active", "active", "leaving", "left"])
+                elif t.out and rng.random() < 0.2:
+                    events.append(JobNote(request, t.worker, n, rng.choice([None, 0.5])))
+        if rng.random() < 0.3 and w.entries:
+            report = Report(util=rng.random(), inflight=2.0, free_slots=float(rng.randrange(5)))
+            events.append(ProbeResult(rng.choice(list(w.entries)), rng.random() < 0.8, 1, report))
+        if rng.random() < 0.15:
+            started_at = w.now if rng.random() < 0.5 else None
+            changed = workers(8, started_at=started_at)[rng.randrange(8)]
+            state = rng.choice(["active", "active", "leaving", "left"])
             events.append(WorkerList("changes", (changed._replace(state=state),)))  # type: ignore[arg-type]
-        if dice.random() < 0.02:
-            events.append(WorkerList("complete", tuple(dice.sample(workers(8), 4))))
-        if dice.random() < 0.02:
+        if rng.random() < 0.02:
+            events.append(WorkerList("complete", tuple(rng.sample(workers(8), 4))))
+        if rng.random() < 0.02:
             events.append(WorkerList("error"))
-        log.append(repr(w.step(*events, after=dice.choice([4, 8, 40, 400]) * MS)))
+        log.append(repr(w.step(*events, after=rng.choice([4, 8, 40, 400]) * MS)))
     while any(not c.answer for c in w.clients.values()):
         log.append(repr(w.step(after=4 * MS)))
     return log
@@ -285,10 +289,10 @@
 
 @settings(derandomize=True, deadline=None, max_examples=60)
 @given(strategies.integers(0, len(VARIANTS) - 1), strategies.integers(0, 2**32))
-def test_random_events_keep_the_rules(variant: int, seed: int) -> None:
-    play(variant, seed, 60)
+def test_random_events_never_break_a_rule(variant: int, seed: int) -> None:
+    play_random_events(variant, seed, 60)
 
 
-def test_same_events_same_actions() -> None:
-    assert play(0, 11, 80) == play(0, 11, 80)
+def test_equal_events_lead_to_equal_actions() -> None:
+    assert play_random_events(0, 11, 80) == play_random_events(0, 11, 80)
     assert SAFE.effect == CLASSES[0].effect
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -1,4 +1,4 @@
-"""The server list on disk for the next start."""
+"""Tests of the snapshot of the server list for the next start."""
 
 from __future__ import annotations
 
@@ -22,17 +22,17 @@
 OLD = {"rev": 4, "all": True, "targets": []}
 
 
-def listed(rev: int, *uids: str) -> dict[str, Any]:
+def list_message(rev: int, *uids: str) -> dict[str, Any]:
     rows = [
         {"uid": uid, "endpoint": "127.0.0.1:9", "az": "a", "model": "m", "state": "SERVING"} for uid in uids
     ]
     return {"rev": rev, "all": True, "targets": rows}
 
 
-def test_what_was_written_is_read_and_nothing_else_counts() -> None:
-    data = pack("n/0", "h:1", 5 * HOUR, listed(7, "s-1"))
-    assert unpack("n/0", "h:1", data, 6 * HOUR, 2 * HOUR).server_list == listed(7, "s-1")
-    for wrong, says in (
+def test_a_snapshot_is_read_back_and_unusable_ones_are_refused() -> None:
+    data = pack("n/0", "h:1", 5 * HOUR, list_message(7, "s-1"))
+    assert unpack("n/0", "h:1", data, 6 * HOUR, 2 * HOUR).server_list == list_message(7, "s-1")
+    for wrong, message in (
         (("n1", "h:1", data, 6 * HOUR, HOUR), "another dispatcher"),
         (("n/0", "h:2", data, 6 * HOUR, HOUR), "another list service"),
         (("n/0", "h:1", data, 8 * HOUR, HOUR), "3.0 h old"),
@@ -41,7 +41,7 @@
         (("n/0", "h:1", data.replace(b"s-1", b"s-2"), 6 * HOUR, HOUR), "sum"),
         (("n/0", "h:1", b'{"format": "x"}', 6 * HOUR, HOUR), "not a snapshot"),
     ):
-        with pytest.raises(UnusableSnapshot, match=says):
+        with pytest.raises(UnusableSnapshot, match=message):
             unpack(*wrong)
     for cut in range(len(data)):
         with pytest.raises(UnusableSnapshot):
@@ -49,19 +49,19 @@
 
 
 @given(st.binary(max_size=300), st.integers(0, 400))
-def test_damage_anywhere_is_told(noise: bytes, at: int) -> None:
-    data = pack("n", "h:1", HOUR, listed(7, "s-1"))
+def test_damage_anywhere_is_detected(noise: bytes, at: int) -> None:
+    data = pack("n", "h:1", HOUR, list_message(7, "s-1"))
     broken = data[:at] + noise + data[at + len(noise) :]
     try:
-        assert unpack("n", "h:1", broken, HOUR, HOUR).server_list == listed(7, "s-1")
+        assert unpack("n", "h:1", broken, HOUR, HOUR).server_list == list_message(7, "s-1")
     except UnusableSnapshot:
         assert broken != data
 
 
-def test_the_later_revision_is_begun_with() -> None:
-    snapshot = unpack("n", "h:1", pack("n", "h:1", HOUR, listed(7, "s-1")), HOUR, HOUR)
-    assert newer_list(snapshot, listed(8, "s-2")) == listed(8, "s-2")
-    assert newer_list(snapshot, OLD) == newer_list(snapshot, None) == listed(7, "s-1")
+def test_the_list_with_the_higher_revision_is_used() -> None:
+    snapshot = unpack("n", "h:1", pack("n", "h:1", HOUR, list_message(7, "s-1")), HOUR, HOUR)
+    assert newer_list(snapshot, list_message(8, "s-2")) == list_message(8, "s-2")
+    assert newer_list(snapshot, OLD) == newer_list(snapshot, None) == list_message(7, "s-1")
     assert newer_list(None, OLD) == OLD
 
 
@@ -74,25 +74,27 @@
 def test_a_start_takes_the_snapshot_and_writes_the_next_one(tmp_path: Path) -> None:
     path = tmp_path / "heronstall-n.snapshot"
     now = os.stat(tmp_path).st_mtime_ns // 1000
-    path.write_bytes(pack("n", "127.0.0.1:9", now, listed(7, "s-1", "s-2")))
-    one, loop = program(tmp_path, OLD)
-    assert sorted(server.uid for server in one.table.listed()) == ["s-1", "s-2"]
-    one.table.heard = True
-    one.table.take(listed(9, "s-3"))
-    assert one.table._watch is not None
-    one.table._watch.rev = 9
+    path.write_bytes(pack("n", "127.0.0.1:9", now, list_message(7, "s-1", "s-2")))
+    first, loop = program(tmp_path, OLD)
+    assert sorted(server.uid for server in first.table.listed()) == ["s-1", "s-2"]
+    first.table.heard = True
+    first.table.take(list_message(9, "s-3"))
+    assert first.table._watch is not None
+    first.table._watch.rev = 9
     written = path.stat().st_ino
     while path.stat().st_ino == written:
         loop.turn(0.5)
-    two, _ = program(tmp_path, OLD)
-    assert [server.uid for server in two.table.listed()] == ["s-3"]
+    second, _ = program(tmp_path, OLD)
+    assert [server.uid for server in second.table.listed()] == ["s-3"]
 
 
-def test_a_folder_of_no_use_is_no_matter(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
+def test_an_unusable_snapshot_or_folder_does_not_prevent_the_start(
+    tmp_path: Path, caplog: pytest.LogCaptureFixture
+) -> None:
     (tmp_path / "heronstall-n.snapshot").write_bytes(b"{")
-    one, loop = program(tmp_path, listed(5, "s-9"))
-    assert [server.uid for server in one.table.listed()] == ["s-9"] and "ignored" in caplog.text
-    one.table.heard = True
+    first, loop = program(tmp_path, list_message(5, "s-9"))
+    assert [server.uid for server in first.table.listed()] == ["s-9"] and "ignored" in caplog.text
+    first.table.heard = True
     soft, hard = resource.getrlimit(resource.RLIMIT_FSIZE)
     resource.setrlimit(resource.RLIMIT_FSIZE, (0, hard))  # as on a full disk
     try:
--- a/tests/test_unheard.py
+++ b/tests/test_unheard.py
@@ -1,4 +1,4 @@
-"""Decisions where no server reports: what a node makes of its own attempts alone."""
+"""Tests of the decisions where no server reports load, so that only own attempts are known."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from tests.world import MS, UNSAFE, S, World, make_settings, workers
 
 SHORT = RequestClass(aim=150 * MS, deadline=5 * S, effect="safe", stretch=2.0)
-SLOTS, WORK = 5, 200 * MS  # of each server; of each request
+SLOTS, WORK = 5, 200 * MS  # per server, per request
 COLD, COLD_FROM, MULTIPLE = 8 * S, 0.3, 3.0
 
 
 def world(**changes: object) -> World:
-    given: dict[str, object] = {"reports": "none", "probes": False, "cancelling": False}
-    return World(make_settings(**{**given, **changes}))
+    defaults: dict[str, object] = {"reports": "none", "probes": False, "cancelling": False}
+    return World(make_settings(**{**defaults, **changes}))
 
 
-def test_a_job_that_times_out_past_its_aim_is_refused_and_not_sent_again() -> None:
+def test_a_job_that_times_out_after_its_aim_is_refused_without_a_retry() -> None:
     w = world(classes=(SHORT,), nodes=1)
     w.step(WorkerList("complete", tuple(workers(4))))
     w.request(1, 0, work=WORK)
@@ -31,7 +31,7 @@
     assert w.answer(1) == "refused" and not w.sends()
 
 
-def test_a_job_that_times_out_early_enough_goes_again() -> None:
+def test_a_job_that_times_out_early_enough_is_retried() -> None:
     w = world(classes=(RequestClass(aim=4 * S, deadline=5 * S, effect="safe"),), nodes=1)
     w.step(WorkerList("complete", tuple(workers(4))))
     w.request(1, 0, work=WORK)
@@ -41,8 +41,8 @@
 
 
 @pytest.mark.parametrize("started", [False, True])
-def test_a_server_that_lets_an_attempt_time_out_unstarted_is_left_out(started: bool) -> None:
-    """One that had started it may be slow with this job alone."""
+def test_a_server_whose_attempt_times_out_unstarted_is_ejected(started: bool) -> None:
+    """A server that started the attempt may be slow with this job only."""
     w = world(classes=(SHORT, UNSAFE), nodes=1)
     w.step(WorkerList("complete", tuple(workers(4))))
     w.request(1, 0, work=WORK)
@@ -63,15 +63,15 @@
 
 
 def sent_to_a_cold_server(nodes: int, reports: str, seed: int) -> tuple[int, float]:
-    """Requests that all nodes together send a server that has just started, in the worst window of the rule;
-    and what the rule's N is then.
+    """Returns the most requests that all nodes together send to a just started server within the rule's
+    window, and the rule's limit N at that time.
 
-    Ten warm servers run at four fifths of their slots, some nodes have several times the traffic of others,
-    and none hears of another.
+    Ten warm servers use four fifths of their slots. Some nodes have several times the traffic of others, and
+    no node knows what another one sends.
     """
     rng = random.Random(seed)
     shares = [rng.choice((0.5, 0.5, 1.0, 3.0)) for _ in range(nodes)]
-    rate = 10 * SLOTS * 0.8 / (WORK / S) / sum(shares)  # requests a second, for a share of one
+    rate = 10 * SLOTS * 0.8 / (WORK / S) / sum(shares)  # requests per second for a share of one
     sent: list[int] = []
     start = 0
     for node, share in enumerate(shares):
@@ -88,20 +88,20 @@
         w = World(settings, seed=seed * 1000 + node)
         w.step(WorkerList("complete", tuple(workers(10))))
         start = w.now + 6 * S
-        told = False
+        listed = False
         running: list[tuple[int, int]] = []
         number = 0
-        coming = w.now + int(rng.expovariate(rate * share) * S)
+        next_arrival = w.now + int(rng.expovariate(rate * share) * S)
         while w.now < start + 3 * S:
-            at = min([coming, *(end for end, _ in running[:1])])
+            at = min([next_arrival, *(end for end, _ in running[:1])])
             w.now = at
-            if not told and w.now >= start:
-                told = True
+            if not listed and w.now >= start:
+                listed = True
                 w.step(WorkerList("changes", (WorkerEntry(99, zone=1, cell=1, started_at=start),)))
             if running and running[0][0] <= at:
                 w.outcome(running.pop(0)[1], "ok")
             else:
-                coming = at + int(rng.expovariate(rate * share) * S)
+                next_arrival = at + int(rng.expovariate(rate * share) * S)
                 if reports != "none":
                     w.report(*w.entries, free=1.0, util=0.8)
                 number += 1
@@ -113,28 +113,28 @@
                     w.started(action.request)
                     running.append((w.now + WORK, action.request))
     worst = max((sum(at <= t < at + S for t in sent) for at in sent), default=0)
-    warmth = COLD_FROM + (1 - COLD_FROM) * 3 / 8  # the latest moment that is looked at
+    warmth = COLD_FROM + (1 - COLD_FROM) * 3 / 8  # at the end of the measured time
     return worst, MULTIPLE * SLOTS * warmth / (WORK / S)
 
 
 @pytest.mark.parametrize("nodes", [1, 5, 20, 30])
 @pytest.mark.parametrize("reports", ["none", "answers"])
-def test_a_cold_server_gets_what_it_stands_from_all_nodes_together(nodes: int, reports: str) -> None:
-    """N + 2 x root of N + 2 requests of mean work, with no word among the nodes; and some, to warm up by."""
+def test_all_nodes_together_respect_the_budget_of_a_cold_server(nodes: int, reports: str) -> None:
+    """At most N + 2 * sqrt(N) + 2 requests of mean work without coordination, but enough to warm it up."""
     for seed in range(3):
-        worst, most = sent_to_a_cold_server(nodes, reports, seed)
-        assert worst <= most + 2 * math.sqrt(most) + 2, (seed, worst, most)
-        if reports == "none":  # what a report says is made up here, and may leave no room
-            assert worst >= 0.1 * most, (seed, worst, most)
+        worst, limit = sent_to_a_cold_server(nodes, reports, seed)
+        assert worst <= limit + 2 * math.sqrt(limit) + 2, (seed, worst, limit)
+        if reports == "none":  # the reports here are invented and may leave no room
+            assert worst >= 0.1 * limit, (seed, worst, limit)
 
 
 @pytest.mark.parametrize("reports", ["none", "answers"])
-def test_no_node_refuses_all_for_seconds_however_slow_all_starts_are(reports: str) -> None:
+def test_slow_starts_never_make_a_node_refuse_everything_for_seconds(reports: str) -> None:
     w = world(classes=(SHORT,), nodes=200, me=3, reports=reports)
     w.step(WorkerList("complete", tuple(workers(20))))
     sent_at = [w.now]
     waiting: list[tuple[int, int]] = []
-    for number in range(60 * 4):  # a minute of four requests a second
+    for number in range(60 * 4):  # a minute at four requests per second
         w.now += 250 * MS
         for late in [n for at, n in waiting if w.now >= at + S]:
             waiting = [(at, n) for at, n in waiting if n != late]
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The codec and the deployed command on a transcript of our own."""
+"""Tests of the codec, and of the deployed command with a transcript."""
 
 from __future__ import annotations
 
@@ -53,9 +53,9 @@
     text = FIRST
     text += "TICK 1004000\nREQ 3 42 0 - - 5000000 100000 1 0 0 0 0\nEOB\n"
     text += "TICK 1104000\nHEARTBEAT 3 42 0 11 1 -\nEOB\n"
-    ran = run(text)
-    assert ran.returncode == 0, ran.stderr
-    replies = ran.stdout.split("FINISHED\n")
+    result = run(text)
+    assert result.returncode == 0, result.stderr
+    replies = result.stdout.split("FINISHED\n")
     assert len(replies) == 4 and replies[3] == ""
     assert "HEALTH_CHECK 3 11" in replies[0] and "REMIND 3 " in replies[0]
     sent = [line for line in replies[1].splitlines() if line.startswith("ASSIGN 3 42 ")]
@@ -63,19 +63,19 @@
     assert "ASSIGN" not in replies[2]
 
 
-def test_killed_and_launched_again_in_one_batch() -> None:
+def test_an_instance_is_killed_and_launched_again_in_one_batch() -> None:
     text = FIRST + f"TICK 1004000\nREQ 3 42 0 - - 5000000 100000 1 0 0 0 0\nKILL 3\n{LAUNCH}{ENTRIES}EOB\n"
-    ran = run(text)
-    assert ran.returncode == 0 and " 42 " not in ran.stdout
+    result = run(text)
+    assert result.returncode == 0 and " 42 " not in result.stdout
 
 
-def test_end_of_input_between_batches_is_clean_and_empty_batches_are_answered() -> None:
-    ran = run("TICK 5\nEOB\n")
-    assert (ran.returncode, ran.stdout, ran.stderr) == (0, "FINISHED\n", "")
+def test_empty_batches_are_answered_and_the_input_may_end_between_batches() -> None:
+    result = run("TICK 5\nEOB\n")
+    assert (result.returncode, result.stdout, result.stderr) == (0, "FINISHED\n", "")
 
 
 @pytest.mark.parametrize(
-    ("text", "word"),
+    ("text", "expected"),
     [
         ("HELLO\n", "TICK"),
         ("TICK x\nEOB\n", "'x'"),
@@ -90,13 +90,17 @@
         ("TICK 9\nLAUNCH 1 2 {}\nEOB\n", "services"),
     ],
 )
-def test_malformed_input_ends_it_with_a_plain_sentence(text: str, word: str) -> None:
-    ran = run(text)
-    assert ran.returncode != 0
-    assert word in ran.stderr and len(ran.stderr.splitlines()) == 1 and "Traceback" not in ran.stderr
+def test_malformed_input_ends_the_process_with_one_line(text: str, expected: str) -> None:
+    result = run(text)
+    assert result.returncode != 0
+    assert (
+        expected in result.stderr
+        and len(result.stderr.splitlines()) == 1
+        and "Traceback" not in result.stderr
+    )
 
 
-def test_an_exception_in_the_decisions_becomes_a_bug_line(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_exception_in_the_decisions_is_reported_as_a_bug_line(monkeypatch: pytest.MonkeyPatch) -> None:
     import io
 
     from heronstall import simhost
@@ -110,19 +114,19 @@
     assert sink.getvalue() == "BUG 3 IndexError: out of range\nFINISHED\n"
 
 
-def test_reports_are_read_by_name_in_any_order() -> None:
+def test_report_fields_are_read_by_name_in_any_order() -> None:
     codec = Codec(CONFIG)
     report = codec.decode_report("3,12.5,0.4,1.25")
     assert report is not None
     assert (report.free_slots, report.util, report.free_memory, report.queued) == (3.0, 0.4, 1.25, None)
     assert codec.decode_report("-") is None
-    for absurd in ("-1,1,0.4,1", "nan,1,0.4,1", "3,1,inf,1"):
-        assert codec.decode_report(absurd) is None
+    for implausible in ("-1,1,0.4,1", "nan,1,0.4,1", "3,1,inf,1"):
+        assert codec.decode_report(implausible) is None
     with pytest.raises(WireError):
         codec.decode_report("3,1,much,1")
 
 
-def test_settings_are_read_and_bad_ones_named() -> None:
+def test_settings_are_read_and_invalid_ones_raise() -> None:
     s = Codec(CONFIG).settings
     assert s.classes[1].effect == "unsafe" and s.classes[1].stretch == 2.0 and s.nodes == 2
     assert s.answer_grace == 16000 and s.reports == "probe" and s.tells_start
@@ -130,7 +134,7 @@
         Codec({**CONFIG, "tick": 0})
 
 
-def test_every_action_has_its_line() -> None:
+def test_each_action_is_encoded_as_a_line() -> None:
     lines = [encode(3, a) for a in (Send(1, 2, 5), WakeAt(9), Probe(2), Cancel(1, 0), Refuse(1, 7), Fail(1))]
     assert lines == [
         "ASSIGN 3 1 2 5",
@@ -143,7 +147,7 @@
     assert encode(3, Subscribe()) == "SUBSCRIBE 3 1" and encode(3, Log("a b")) == "JOURNAL_LINE 3 a b"
 
 
-def test_the_example_of_the_readme_runs_as_printed(capsys: pytest.CaptureFixture[str]) -> None:
+def test_the_readme_example_prints_its_result(capsys: pytest.CaptureFixture[str]) -> None:
     code = (ROOT / "README.md").read_text().split("```python\n")[1].split("```")[0]
     exec(compile(code, "README", "exec"), {})
     assert capsys.readouterr().out == "[7]\n"
--- a/tests/versions.py
+++ b/tests/versions.py
@@ -1,7 +1,7 @@
-"""Versions of the dispatcher that each do worse in one way, for a rollout to find.
+"""Faulty versions of the dispatcher, each worse in one way, for a rollout to detect.
 
-`python -m tests.versions NAME [ARG]` is the real program with that fault. Faults come by what is counted (a
-job, a call), never by a clock.
+`python -m tests.versions NAME [ARG]` runs the real program with that fault. Faults are triggered by counts of
+jobs or calls, never by a clock.
 """
 
 from __future__ import annotations
@@ -15,26 +15,26 @@
 from heronstall import interface as i
 from heronstall.decide import Balancer
 
-CRASH_AFTER = 25  # jobs
-HEAVY = 0.02  # seconds of CPU a job
-LEAK = 1 << 19  # bytes, at each look of the loop, ten times a second
+CRASH_AFTER_JOBS = 25
+CPU_PER_JOB_S = 0.02
+LEAK = 1 << 19  # bytes at each measurement of the loop lag, ten times per second
 
 
-class Watched:
-    """The real decisions, with something done at each arrival."""
+class FaultyDecisions:
+    """The real decisions with a hook at each arrival."""
 
     def __init__(self, settings: i.Settings, seed: int) -> None:
         self.real = Balancer(settings, seed)
         self.settings, self.jobs = settings, 0
 
     def ejected_workers(self, now: int) -> list[int]:
-        """As the module's own."""
+        """See `Balancer.ejected_workers`."""
         return self.real.ejected_workers(now)
 
     def handle(self, now: int, events: Sequence[i.Event]) -> list[i.Action]:
-        """As the module's own."""
+        """See `Balancer.handle`."""
         refused: list[i.Action] = []
-        kept: list[i.Event] = []
+        passed: list[i.Event] = []
         for event in events:
             if isinstance(event, i.Arrival):
                 self.jobs += 1
@@ -42,59 +42,58 @@
                     refused.append(i.Refuse(event.request, 0))
                     continue
                 self.arrived(event)
-            kept.append(event)
-        return refused + self.real.handle(now, kept)
+            passed.append(event)
+        return refused + self.real.handle(now, passed)
 
     def refuses(self, arrival: i.Arrival) -> bool:
-        """Whether this one is turned away."""
+        """Returns whether this request is refused."""
         return False
 
     def arrived(self, arrival: i.Arrival) -> None:
-        """A job is here."""
+        """Called for each request that is not refused."""
 
 
-class Crashes(Watched):
-    """Serves well for a while, then ends."""
+class Crashes(FaultyDecisions):
+    """Crashes after some jobs."""
 
     def arrived(self, arrival: i.Arrival) -> None:
-        if self.jobs > CRASH_AFTER:
+        if self.jobs > CRASH_AFTER_JOBS:
             sys.stderr.flush()
             os._exit(3)
 
 
-class Refuses(Watched):
-    """Turns away two in five of the dearest class, and of no other."""
+class Refuses(FaultyDecisions):
+    """Refuses two in five requests of the class with the highest worth."""
 
     def refuses(self, arrival: i.Arrival) -> bool:
         worths = [c.worth for c in self.settings.classes]
         return worths[arrival.cls] == max(worths) and self.jobs % 5 < 2
 
 
-class Heavy(Watched):
+class BurnsCpu(FaultyDecisions):
     """Burns CPU for each job."""
 
     def arrived(self, arrival: i.Arrival) -> None:
-        until = time.process_time() + HEAVY
+        until = time.process_time() + CPU_PER_JOB_S
         while time.process_time() < until:
             pass
 
 
-class Zone(Refuses):
-    """Does worse in one zone alone, the first."""
+class RefusesInZone(Refuses):
+    """Refuses requests in the first zone only."""
 
     def refuses(self, arrival: i.Arrival) -> bool:
         return self.settings.zone == 0 and self.jobs % 2 == 0
 
 
-class Resends(Watched):
-    """Breaks off each keyed job's first attempt once something else happens, and makes it again: the server
-    works for both."""
+class Resends(FaultyDecisions):
+    """Cancels each keyed job's first attempt at the next event and repeats it, so that servers work twice."""
 
     def __init__(self, settings: i.Settings, seed: int) -> None:
         super().__init__(settings, seed)
-        self.first: dict[int, i.Send] = {}  # sent once
-        self.broken: dict[int, i.Send] = {}  # and broken off
-        self.shift: set[int] = set()  # whose attempts are one more than the module knows
+        self.first: dict[int, i.Send] = {}  # attempts sent once
+        self.cancelled: dict[int, i.Send] = {}  # first attempts that were cancelled
+        self.shifted: set[int] = set()  # requests with one more attempt than the decisions know
         self.keyed: set[int] = set()
 
     def arrived(self, arrival: i.Arrival) -> None:
@@ -102,54 +101,54 @@
             self.keyed.add(arrival.request)
 
     def handle(self, now: int, events: Sequence[i.Event]) -> list[i.Action]:
-        """As the module's own, with the first attempts kept from it."""
-        said: list[i.Action] = []
-        told: list[i.Event] = []
-        breaking, self.first = self.first, {}
+        """See `Balancer.handle`; hides the first attempts from it."""
+        actions: list[i.Action] = []
+        passed: list[i.Event] = []
+        cancelling, self.first = self.first, {}
         for event in events:
             request = getattr(event, "request", -1)
-            if isinstance(event, i.Outcome) and request in self.broken and not event.ended:
-                self.shift.add(request)
-                said.append(self.broken.pop(request))
+            if isinstance(event, i.Outcome) and request in self.cancelled and not event.ended:
+                self.shifted.add(request)
+                actions.append(self.cancelled.pop(request))
                 continue
             if isinstance(event, (i.Outcome, i.ClientGone)) and (
                 isinstance(event, i.ClientGone) or event.ended
             ):
-                breaking.pop(request, None)
-                self.broken.pop(request, None)
+                cancelling.pop(request, None)
+                self.cancelled.pop(request, None)
                 self.keyed.discard(request)
-            if isinstance(event, (i.Outcome, i.JobNote)) and request in self.shift:
+            if isinstance(event, (i.Outcome, i.JobNote)) and request in self.shifted:
                 event = event._replace(attempt=event.attempt - 1)
-            told.append(event)
-        for request, send in breaking.items():
-            self.broken[request] = send
-            said.append(i.Cancel(request, 0))
-        for action in super().handle(now, told):
-            if isinstance(action, i.Cancel) and action.request in self.shift:
+            passed.append(event)
+        for request, send in cancelling.items():
+            self.cancelled[request] = send
+            actions.append(i.Cancel(request, 0))
+        for action in super().handle(now, passed):
+            if isinstance(action, i.Cancel) and action.request in self.shifted:
                 action = action._replace(attempt=action.attempt + 1)
             if isinstance(action, i.Send) and action.request in self.keyed:
                 self.keyed.discard(action.request)
                 self.first[action.request] = action
-            said.append(action)
-        return said
+            actions.append(action)
+        return actions
 
 
-DECISIONS: dict[str, type[Watched]] = {
-    "good": Watched,
+DECISIONS: dict[str, type[FaultyDecisions]] = {
+    "good": FaultyDecisions,
     "crashes": Crashes,
     "refuses": Refuses,
-    "heavy": Heavy,
+    "heavy": BurnsCpu,
     "resends": Resends,
-    "zone": Zone,
+    "zone": RefusesInZone,
 }
 
 
-def _dies(program: Any) -> None:
+def _exits(program: Any) -> None:
     sys.exit(7)
 
 
-def _deaf(program: Any) -> None:
-    """Says yes at its door, takes clients' connections, and reads nothing from them."""
+def _reads_nothing(program: Any) -> None:
+    """Reports ready and accepts clients' connections, but reads nothing from them."""
     from heronstall.net.frontend import Frontend
 
     def serve(self: Any, *told: Any) -> Any:
@@ -159,89 +158,89 @@
     Frontend._serve = serve  # type: ignore[method-assign,assignment]
 
 
-def _no_yes(program: Any) -> None:
+def _is_never_ready(program: Any) -> None:
     from heronstall.net.operations import Operations, Reply
 
     Operations.ping = lambda self: Reply(False, "not yet")  # type: ignore[method-assign]
 
 
-def _leaks(program: Any) -> None:
+def _leaks_memory(program: Any) -> None:
     from heronstall.ops.detail import Detail
 
-    held: list[bytes] = []
-    before = Detail.delayed
+    leaked: list[bytes] = []
+    original = Detail.delayed
 
     def delayed(self: Detail, by: int) -> None:
-        held.append(os.urandom(1024) * (LEAK // 1024))
-        before(self, by)
+        leaked.append(os.urandom(1024) * (LEAK // 1024))
+        original(self, by)
 
     Detail.delayed = delayed  # type: ignore[method-assign]
 
 
-def _wastes(program: Any) -> None:
-    """Opens a connection for each attempt."""
+def _reuses_no_connection(program: Any) -> None:
+    """Opens a new connection for each attempt."""
     from heronstall.net.backend import Pool
 
     Pool._reuse = lambda self, server: None  # type: ignore[method-assign]
 
 
-def _writes(program: Any) -> None:
-    """Leaves files of a later version behind, which the old one does not know."""
+def _writes_later_files(program: Any) -> None:
+    """Leaves files of a later version that the old version does not know."""
     from heronstall.ops import handover
 
     handover.VERSION = 2
 
 
-def _later_words(program: Any) -> None:
-    """Says more than is known: a field at the end of each datagram and its rows, and in the list."""
+def _adds_unknown_fields(program: Any) -> None:
+    """Adds unknown fields to each datagram, to its rows and to the list."""
     import ujson
 
     from heronstall.membership.messages import LARGEST, Message
-    from heronstall.membership.messages import pack as real
+    from heronstall.membership.messages import pack as original_pack
     from heronstall.net.peers import hub
 
-    line = hub.Peers.line
+    original_line = hub.Peers.line
 
     def pack(cluster: str, message: Message) -> bytes:
-        told = ujson.loads(real(cluster, message))
-        told = [*told, [], {"later": 1}] if len(told) == 11 else [*told, {"later": 1}]
-        told[5].append("later")
-        for row in told[9]:
+        fields = ujson.loads(original_pack(cluster, message))
+        fields = [*fields, [], {"later": 1}] if len(fields) == 11 else [*fields, {"later": 1}]
+        fields[5].append("later")
+        for row in fields[9]:
             row.append("later")
-        made = ujson.dumps(told, escape_forward_slashes=False).encode()
-        return bytes(made) if len(made) <= LARGEST else real(cluster, message)
+        encoded = ujson.dumps(fields, escape_forward_slashes=False).encode()
+        return bytes(encoded) if len(encoded) <= LARGEST else original_pack(cluster, message)
 
-    def more(self: hub.Peers, whole: bool) -> bytes:
-        told = line(self, whole)
-        if told == b"\n":
-            return told
-        return bytes(ujson.dumps({**ujson.loads(told), "later": [1]}).encode()) + b"\n"
+    def line_with_unknown_field(self: hub.Peers, whole: bool) -> bytes:
+        original = original_line(self, whole)
+        if original == b"\n":
+            return original
+        return bytes(ujson.dumps({**ujson.loads(original), "later": [1]}).encode()) + b"\n"
 
     vars(hub)["pack"] = pack
-    hub.Peers.line = more  # type: ignore[method-assign]
+    hub.Peers.line = line_with_unknown_field  # type: ignore[method-assign]
 
 
-def _other_words(program: Any) -> None:
-    """Speaks another form, which those of this one do not know."""
+def _sends_other_version(program: Any) -> None:
+    """Sends messages of a version that the other dispatchers do not know."""
     from heronstall.membership import messages
 
     vars(messages)["VERSION"] = messages.VERSION + 1
 
 
 PATCHES: dict[str, Callable[[Any], None]] = {
-    "dies": _dies,
-    "deaf": _deaf,
-    "no-yes": _no_yes,
-    "leaks": _leaks,
-    "wastes": _wastes,
-    "writes": _writes,
-    "later-words": _later_words,
-    "other-words": _other_words,
+    "dies": _exits,
+    "deaf": _reads_nothing,
+    "no-yes": _is_never_ready,
+    "leaks": _leaks_memory,
+    "wastes": _reuses_no_connection,
+    "writes": _writes_later_files,
+    "later-words": _adds_unknown_fields,
+    "other-words": _sends_other_version,
 }
 
 
 def main(name: str) -> int:
-    """The real program with a fault."""
+    """Runs the real program with a fault."""
     from heronstall import __main__ as program
     from heronstall.net import dispatcher
 
