--- a/tests/scenes.py
+++ b/tests/scenarios.py
@@ -22,7 +22,7 @@
 RATE = "arrivals: rate_per_s: 40\n"
 
 
-def scene(extra: str = "", rate: str = RATE) -> Scenario:
+def small_scenario(extra: str = "", rate: str = RATE) -> Scenario:
     """Returns the small scenario with the text that a test adds."""
     return scenario(loads(BASE + rate + extra, "test.cue", ("scenario",))[1])
 
--- a/tests/stories.py
+++ b/tests/stories.py
@@ -28,7 +28,7 @@
 from heronstall.lab.run import Run
 from heronstall.lab.supervised import CLI, ROOT, Rollout, SupervisedNodes
 from tests.lab_play import Play, main
-from tests.scenes import scene
+from tests.scenarios import small_scenario
 
 RATE = "arrivals: rate_per_s: 60\nclients: skew: 0.2\n"
 LENGTH = 150 * 1_000_000
@@ -73,7 +73,7 @@
 
     def __init__(self, faults: str = "", limits: dict[str, Any] | None = None) -> None:
         self.work = Path(tempfile.mkdtemp(prefix="heronstall-story-"))
-        made = scene(f"faults: [{faults}]" if faults else "", RATE)
+        made = small_scenario(f"faults: [{faults}]" if faults else "", RATE)
         zones = (Zone("a", 3, 3, 1.0), Zone("b", 3, 3, 1.0))
         kept = functools.partial(SupervisedNodes, keepers=3, limits=limits)
         self.run = Run(replace(made, length=LENGTH, zones=zones), 1, self.work, nodes=kept)
--- a/tests/talks.py
+++ b/tests/talks.py
@@ -29,7 +29,7 @@
 from heronstall.lab.starts import obeyed
 from heronstall.membership.messages import Message, Row, State, pack
 from tests.lab_play import Play, main
-from tests.scenes import scene
+from tests.scenarios import small_scenario
 
 RATE = "arrivals: rate_per_s: 60\nclients: skew: 0.2\ndiscovery: {lists_per_s: 7, places: 8}\n"
 DRAIN = Trouble("release", 0, 6 * SECOND, part=0.3)
@@ -67,7 +67,7 @@
         settings = self.work / "operator.json"
         settings.write_text('{"log": {"format": "logfmt"}}')
         zones = (Zone("a", each, 4, 1.0), Zone("b", each, 4, 1.0))
-        made = replace(scene(more, RATE), length=int(seconds * SECOND), zones=zones)
+        made = replace(small_scenario(more, RATE), length=int(seconds * SECOND), zones=zones)
         self.run = Run(made, 1, self.work, settings=settings, nodes=nodes)
 
     async def __aenter__(self) -> Talk:
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -18,7 +18,7 @@
 from heronstall import events, operator
 from heronstall.cli import main
 from heronstall.logs import formatter
-from tests.scenes import BASE, RATE, SILENT
+from tests.scenarios import BASE, RATE, SILENT
 from tests.test_net import raw_config
 
 ROOT = Path(__file__).resolve().parent.parent
--- a/tests/test_compare.py
+++ b/tests/test_compare.py
@@ -15,7 +15,7 @@
 from heronstall.model.compare import Comparison, State, Wanted
 from heronstall.model.stats import Interval, compare, enough, interval, two_groups, verdict
 from heronstall.records import loads
-from tests.scenes import BASE, RATE
+from tests.scenarios import BASE, RATE
 
 SHORT: dict[str, Any] = {**loads(BASE + RATE, "t", ("scenario",))[1], "seconds": 2}
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -19,7 +19,7 @@
 from heronstall.fleet.spec import SECOND, Scenario
 from heronstall.fleet.streams import Streams, uniforms
 from heronstall.model.kernel import VirtualTime
-from tests.scenes import scene
+from tests.scenarios import small_scenario
 
 MS = 1000
 
@@ -53,7 +53,7 @@
 
 
 def test_jobs_start_in_order_run_at_the_cores_speed_and_the_queue_is_bounded() -> None:
-    bench = Bench(scene("kinds: m: {queue: 2, crowding: 0}"))
+    bench = Bench(small_scenario("kinds: m: {queue: 2, crowding: 0}"))
     server = bench.server()
     for n in range(8):
         bench.offer(server, f"j{n}", 100 * MS)
@@ -67,14 +67,14 @@
 
 
 def test_progress_is_told_each_interval_and_an_error_is_no_result() -> None:
-    bench = Bench(scene("kinds: m: errors: 1"))
+    bench = Bench(small_scenario("kinds: m: errors: 1"))
     bench.offer(bench.server(), "long", 2.5 * SECOND)
     bench.time.run(4 * SECOND)
     assert [said for _, said, _ in bench.words] == ["started", "running", "running", "failed"]
 
 
 def test_waiting_work_of_a_sender_that_has_gone_is_dropped_and_running_work_goes_on() -> None:
-    bench = Bench(scene())
+    bench = Bench(small_scenario())
     server = bench.server()
     jobs = [bench.offer(server, f"j{n}", 100 * MS) for n in range(6)]
     server.drop(jobs[0])
@@ -84,7 +84,7 @@
 
 
 def test_a_server_takes_so_many_new_connections_a_second_and_closes_the_rest() -> None:
-    play = Bench(scene("kinds: m: connects_per_s: 3\n"))
+    play = Bench(small_scenario("kinds: m: connects_per_s: 3\n"))
     server = play.server()
     assert [server.connect() for _ in range(5)] == [True, True, True, False, False]
     play.time.run(SECOND - 1)
@@ -96,7 +96,7 @@
 
 def test_a_silent_server_says_nothing_until_the_trouble_ends_then_its_old_words() -> None:
     for stands in (True, False):
-        bench = Bench(scene())
+        bench = Bench(small_scenario())
         server = bench.server()
         bench.offer(server, "before", 100 * MS)
         bench.time.run(50 * MS)
@@ -111,7 +111,7 @@
 
 
 def test_two_troubles_on_one_server_each_undo_their_own_beginning() -> None:
-    bench = Bench(scene())
+    bench = Bench(small_scenario())
     server = bench.server()
     server.silence(True, True)
     server.silence(True, False)
@@ -129,7 +129,7 @@
 
 
 def test_a_cold_server_warms_up_and_falls_when_pushed_over_but_not_by_one_job() -> None:
-    bench = Bench(scene("kinds: m: {cold_s: 4, cold_from: 0.25}"))
+    bench = Bench(small_scenario("kinds: m: {cold_s: 4, cold_from: 0.25}"))
     server, fell = bench.server(), []
     server.on_change.append(lambda s, change: fell.append((change, dict(s.pushers()))))
     bench.time.run(10 * SECOND)
@@ -150,7 +150,7 @@
 
 
 def test_a_drain_hands_back_what_waits_finishes_what_runs_and_takes_nothing() -> None:
-    bench = Bench(scene())
+    bench = Bench(small_scenario())
     server = bench.server()
     for n in range(6):
         bench.offer(server, f"j{n}", 100 * MS)
@@ -163,7 +163,7 @@
 
 
 def test_reports_are_refreshed_now_and_then_and_may_be_late() -> None:
-    bench = Bench(scene("reports: {every_ms: 1000, noise: 0}"))
+    bench = Bench(small_scenario("reports: {every_ms: 1000, noise: 0}"))
     server = bench.server()
     assert server.report() is None  # nothing measured yet
     bench.time.run(1500 * MS)
@@ -181,7 +181,7 @@
 
 
 def test_keyed_repeats_have_one_effect_in_a_zone_and_window() -> None:
-    bench = Bench(scene())
+    bench = Bench(small_scenario())
     for number, id in ((0, "a"), (1, "b"), (2, "c")):  # servers 0 and 1 stand in one zone, 2 in the other
         bench.offer(bench.server(number), id, 10 * MS, key="k")
         bench.time.run(bench.time.now + SECOND)
@@ -190,7 +190,7 @@
 
 
 def test_a_vanished_server_is_noticed_late_and_a_dead_one_soon() -> None:
-    bench = Bench(scene("discovery: blind_s: 5"))
+    bench = Bench(small_scenario("discovery: blind_s: 5"))
     told: list[tuple[int, int, str]] = []
     roster = bench.fleet.roster
     roster.on_told.append(
@@ -220,7 +220,7 @@
 
 
 def test_ways_take_their_time_and_a_cut_zone_is_reached_by_nobody_but_itself() -> None:
-    bench = Bench(scene("links: {within_ms: 1, between_ms: [10, 20], jitter: 0}"))
+    bench = Bench(small_scenario("links: {within_ms: 1, between_ms: [10, 20], jitter: 0}"))
     ways = bench.fleet.ways
     healed: list[int] = []
     ways.on_heal.append(healed.append)
@@ -249,7 +249,7 @@
 def test_whatever_befalls_a_server_each_job_has_one_last_word_and_no_work_comes_from_nowhere(
     steps: list[tuple[str, float]],
 ) -> None:
-    bench = Bench(scene("kinds: m: {queue: 3, cold_s: 1, cold_from: 0.5}"))
+    bench = Bench(small_scenario("kinds: m: {queue: 3, cold_s: 1, cold_from: 0.5}"))
     server, jobs = bench.server(), []
     silences: list[bool] = []
     for n, (what, size) in enumerate(steps):
@@ -291,7 +291,9 @@
 @settings(max_examples=20, deadline=None, derandomize=True)
 @given(st.integers(0, 2**32), st.floats(20, 200), st.sampled_from([1.0, 3.0]))
 def test_traffic_keeps_its_rate_its_shares_and_its_order(seed: int, rate: float, bursts: float) -> None:
-    plan = Plan(scene("", f"seconds: 8\narrivals: {{rate_per_s: {rate:.2f}, bursts: {bursts}}}\n"), seed)
+    plan = Plan(
+        small_scenario("", f"seconds: 8\narrivals: {{rate_per_s: {rate:.2f}, bursts: {bursts}}}\n"), seed
+    )
     rows = plan.requests
     assert all(a.at <= later.at for a, later in zip(rows, rows[1:], strict=False))
     spread = bursts * np.sqrt(8 * rate)
@@ -302,20 +304,20 @@
 
 def test_a_surge_and_a_wave_move_the_rate_and_heavy_tails_the_work() -> None:
     surge = Plan(
-        scene('arrivals: shape: [{kind: "surge", at_s: 4, for_s: 2, times: 5, ramp_s: 0}]'), 3
+        small_scenario('arrivals: shape: [{kind: "surge", at_s: 4, for_s: 2, times: 5, ramp_s: 0}]'), 3
     ).requests
     before = sum(r.at < 4 * SECOND for r in surge) / 4
     during = sum(4 * SECOND <= r.at < 6 * SECOND for r in surge) / 2
     assert 3.5 < during / before < 6.5
     heavy = 'troubles: [{kind: "heavy-tail", at_s: 0, for_s: 8, class: "keyed", share: 0.5, times: 10}]'
-    plain, struck = Plan(scene(), 3).requests, Plan(scene(heavy), 3).requests
+    plain, struck = Plan(small_scenario(), 3).requests, Plan(small_scenario(heavy), 3).requests
     ratios = {round(b.work / a.work) for a, b in zip(plain, struck, strict=True) if a.cls == 0}
     assert ratios == {1, 10}
     assert all(a.work == b.work for a, b in zip(plain, struck, strict=True) if a.cls == 1)
 
 
 def test_a_tenant_beyond_its_share_is_worth_less() -> None:
-    flood = scene("tenants: {x: traffic: 0.1, y: traffic: 0.9}", "arrivals: rate_per_s: 120\n")
+    flood = small_scenario("tenants: {x: traffic: 0.1, y: traffic: 0.9}", "arrivals: rate_per_s: 120\n")
     rows = Plan(flood, 1).requests
     beyond = [r for r in rows if not r.within]
     assert len(beyond) > 100 and {r.tenant for r in beyond} == {1}
@@ -323,7 +325,7 @@
 
 
 def test_clients_retry_only_what_is_harmless_and_wait_out_retry_after() -> None:
-    scenario = scene("clients: wait_s: 0.1")
+    scenario = small_scenario("clients: wait_s: 0.1")
     plan = Plan(scenario, 1)
     callers = Callers(scenario, plan.streams)
     request = next(r for r in plan.requests if scenario.classes[r.cls].effect == "unsafe")
@@ -341,7 +343,7 @@
 
 
 def test_the_front_keeps_to_the_zone_while_anyone_there_is_known_up() -> None:
-    scenario = scene("zones: a: dispatchers: 1")
+    scenario = small_scenario("zones: a: dispatchers: 1")
     front = Front(scenario, Streams(1))
     assert front.pick(0, 0.5) == 0 and front.pick(1, 0.5) == 1
     front.known_up[0] = False
@@ -361,7 +363,7 @@
 
 
 def story(*crossings: b.Crossing, cls: str = "unsafe", shared: bool = False) -> list[str]:
-    scenario = scene("rules: grace_ms: 20")
+    scenario = small_scenario("rules: grace_ms: 20")
     number = [c.name for c in scenario.classes].index(cls)
     taken = b.Taken(0, 0, "r", number, 3 * SECOND)
     found = Audit(scenario, [0, 0, 1, 1], shared=shared).run([taken, *crossings], 100 * SECOND)
@@ -442,7 +444,7 @@
 
 
 def test_the_score_weighs_worth_in_time_and_takes_prices_off() -> None:
-    scenario = scene("warm_s: 0")
+    scenario = small_scenario("warm_s: 0")
     rows = Plan(scenario, 1).requests
     fates = [Fate(r, r.aim_at, 0, r.aim_at, "served", 1) for r in rows]
     best = score(scenario, fates, Costs(100.0, 100.0, len(rows), 0, 0))
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -21,7 +21,7 @@
 from heronstall.lab.clock import RealTime, monotonic
 from heronstall.lab.connection import ServerConnection
 from heronstall.lab.listener import Listener
-from tests.scenes import BASE, FAULTS, RATE, scene
+from tests.scenarios import BASE, FAULTS, RATE, small_scenario
 
 QUICK = "arrivals: rate_per_s: 20\n"
 
@@ -76,7 +76,7 @@
 
 
 def test_more_pairs_than_descriptors_is_told_before_anything_starts() -> None:
-    large = scene("zones: c: {dispatchers: 1000, servers: 10000}")
+    large = small_scenario("zones: c: {dispatchers: 1000, servers: 10000}")
     with (
         mock.patch("resource.getrlimit", return_value=(1024, 4096)),
         mock.patch("resource.setrlimit"),
@@ -88,7 +88,7 @@
 
 
 def test_a_machine_too_slow_for_the_load_gives_no_verdict() -> None:
-    short = replace(scene("", QUICK), length=1_000_000)
+    short = replace(small_scenario("", QUICK), length=1_000_000)
     with mock.patch.object(lab_run, "LATE_P99", 0.0):
         record = lab_run.play(short, 1)
     assert record["verdict"].startswith("none: ") and "ran late" in record["verdict"]
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -18,7 +18,7 @@
 from heronstall.model.kernel import VirtualTime
 from heronstall.model.run import Node, Run
 from tests.plants import PLANTS
-from tests.scenes import FAULTS, scene
+from tests.scenarios import FAULTS, small_scenario
 
 TROUBLES = {
     "silent": '{kind: "silent", at_s: 2, for_s: 3, part: 0.25}',
@@ -50,16 +50,16 @@
 
 @pytest.mark.parametrize("name", TROUBLES)
 def test_every_trouble_is_played_with_all_rules_kept_and_each_request_accounted_for(name: str) -> None:
-    record = play(scene(f"troubles: [{TROUBLES[name]}]"))
+    record = play(small_scenario(f"troubles: [{TROUBLES[name]}]"))
     assert record["rules_broken"] == []
     assert record["served"] + record["refused"] + record["failed"] == record["requests"]
     assert 0.0 < record["service"] <= 1.0
 
 
 def test_a_trouble_shows_and_a_calm_run_loses_nothing() -> None:
-    calm = play(scene())
+    calm = play(small_scenario())
     assert (calm["refused"], calm["failed"], calm["rules_broken"]) == (0, 0, [])
-    silent = play(scene('troubles: [{kind: "silent", at_s: 2, for_s: 4, part: 0.5}]'))
+    silent = play(small_scenario('troubles: [{kind: "silent", at_s: 2, for_s: 4, part: 0.5}]'))
     assert silent["service"] < calm["service"] - 0.05
 
 
@@ -87,7 +87,7 @@
 
 
 def test_another_rate_leaves_the_nth_jobs_draws_alone() -> None:
-    slow, fast = Plan(scene(), 5), Plan(scene("", "arrivals: rate_per_s: 80\n"), 5)
+    slow, fast = Plan(small_scenario(), 5), Plan(small_scenario("", "arrivals: rate_per_s: 80\n"), 5)
     for a, b in zip(slow.requests, fast.requests, strict=False):
         assert (a.cls, a.tenant, a.work, a.front) == (b.cls, b.tenant, b.work, b.front)
     assert slow.requests[50].at > fast.requests[50].at
@@ -101,11 +101,11 @@
             patches.enter_context(mock.patch.object(wire, "OFF_MARGIN", -(10**12)))
         if name == "mute":
             patches.enter_context(mock.patch.object(Node, "_too_late", lambda self, tried: None))
-        record = play(scene(more, rate), decisions=PLANTS[name])
+        record = play(small_scenario(more, rate), decisions=PLANTS[name])
     broken = {row["rule"] for row in record["rules_broken"]}
     assert broken == {rule}
     assert record["rules_broken"][0]["evidence"] or rule == "cold"
-    assert play(scene(more, rate))["rules_broken"] == []  # the same day with the real module
+    assert play(small_scenario(more, rate))["rules_broken"] == []  # the same day with the real module
 
 
 def test_calls_come_in_order_of_time_and_asking_and_cancelled_ones_never() -> None:
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -16,7 +16,7 @@
 from heronstall.records import RecordsError, loads
 from heronstall.records.syntax import Place
 from heronstall.records.values import Any_, Atom, Choice, Field, ListOf, Scalar, Struct, Unifier, Value
-from tests.scenes import BASE, RATE
+from tests.scenarios import BASE, RATE
 
 GOOD = BASE + RATE
 ROOT = Path(__file__).resolve().parent.parent
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -28,7 +28,7 @@
 from heronstall.rollout.journal import JournalError, Record, pack, unpack
 from heronstall.rollout.plan import Home, Plan, PlanError, moves, plan, stages
 from heronstall.rollout.state import State
-from tests.scenes import scene
+from tests.scenarios import small_scenario
 
 SECOND = 1_000_000
 PLAN = """package rollout
@@ -55,7 +55,7 @@
 @cache
 def told(*troubles: Trouble) -> Evening:
     zones = (Zone("a", 6, 8, 1.0), Zone("b", 6, 8, 1.0))
-    made = scene("clients: skew: 0.4\n", "arrivals: rate_per_s: 100\n")
+    made = small_scenario("clients: skew: 0.4\n", "arrivals: rate_per_s: 100\n")
     return evening(replace(made, zones=zones, length=170 * SECOND, troubles=troubles), 3)
 
 
--- a/tests/test_validate.py
+++ b/tests/test_validate.py
@@ -17,7 +17,7 @@
 from heronstall.model.signals import Listener, Signals
 from heronstall.model.validate import agreement
 from heronstall.trace.records import Item
-from tests.scenes import BASE, RATE, scene
+from tests.scenarios import BASE, RATE, small_scenario
 
 MS = 1000
 
@@ -72,8 +72,8 @@
 
 
 def test_servers_that_are_too_fast_show_in_the_models_own_run_times() -> None:
-    honest, record = signals_of_model(scene(), 1)
-    fast, _ = signals_of_model(scene("kinds: m: errors: 0".replace("errors: 0", "crowding: 0.5")), 1)
+    honest, record = signals_of_model(small_scenario(), 1)
+    fast, _ = signals_of_model(small_scenario("kinds: m: errors: 0".replace("errors: 0", "crowding: 0.5")), 1)
     assert honest.served == record["served"] and len(honest.run_ratio) == 4
     medians = [float(np.median([x for row in s.run_ratio.values() for x in row])) for s in (honest, fast)]
     assert medians[1] >= medians[0]
