--- a/tests/losses.py
+++ b/tests/losses.py
@@ -45,7 +45,7 @@
 OWN = 150  # jobs from here on are never handed in by the run's own clients, who stop before
 
 
-def small_scenario(work: int = 600, more: str = "", rate: int = 4, seconds: int = 120) -> Scenario:
+def scene(work: int = 600, more: str = "", rate: int = 4, seconds: int = 120) -> Scenario:
     """Three dispatchers, one a zone, and six servers."""
     text = SCENE % {"work": work, "rate": rate, "seconds": seconds} + more
     return scenario(loads(text, "losses.cue", ("scenario",))[1])
@@ -68,7 +68,7 @@
             # Long enough for a machine that is late: what is served without witnesses is no story's subject.
             told["takeover"] = {"witnesses": [["n0"], ["n1"], ["n2"]], "wait_ms": 1500, **more}
         settings.write_text(json.dumps(told))
-        self.run = Run(made or small_scenario(), 1, self.work, settings=settings, nodes=nodes)
+        self.run = Run(made or scene(), 1, self.work, settings=settings, nodes=nodes)
         self._grown = takeover
 
     async def __aenter__(self) -> Loss:
@@ -160,7 +160,7 @@
 
 def narrow() -> Scenario:
     """No server takes a connection of the first dispatcher's from the sixth second on: its jobs wait."""
-    return small_scenario(
+    return scene(
         400, 'faults: [{link: "n0>s*", do: "refuse", at_s: 6}, {link: "n0>s*", do: "reset", at_s: 6}]\n'
     )
 
