--- a/heronstall/dataplane/admission.py
+++ b/heronstall/dataplane/admission.py
@@ -6,7 +6,7 @@
 import time
 from collections.abc import Callable
 
-from heronstall.dataplane.draw import WorkerDraw
+from heronstall.dataplane.worker_selection import WorkerDraw
 from heronstall.dataplane.item_places import ItemPlaces
 from heronstall.dataplane.pace import UsualPace
 from heronstall.dataplane.prefixes import SharedPrefix
--- a/tests/tier/test_draw_of_many.py
+++ b/tests/tier/test_draw_of_many.py
@@ -6,7 +6,7 @@
 import unittest
 from collections import Counter
 
-from heronstall.dataplane import draw
+from heronstall.dataplane import worker_selection
 from heronstall.dataplane.admission import Admission
 from heronstall.dataplane.prefixes import NOTHING, SharedPrefix, shared_prefix
 from heronstall.dataplane.subset import LEAST, Seat
