--- a/heronstall/dataplane/admission.py
+++ b/heronstall/dataplane/admission.py
@@ -8,7 +8,7 @@
 
 from heronstall.dataplane.worker_selection import WorkerDraw
 from heronstall.dataplane.item_places import ItemPlaces
-from heronstall.dataplane.pace import UsualPace
+from heronstall.dataplane.worker_latency import UsualPace
 from heronstall.dataplane.prefixes import SharedPrefix
 from heronstall.dataplane.routing import Route
 from heronstall.dataplane.workers import WorkerPool, WorkerState
--- a/heronstall/dataplane/workers.py
+++ b/heronstall/dataplane/workers.py
@@ -13,7 +13,7 @@
 
 from heronstall.dataplane.attempts import Attempt, Attempts, LoadView
 from heronstall.dataplane.connections import FreshestFirst, RestLimit
-from heronstall.dataplane.pace import Pace
+from heronstall.dataplane.worker_latency import Pace
 from heronstall.dataplane.subset import Seat, Share, ring, shares
 from heronstall.placement.reading import affinity
 from heronstall.sessions.loads import WorkerLoad
--- a/tests/tier/test_connections.py
+++ b/tests/tier/test_connections.py
@@ -10,7 +10,7 @@
 from unittest import mock
 
 from heronstall.dataplane.connections import FIRST_REST, LEAST_REST, FreshestFirst, RestLimit
-from heronstall.dataplane.pace import FORGET_HALF, Pace, UsualPace
+from heronstall.dataplane.worker_latency import FORGET_HALF, Pace, UsualPace
 
 
 class Rests(unittest.TestCase):
