--- a/heronstall/dataplane/forwarding.py
+++ b/heronstall/dataplane/forwarding.py
@@ -19,7 +19,7 @@
 from heronstall.dataplane.events import EventReader
 from heronstall.dataplane.framing import is_framed
 from heronstall.dataplane.misses import EndedRequest, MissLog, RequestTimes
-from heronstall.dataplane.placing import PlacedPrompt, PromptPlacer
+from heronstall.dataplane.prompt_placement import PlacedPrompt, PromptPlacer
 from heronstall.dataplane.prefixes import TOKEN_DIGITS, SharedPrefix, shared_prefix
 from heronstall.dataplane.routing import Route, RouteType
 from heronstall.dataplane.workers import UnsendablePath, WorkerPool, WorkerState, note_attempt
--- a/heronstall/dataplane/node.py
+++ b/heronstall/dataplane/node.py
@@ -17,7 +17,7 @@
 from heronstall.dataplane.forwarding import Forwarder
 from heronstall.dataplane.ingress import Ingress
 from heronstall.dataplane.misses import MissLog
-from heronstall.dataplane.placing import PromptPlacer
+from heronstall.dataplane.prompt_placement import PromptPlacer
 from heronstall.dataplane.routing import read_routes
 from heronstall.dataplane.shard_client import ShardClient
 from heronstall.dataplane.subset import Seat
--- a/tests/tier/test_reading_plan.py
+++ b/tests/tier/test_reading_plan.py
@@ -8,7 +8,7 @@
 from unittest import mock
 
 from heronstall.controlplane.planning import SERVICES_MOST, ReadingPlans
-from heronstall.dataplane.placing import LEFT_OUT, PART_BYTES, PlacedPrompt, PromptPlacer
+from heronstall.dataplane.prompt_placement import LEFT_OUT, PART_BYTES, PlacedPrompt, PromptPlacer
 from heronstall.dataplane.prefixes import NOTHING, shared_prefix
 from heronstall.distribution.view import View
 from heronstall.placement.reading import (
