--- a/heronstall/dataplane/admission.py
+++ b/heronstall/dataplane/admission.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from heronstall.dataplane.worker_selection import WorkerDraw
-from heronstall.dataplane.item_places import ItemPlaces
+from heronstall.dataplane.item_slots import ItemPlaces
 from heronstall.dataplane.worker_latency import UsualPace
 from heronstall.dataplane.prefixes import SharedPrefix
 from heronstall.dataplane.routing import Route
--- a/tests/tier/test_item_places.py
+++ b/tests/tier/test_item_places.py
@@ -7,7 +7,7 @@
 from collections import Counter, defaultdict
 
 from heronstall.dataplane.admission import Admission
-from heronstall.dataplane.item_places import FIRST_PLACES, TOLD_FOR
+from heronstall.dataplane.item_slots import FIRST_PLACES, TOLD_FOR
 from heronstall.dataplane.prefixes import NOTHING
 from heronstall.dataplane.subset import Seat, Share, ring, shares
 from heronstall.dataplane.workers import WorkerPool
