--- a/benchmarks/draw_cost.py
+++ b/benchmarks/draw_cost.py
@@ -18,7 +18,7 @@
 from heronstall.dataplane.prefixes import NOTHING, shared_prefix
 from heronstall.dataplane.subset import Seat
 from heronstall.dataplane.workers import WorkerPool
-from heronstall.placement.reading import Load, Prompt, ReadingPlanner
+from heronstall.placement.prefill import Load, Prompt, ReadingPlanner
 from heronstall.transport.messages import Worker
 
 RUNS = 10
--- a/heronstall/controlplane/planning.py
+++ b/heronstall/controlplane/planning.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable, Mapping, Sequence
 
-from heronstall.placement.reading import Load, Prompt, ReadingPlanner
+from heronstall.placement.prefill import Load, Prompt, ReadingPlanner
 from heronstall.sessions.table import Sessions
 from heronstall.transport.frames import Status
 from heronstall.transport.links import Reply
--- a/heronstall/dataplane/worker_selection.py
+++ b/heronstall/dataplane/worker_selection.py
@@ -14,7 +14,7 @@
 from heronstall.dataplane.prefixes import SharedPrefix
 from heronstall.dataplane.subset import preferred
 from heronstall.dataplane.workers import WITNESSES, WorkerPool, WorkerState
-from heronstall.placement.reading import affinity
+from heronstall.placement.prefill import affinity
 
 # Power of the inverse of one plus own work at a worker: own work is known at once, the others' is not.
 OWN_POWER = 3
--- a/heronstall/dataplane/workers.py
+++ b/heronstall/dataplane/workers.py
@@ -15,7 +15,7 @@
 from heronstall.dataplane.connections import FreshestFirst, RestLimit
 from heronstall.dataplane.worker_latency import Pace
 from heronstall.dataplane.subset import Seat, Share, ring, shares
-from heronstall.placement.reading import affinity
+from heronstall.placement.prefill import affinity
 from heronstall.sessions.loads import WorkerLoad
 from heronstall.transport.messages import Worker as Entry
 
--- a/heronstall/model/serving/fleet.py
+++ b/heronstall/model/serving/fleet.py
@@ -23,7 +23,7 @@
 from heronstall.model.kernel import VirtualTime
 from heronstall.model.serving.engine import MICROSECONDS, Engine, EngineRequest, PromptPart
 from heronstall.model.serving.load import Deployment, Draws, RequestKind
-from heronstall.placement.reading import Load, Prompt, ReadingPlanner
+from heronstall.placement.prefill import Load, Prompt, ReadingPlanner
 from heronstall.sessions.loads import pack
 from heronstall.sessions.table import Sessions
 from heronstall.transport.messages import Session, Worker
--- a/tests/tier/test_dataplane.py
+++ b/tests/tier/test_dataplane.py
@@ -27,7 +27,7 @@
 from heronstall.dataplane.routing import Routes, RouteType, read_routes
 from heronstall.dataplane.subset import IDLE, LEAST, Seat, preferred, ring
 from heronstall.dataplane.workers import UnsendablePath, WorkerPool, WorkerState
-from heronstall.placement.reading import affinity
+from heronstall.placement.prefill import affinity
 from heronstall.sessions.loads import WorkerLoad
 from heronstall.transport.frames import Frame, FrameError, FrameReader, Kind, Status, encode
 from heronstall.transport.links import Reply
--- a/tests/tier/test_draw_of_many.py
+++ b/tests/tier/test_draw_of_many.py
@@ -11,7 +11,7 @@
 from heronstall.dataplane.prefixes import NOTHING, SharedPrefix, shared_prefix
 from heronstall.dataplane.subset import LEAST, Seat
 from heronstall.dataplane.workers import HOMES_KEPT, WorkerPool
-from heronstall.placement.reading import affinity
+from heronstall.placement.prefill import affinity
 from heronstall.transport.messages import Worker
 
 SERVICE = "s"
--- a/tests/tier/test_reading_plan.py
+++ b/tests/tier/test_reading_plan.py
@@ -11,7 +11,7 @@
 from heronstall.dataplane.prompt_placement import LEFT_OUT, PART_BYTES, PlacedPrompt, PromptPlacer
 from heronstall.dataplane.prefixes import NOTHING, shared_prefix
 from heronstall.distribution.view import View
-from heronstall.placement.reading import (
+from heronstall.placement.prefill import (
     HELD_FOR,
     LOOKED_AT,
     PARTS_MOST,
