--- a/benchmarks/draw_cost.py
+++ b/benchmarks/draw_cost.py
@@ -15,10 +15,10 @@
 from collections.abc import Callable, Sequence
 
 from heronstall.dataplane.admission import Admission
-from heronstall.dataplane.prefixes import NOTHING, shared_prefix
+from heronstall.dataplane.prefixes import NO_SHARED_PREFIX, parse_shared_prefix
 from heronstall.dataplane.subset import Seat
 from heronstall.dataplane.workers import WorkerPool
-from heronstall.placement.prefill import Load, Prompt, ReadingPlanner
+from heronstall.placement.prefill import Load, PrefillPlanner, Prompt
 from heronstall.transport.messages import Worker
 
 RUNS = 10
@@ -56,15 +56,17 @@
 
 def measured(workers: int, rounds: int) -> dict[str, list[float]]:
     """All figures at a number of workers."""
-    admission, planner = dispatcher(workers), ReadingPlanner()
+    admission, planner = dispatcher(workers), PrefillPlanner()
     names = [f"i-{k:010x}" for k in range(workers)]
-    prefix = shared_prefix("5c1e07a2:13000,91bd3f06:410,e4402b7d:250")
+    prefix = parse_shared_prefix("5c1e07a2:13000,91bd3f06:410,e4402b7d:250")
 
     def load(worker: str) -> Load:
         return Load(6, PLACES)
 
     return {
-        "draw, small prompt": microseconds(lambda _: admission.pick(SERVICE, NOTHING, set()), rounds),
+        "draw, small prompt": microseconds(
+            lambda _: admission.pick(SERVICE, NO_SHARED_PREFIX, set()), rounds
+        ),
         "draw, large prompt": microseconds(lambda _: admission.pick(SERVICE, prefix, set()), rounds),
         "planner, large prompt": microseconds(
             lambda n: planner.place(n * 0.02, Prompt(f"p{n % 800}", 13_000, 3_700), names, load), rounds
--- a/heronstall/controlplane/planning.py
+++ b/heronstall/controlplane/planning.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable, Mapping, Sequence
 
-from heronstall.placement.prefill import Load, Prompt, ReadingPlanner
+from heronstall.placement.prefill import Load, PrefillPlanner, Prompt
 from heronstall.sessions.table import Sessions
 from heronstall.transport.frames import Status
 from heronstall.transport.links import Reply
@@ -19,12 +19,12 @@
 
     def __init__(self, sessions: Sessions, clock: Callable[[], float]) -> None:
         self._sessions, self._clock = sessions, clock
-        self._planners: dict[str, ReadingPlanner] = {}
+        self._planners: dict[str, PrefillPlanner] = {}
 
     def answer(self, request: PlaceRequest, workers: Mapping[str, Worker]) -> Reply:
         """Place a prompt at one of a registry shard's workers."""
         planner = self._planner(request.service)
-        planner.heard(request.read_tokens, request.read_ms / MILLISECONDS)
+        planner.record_prefill(request.read_tokens, request.read_ms / MILLISECONDS)
         ready = self._ready(request.service, workers)
 
         def load(worker: str) -> Load:
@@ -36,12 +36,12 @@
             return Reply(Status.UNKNOWN)
         return Reply(Status.OK, bytes(PlaceReply(placed.worker, placed.tokens)))
 
-    def _planner(self, service: str) -> ReadingPlanner:
+    def _planner(self, service: str) -> PrefillPlanner:
         planner = self._planners.get(service)
         if planner is None:
             if len(self._planners) >= SERVICES_MOST:
                 self._planners.pop(next(iter(self._planners)))
-            planner = self._planners[service] = ReadingPlanner()
+            planner = self._planners[service] = PrefillPlanner()
         return planner
 
     @staticmethod
--- a/heronstall/dataplane/admission.py
+++ b/heronstall/dataplane/admission.py
@@ -6,11 +6,11 @@
 import time
 from collections.abc import Callable
 
-from heronstall.dataplane.worker_selection import WorkerDraw
 from heronstall.dataplane.item_slots import ItemPlaces
-from heronstall.dataplane.worker_latency import UsualPace
 from heronstall.dataplane.prefixes import SharedPrefix
 from heronstall.dataplane.routing import Route
+from heronstall.dataplane.worker_latency import UsualPace
+from heronstall.dataplane.worker_selection import WorkerDraw
 from heronstall.dataplane.workers import WorkerPool, WorkerState
 
 AVOID_FIRST = 0.3  # seconds that a worker is left alone after a failure; doubled by each further one
@@ -88,7 +88,7 @@
         """A service of a route, drawn by its weights."""
         return route.service(self._random)
 
-    def first_event(self, worker: WorkerState, tokens: int, seconds: float) -> None:
+    def record_first_event(self, worker: WorkerState, tokens: int, seconds: float) -> None:
         """A worker's first event has come so long after a request with such a prompt was sent."""
         self._usual.answered(worker.pace, worker.entry.service, tokens, seconds, self._clock())
 
--- a/heronstall/dataplane/batch_runner.py
+++ b/heronstall/dataplane/batch_runner.py
@@ -21,7 +21,7 @@
 from heronstall.dataplane.forwarding import LAST_EVENT, PREFIX, REQUEST_ID, TARGET
 from heronstall.dataplane.framing import is_framed
 from heronstall.dataplane.misses import EndedItem, MissLog
-from heronstall.dataplane.prefixes import SharedPrefix, shared_prefix
+from heronstall.dataplane.prefixes import SharedPrefix, parse_shared_prefix
 from heronstall.dataplane.routing import Route, Routes, RouteType
 from heronstall.dataplane.shard_client import ShardClient
 from heronstall.dataplane.workers import UnsendablePath, WorkerState, note_attempt
@@ -417,7 +417,7 @@
 
 def _prefix(request: BatchItem) -> SharedPrefix:
     value = next((h.value for h in request.headers if h.name.lower() == PREFIX.lower()), "")
-    return shared_prefix(value)
+    return parse_shared_prefix(value)
 
 
 def _headers(item: Running, worker: WorkerState) -> CIMultiDict[str]:
--- a/heronstall/dataplane/forwarding.py
+++ b/heronstall/dataplane/forwarding.py
@@ -19,8 +19,8 @@
 from heronstall.dataplane.events import EventReader
 from heronstall.dataplane.framing import is_framed
 from heronstall.dataplane.misses import EndedRequest, MissLog, RequestTimes
+from heronstall.dataplane.prefixes import MAX_TOKEN_DIGITS, SharedPrefix, parse_shared_prefix
 from heronstall.dataplane.prompt_placement import PlacedPrompt, PromptPlacer
-from heronstall.dataplane.prefixes import TOKEN_DIGITS, SharedPrefix, shared_prefix
 from heronstall.dataplane.routing import Route, RouteType
 from heronstall.dataplane.workers import UnsendablePath, WorkerPool, WorkerState, note_attempt
 
@@ -93,7 +93,7 @@
     @cached_property
     def prefix(self) -> SharedPrefix:
         """The shared parts of its prompt."""
-        return shared_prefix(self.request.headers.get(PREFIX, ""))
+        return parse_shared_prefix(self.request.headers.get(PREFIX, ""))
 
     @cached_property
     def prompt_tokens(self) -> int:
@@ -124,7 +124,7 @@
 def _tokens(text: str) -> int:
     """A count of tokens; 0 for what is none."""
     digits = text.strip()
-    return int(digits) if digits.isdecimal() and len(digits) <= TOKEN_DIGITS else 0
+    return int(digits) if digits.isdecimal() and len(digits) <= MAX_TOKEN_DIGITS else 0
 
 
 class PassedResponse(web.StreamResponse):
@@ -351,9 +351,9 @@
         assert passage.attempt is not None
         if first:
             seconds = worker.attempts.first_heard(passage.attempt)
-            self._admission.first_event(worker, passage.prefix.tokens, seconds)
+            self._admission.record_first_event(worker, passage.prefix.tokens, seconds)
             if self._placer is not None and passage.placed is not None and not passage.tried:
-                self._placer.first_event(passage.service, passage.placed, seconds)
+                self._placer.record_first_event(passage.service, passage.placed, seconds)
         else:
             worker.attempts.heard(passage.attempt)
 
--- a/heronstall/dataplane/prefixes.py
+++ b/heronstall/dataplane/prefixes.py
@@ -1,38 +1,42 @@
-"""The shared parts of a prompt."""
+"""Parses the header that names the shared segments of a prompt."""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-TOKEN_DIGITS = 9  # of a number of tokens, at the most
-LARGE = 1500  # shared tokens from which reading them again costs more than an uneven load
+MAX_TOKEN_DIGITS = 9  # in a number of tokens
+# From this size on, prefilling the shared tokens again costs more than an uneven load.
+LARGE_PREFIX_TOKENS = 1500
 
 
 class SharedPrefix(NamedTuple):
-    """The largest shared part of a prompt, and the tokens of all shared parts."""
+    """The largest shared segment of a prompt, and the tokens of all its shared segments."""
 
-    part: str
+    segment: str
     tokens: int
-    largest: int = 0  # tokens of that part
+    segment_tokens: int = 0
 
     @property
     def is_large(self) -> bool:
-        """Whether it matters where a prompt with such shared parts is read."""
-        return self.tokens >= LARGE
+        """Whether it matters which worker prefills a prompt with these shared segments."""
+        return self.tokens >= LARGE_PREFIX_TOKENS
 
 
-NOTHING = SharedPrefix("", 0)
+NO_SHARED_PREFIX = SharedPrefix("", 0)
 
 
-def shared_prefix(header: str) -> SharedPrefix:
-    """Read `ID:TOKENS,...`; the last part is the request's own. What can't be read shares nothing."""
-    largest, most, total = "", 0, 0
-    for part in header.split(",")[:-1]:
-        name, _, size = part.strip().partition(":")
-        if not size.isdecimal() or len(size) > TOKEN_DIGITS:
-            return NOTHING
+def parse_shared_prefix(header: str) -> SharedPrefix:
+    """Parses `ID:TOKENS,...`, whose last segment is the request's own.
+
+    Returns NO_SHARED_PREFIX for a malformed header.
+    """
+    largest, largest_tokens, total = "", 0, 0
+    for segment in header.split(",")[:-1]:
+        name, _, size = segment.strip().partition(":")
+        if not size.isdecimal() or len(size) > MAX_TOKEN_DIGITS:
+            return NO_SHARED_PREFIX
         tokens = int(size)
         total += tokens
-        if tokens > most:
-            largest, most = name, tokens
-    return SharedPrefix(largest, total, most)
+        if tokens > largest_tokens:
+            largest, largest_tokens = name, tokens
+    return SharedPrefix(largest, total, largest_tokens)
--- a/heronstall/dataplane/prompt_placement.py
+++ b/heronstall/dataplane/prompt_placement.py
@@ -1,7 +1,7 @@
-"""Asks a core node where a large prompt is to be read, so that no two are read at one worker at a time.
+"""Asks a core node which worker should prefill a large prompt, so that no worker prefills two at a time.
 
-All dispatchers ask the same node for a service. Its word is advice: without an answer at once, or where the
-worker cannot be used from here, the request goes where a draw sends it.
+All dispatchers ask the same node for a service. Its reply is advisory: without an immediate reply, or if the
+worker cannot be used from here, the request goes to a worker that this dispatcher selects itself.
 """
 
 from __future__ import annotations
@@ -17,43 +17,44 @@
 from heronstall.transport.links import Links
 from heronstall.transport.messages import PlaceReply, PlaceRequest
 
-ANSWER_WITHIN = 0.03  # seconds
-LEFT_OUT = 3.0  # seconds for which a node that gave no answer is not asked
+REPLY_TIMEOUT_S = 0.03
+NODE_RETRY_DELAY_S = 3.0  # during which a node that failed to reply is not asked again
 MILLISECONDS = 1000
-PART_BYTES = 64  # of a shared part's name that are told
+MAX_SEGMENT_NAME_LENGTH = 64  # longer names are truncated in requests
 
 
 @dataclass(frozen=True)
 class PlacedPrompt:
-    """A planner's answer: a worker, and the tokens that are to be read there."""
+    """A planner's reply: a worker, and the number of tokens that it has to prefill."""
 
     worker: str
     tokens: int
 
 
 class PromptPlacer:
-    """Where this dispatcher's large prompts go."""
+    """Requests placements for this dispatcher's large prompts."""
 
     def __init__(self, links: Links, view: View, clock: Callable[[], float] = time.monotonic) -> None:
         self._links, self._view, self._clock = links, view, clock
         self._failed_at: dict[str, float] = {}
-        self._heard: dict[str, tuple[int, float]] = {}  # by service: tokens read, seconds to the first event
+        # By service: tokens prefilled and seconds to the first event, reported with the next request.
+        self._measurements: dict[str, tuple[int, float]] = {}
 
     async def place(self, service: str, prefix: SharedPrefix, prompt_tokens: int) -> PlacedPrompt | None:
-        """Where a prompt is to be read; None where nobody says so at once."""
-        node = self._planner(service)
+        """Returns the planned placement of a prompt; None without an immediate reply."""
+        node = self._planner_node(service)
         if node is None:
             return None
-        tokens, seconds = self._heard.pop(service, (0, 0.0))
+        tokens, seconds = self._measurements.pop(service, (0, 0.0))
         request = PlaceRequest(
             service=service,
-            part=prefix.part[:PART_BYTES],
-            shared=prefix.largest,
-            own=max(0, prompt_tokens - prefix.largest),
+            part=prefix.segment[:MAX_SEGMENT_NAME_LENGTH],
+            shared=prefix.segment_tokens,
+            own=max(0, prompt_tokens - prefix.segment_tokens),
             read_tokens=tokens,
             read_ms=int(seconds * MILLISECONDS),
         )
-        reply = await self._links.to(node).call(Kind.PLACE, bytes(request), ANSWER_WITHIN)
+        reply = await self._links.to(node).call(Kind.PLACE, bytes(request), REPLY_TIMEOUT_S)
         if reply.status not in (Status.OK, Status.UNKNOWN):
             self._failed_at[node] = self._clock()
         if reply.status != Status.OK:
@@ -61,14 +62,16 @@
         placed = PlaceReply().parse(reply.body)
         return PlacedPrompt(placed.worker, placed.tokens)
 
-    def first_event(self, service: str, placed: PlacedPrompt, seconds: float) -> None:
-        """A placed prompt's first event came so long after it was sent."""
-        self._heard[service] = placed.tokens, seconds
+    def record_first_event(self, service: str, placed: PlacedPrompt, seconds: float) -> None:
+        """Records the time from sending a placed prompt to its first event."""
+        self._measurements[service] = placed.tokens, seconds
 
-    def _planner(self, service: str) -> str | None:
-        """The core node that all dispatchers ask for a service, of those that answer here."""
+    def _planner_node(self, service: str) -> str | None:
+        """Returns the core node to ask for a service: the same for all dispatchers that reach the same nodes."""
         now = self._clock()
-        answering = [
-            node for node in self._view.control if now - self._failed_at.get(node, -LEFT_OUT) >= LEFT_OUT
+        responsive = [
+            node
+            for node in self._view.control
+            if now - self._failed_at.get(node, -NODE_RETRY_DELAY_S) >= NODE_RETRY_DELAY_S
         ]
-        return max(answering, key=lambda node: zlib.crc32(f"{service}|{node}".encode()), default=None)
+        return max(responsive, key=lambda node: zlib.crc32(f"{service}|{node}".encode()), default=None)
--- a/heronstall/dataplane/worker_selection.py
+++ b/heronstall/dataplane/worker_selection.py
@@ -94,7 +94,9 @@
         ]
         count = compared.count(len(good))
         if prefix.is_large:
-            ranked = nlargest(len(HOMES), range(len(good)), lambda k: affinity(prefix.part, good[k].entry.id))
+            ranked = nlargest(
+                len(HOMES), range(len(good)), lambda k: affinity(prefix.segment, good[k].entry.id)
+            )
             for home, preference in zip(ranked, HOMES, strict=False):
                 weights[home] *= preference * count * self._room(good[home])
         else:
@@ -115,7 +117,7 @@
         own_workers = self._preferred(service, workers)
         named = {*self._pool.shares(service), *own_workers}
         if prefix.is_large:
-            named.update(self._pool.homes(service, prefix.part))
+            named.update(self._pool.homes(service, prefix.segment))
         at_random = [w for w in self._random.sample(workers, DRAWN) if w.entry.id not in named]
         known = [w for name in sorted(named) if (w := self._pool.by_id.get(name)) is not None]
         stands_for = (len(workers) - len(known)) / max(1, len(at_random))
@@ -162,7 +164,7 @@
         """
         if not prefix.is_large:
             return None
-        homes = self._pool.homes(worker.entry.service, prefix.part)
+        homes = self._pool.homes(worker.entry.service, prefix.segment)
         return homes.index(worker.entry.id) if worker.entry.id in homes else len(homes)
 
     @staticmethod
--- a/heronstall/dataplane/workers.py
+++ b/heronstall/dataplane/workers.py
@@ -13,8 +13,8 @@
 
 from heronstall.dataplane.attempts import Attempt, Attempts, LoadView
 from heronstall.dataplane.connections import FreshestFirst, RestLimit
-from heronstall.dataplane.worker_latency import Pace
 from heronstall.dataplane.subset import Seat, Share, ring, shares
+from heronstall.dataplane.worker_latency import Pace
 from heronstall.placement.prefill import affinity
 from heronstall.sessions.loads import WorkerLoad
 from heronstall.transport.messages import Worker as Entry
--- a/heronstall/model/serving/fleet.py
+++ b/heronstall/model/serving/fleet.py
@@ -17,13 +17,13 @@
 import numpy as np
 
 from heronstall.dataplane.admission import Admission
-from heronstall.dataplane.prefixes import SharedPrefix, shared_prefix
+from heronstall.dataplane.prefixes import SharedPrefix, parse_shared_prefix
 from heronstall.dataplane.subset import Seat
 from heronstall.dataplane.workers import WorkerPool, WorkerState
 from heronstall.model.kernel import VirtualTime
 from heronstall.model.serving.engine import MICROSECONDS, Engine, EngineRequest, PromptPart
 from heronstall.model.serving.load import Deployment, Draws, RequestKind
-from heronstall.placement.prefill import Load, Prompt, ReadingPlanner
+from heronstall.placement.prefill import Load, PrefillPlanner, Prompt
 from heronstall.sessions.loads import pack
 from heronstall.sessions.table import Sessions
 from heronstall.transport.messages import Session, Worker
@@ -111,8 +111,8 @@
             if request.job is None:
                 seconds = (fleet.time.now - sent_at) / MICROSECONDS
                 tokens = sum(part.tokens for part in request.prompt[:-1])
-                self.admission.first_event(worker, tokens, seconds)
-                fleet.planner.heard(request.placed_tokens, seconds)
+                self.admission.record_first_event(worker, tokens, seconds)
+                fleet.planner.record_prefill(request.placed_tokens, seconds)
 
         def done() -> None:
             worker.items -= request.job is not None
@@ -131,7 +131,7 @@
     def offer(self, request: ModelRequest) -> None:
         """Find a worker for a request."""
         header = ",".join(f"{part.name}:{part.tokens}" for part in request.prompt)
-        prefix = shared_prefix(header)
+        prefix = parse_shared_prefix(header)
         if request.job is None and not request.tried and prefix.is_large:
             self.send(request, self._fleet.place(self, request, prefix))
             return
@@ -171,7 +171,7 @@
         self._windows: defaultdict[int, list[float]] = defaultdict(lambda: [0.0, 0.0])
         self._ended: list[tuple[ModelRequest, float]] = []
         self.spread: list[float] = []
-        self.planner = ReadingPlanner()
+        self.planner = PrefillPlanner()
         self._open_tokens = 0
         self.turned_away = 0  # items of jobs that were over the quota
 
@@ -256,7 +256,7 @@
     def place(self, dispatcher: ModelDispatcher, request: ModelRequest, prefix: SharedPrefix) -> WorkerState:
         """The worker that the planner names for a large prompt."""
         tokens = sum(part.tokens for part in request.prompt)
-        prompt = Prompt(prefix.part, prefix.largest, tokens - prefix.largest)
+        prompt = Prompt(prefix.segment, prefix.segment_tokens, tokens - prefix.segment_tokens)
         places = self.deployment.engine.places
         placed = self.planner.place(
             self.time.now / MICROSECONDS,
--- a/heronstall/placement/__init__.py
+++ b/heronstall/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Where large prompts are read: decisions free of I/O, of clocks and of randomness."""
+"""Placement of large prompts: decisions without I/O, clocks or randomness."""
--- a/heronstall/placement/prefill.py
+++ b/heronstall/placement/prefill.py
@@ -1,11 +1,12 @@
-"""Plans which worker reads a large prompt.
+"""Plans which worker prefills a large prompt.
 
-While a worker reads a long prompt, all its streams stand nearly still, and the next prompt waits. Dispatchers
-hear of each other's requests too late to keep two long prompts apart, so one planner knows of all of them: by
-whom the shared part of a prompt was read lately, and until when each worker is taken to read. It is advice
-alone: a dispatcher that gets no answer at once draws a worker as it does for small prompts.
+While a worker prefills a long prompt, its other streams nearly stop and the next prompt waits. Dispatchers
+learn of each other's requests too late to keep two long prompts apart, so one planner tracks all of them: which
+workers have recently prefilled the shared segment of a prompt, and until when each worker is expected to be busy
+with prefill. The plan is advisory: a dispatcher that gets no immediate reply selects a worker as for a small
+prompt.
 
-Times are seconds of one clock that is handed in.
+All times are in seconds of one clock whose readings the caller passes in.
 """
 
 from __future__ import annotations
@@ -16,127 +17,136 @@
 from collections.abc import Callable, Collection, Mapping, Sequence
 from typing import NamedTuple
 
-PARTS_MOST = 4096  # shared parts that are remembered, the latest placed
-HOLDERS_MOST = 3  # workers that are remembered for a part
-HELD_FOR = 30.0  # seconds after which a worker is taken to have forgotten a part that nobody asked for
-LOOKED_AT = 64  # workers that are compared at the most, besides those that hold the part
-READING_MOST = 4096  # workers whose reading is remembered, before those that have long ended are forgotten
-FIRST_SPEED = 100_000.0  # prompt tokens a second, until more is known
-SPEED_STEP = 0.05  # of the logarithm of the speed, for each answer
-SPEED_QUANTILE = 0.7  # of the answers that are taken to be slower than the engine reads: they waited, too
-CROWDED = 0.05  # seconds that each request beyond a worker's places costs, and all places together in use
-HOME_HOLDS = 0.5  # chance that a part's home holds it, where the planner has not placed it yet
+MAX_SEGMENTS = 4096  # shared segments that are remembered; the least recently placed is evicted
+MAX_WORKERS_PER_SEGMENT = 3  # workers that are remembered for a segment
+CACHE_LIFETIME_S = 30.0  # after this time without a request, a worker is assumed to have evicted a segment
+MAX_COMPARED_WORKERS = 64  # workers compared for a prompt, besides those that have cached its segment
+MAX_TRACKED_WORKERS = 4096  # workers with a known end of prefill; beyond that, ends in the past are dropped
+INITIAL_TOKENS_PER_SECOND = 100_000.0  # prefill rate that is assumed before the first measurement
+RATE_STEP = 0.05  # change of the logarithm of the rate for each measurement
+# Quantile of the measured rates that the estimate tracks. It is above the median because measurements include
+# queueing, which makes the engine look slower than it is.
+RATE_QUANTILE = 0.7
+CROWDING_COST_S = 0.05  # cost of each request beyond a worker's capacity, and of a fully used capacity
+HOME_CACHE_PROBABILITY = 0.5  # that the home worker has cached a segment that the planner has not placed
 
 
-def affinity(part: str, worker: str) -> int:
-    """How strongly a part belongs to a worker: the same at every node, and even over the workers."""
-    return zlib.crc32(f"{worker}|{part}".encode())
+def affinity(segment: str, worker: str) -> int:
+    """Returns the rendezvous hash of a segment and a worker, which is the same at every node.
+
+    The worker with the highest value is the segment's home worker. Homes are spread evenly over the workers.
+    """
+    return zlib.crc32(f"{worker}|{segment}".encode())
 
 
 class Prompt(NamedTuple):
-    """A prompt to be placed: its largest shared part, that part's tokens, and all others."""
+    """A prompt to be placed: its largest shared segment, the tokens of that segment, and all other tokens."""
 
-    part: str
-    shared: int
-    own: int
+    segment: str
+    segment_tokens: int
+    other_tokens: int
 
 
 class Load(NamedTuple):
-    """Requests and items at a worker as far as known, and its places."""
+    """The known number of requests and items at a worker, and its capacity."""
 
     requests: float
     capacity: int
 
 
-class Placed(NamedTuple):
-    """Where a prompt goes, and the tokens that are to be read there."""
+class PrefillPlacement(NamedTuple):
+    """The worker chosen for a prompt, and the number of tokens that it has to prefill."""
 
     worker: str
     tokens: int
 
 
-class ReadingPlanner:
+class PrefillPlanner:
     """Places the large prompts of one service."""
 
     def __init__(self) -> None:
-        self._reads_until: dict[str, float] = {}
-        self._holders: OrderedDict[str, dict[str, float]] = (
+        self._busy_until: dict[str, float] = {}
+        self._cached_at: OrderedDict[str, dict[str, float]] = (
             OrderedDict()
-        )  # by part: worker, when placed there
-        self._log_speed = math.log(FIRST_SPEED)
-        self._turn = 0
+        )  # by segment: worker, time of the latest placement there
+        self._log_rate = math.log(INITIAL_TOKENS_PER_SECOND)
+        self._offset = 0
 
     @property
-    def speed(self) -> float:
-        """Prompt tokens that a worker reads in a second, as far as learnt."""
-        return math.exp(self._log_speed)
+    def tokens_per_second(self) -> float:
+        """The estimated prefill rate of a worker."""
+        return math.exp(self._log_rate)
 
-    def heard(self, tokens: int, seconds: float) -> None:
-        """A prompt's first event came so long after it was sent; so many tokens were to be read for it."""
+    def record_prefill(self, tokens: int, seconds: float) -> None:
+        """Updates the rate by the tokens prefilled for a prompt and the time to its first event."""
         if tokens <= 0 or seconds <= 0:
             return
-        faster = tokens / seconds > self.speed
-        self._log_speed += SPEED_STEP * (SPEED_QUANTILE if faster else SPEED_QUANTILE - 1)
+        faster = tokens / seconds > self.tokens_per_second
+        self._log_rate += RATE_STEP * (RATE_QUANTILE if faster else RATE_QUANTILE - 1)
 
     def place(
         self, now: float, prompt: Prompt, workers: Sequence[str], load: Callable[[str], Load]
-    ) -> Placed | None:
-        """The worker at which a prompt is read soonest; None without workers."""
-        holders = self._holders.get(prompt.part, {})
-        held = any(self._holds(now, holders, worker) for worker in holders)
-        home = "" if held or not prompt.part else self._home(prompt.part, workers)
-        compared = self._compared(workers, (*holders, home))
-        if not compared:
+    ) -> PrefillPlacement | None:
+        """Returns the worker that would finish the prefill first; None without workers."""
+        cached_at = self._cached_at.get(prompt.segment, {})
+        cached = any(self._has_cached(now, cached_at, worker) for worker in cached_at)
+        home = "" if cached or not prompt.segment else self._home(prompt.segment, workers)
+        candidates = self._candidates(workers, (*cached_at, home))
+        if not candidates:
             return None
 
-        def to_read(worker: str) -> float:
-            if self._holds(now, holders, worker):
-                return prompt.own
-            return prompt.own + prompt.shared * (1 - HOME_HOLDS if worker == home else 1)
-
-        worker = min(compared, key=lambda name: self._cost(now, name, to_read(name), load(name)))
-        tokens = prompt.own + (0 if self._holds(now, holders, worker) else prompt.shared)
-        begins = max(now, self._reads_until.get(worker, 0.0))
-        self._reads_until[worker] = begins + tokens / self.speed
-        self._forget(now)
-        if prompt.part:
-            self._note(now, prompt.part, worker)
-        return Placed(worker, tokens)
-
-    def _compared(self, workers: Sequence[str], holders: Collection[str]) -> Sequence[str]:
-        """Those that are looked at: all of a few; of many the holders and a stretch that moves on."""
-        if len(workers) <= LOOKED_AT:
+        def expected_tokens(worker: str) -> float:
+            if self._has_cached(now, cached_at, worker):
+                return prompt.other_tokens
+            return prompt.other_tokens + prompt.segment_tokens * (
+                1 - HOME_CACHE_PROBABILITY if worker == home else 1
+            )
+
+        worker = min(candidates, key=lambda name: self._cost(now, name, expected_tokens(name), load(name)))
+        tokens = prompt.other_tokens + (
+            0 if self._has_cached(now, cached_at, worker) else prompt.segment_tokens
+        )
+        begins = max(now, self._busy_until.get(worker, 0.0))
+        self._busy_until[worker] = begins + tokens / self.tokens_per_second
+        self._drop_past(now)
+        if prompt.segment:
+            self._record_placement(now, prompt.segment, worker)
+        return PrefillPlacement(worker, tokens)
+
+    def _candidates(self, workers: Sequence[str], preferred: Collection[str]) -> Sequence[str]:
+        """Returns all workers if they are few, else the preferred ones and a window that moves at each call."""
+        if len(workers) <= MAX_COMPARED_WORKERS:
             return workers
-        self._turn = (self._turn + LOOKED_AT) % len(workers)
-        stretch = [*workers[self._turn :], *workers[: self._turn]][:LOOKED_AT]
-        return stretch + [worker for worker in workers if worker in holders]
+        self._offset = (self._offset + MAX_COMPARED_WORKERS) % len(workers)
+        window = [*workers[self._offset :], *workers[: self._offset]][:MAX_COMPARED_WORKERS]
+        return window + [worker for worker in workers if worker in preferred]
 
     @staticmethod
-    def _home(part: str, workers: Sequence[str]) -> str:
-        """Where a part goes that is not known here: a planner that has just begun finds it there."""
-        return max(workers, key=lambda worker: affinity(part, worker), default="")
+    def _home(segment: str, workers: Sequence[str]) -> str:
+        """Returns the home worker of a segment, where a planner without history expects it to be cached."""
+        return max(workers, key=lambda worker: affinity(segment, worker), default="")
 
     def _cost(self, now: float, worker: str, tokens: float, load: Load) -> float:
-        """Seconds until so many tokens are read there, and what a crowded worker costs beyond."""
-        wait = max(0.0, self._reads_until.get(worker, 0.0) - now)
-        beyond = max(0.0, load.requests + 1 - load.capacity)
-        crowd = CROWDED * (beyond + load.requests / load.capacity)
-        return wait + tokens / self.speed + crowd
+        """Returns the seconds until the tokens are prefilled at a worker, plus a penalty for its load."""
+        wait = max(0.0, self._busy_until.get(worker, 0.0) - now)
+        excess = max(0.0, load.requests + 1 - load.capacity)
+        crowding = CROWDING_COST_S * (excess + load.requests / load.capacity)
+        return wait + tokens / self.tokens_per_second + crowding
 
-    def _forget(self, now: float) -> None:
-        if len(self._reads_until) > READING_MOST:
-            self._reads_until = {name: until for name, until in self._reads_until.items() if until > now}
+    def _drop_past(self, now: float) -> None:
+        if len(self._busy_until) > MAX_TRACKED_WORKERS:
+            self._busy_until = {name: until for name, until in self._busy_until.items() if until > now}
 
     @staticmethod
-    def _holds(now: float, holders: Mapping[str, float], worker: str) -> bool:
-        at = holders.get(worker)
-        return at is not None and now - at < HELD_FOR
-
-    def _note(self, now: float, part: str, worker: str) -> None:
-        holders = self._holders.setdefault(part, {})
-        holders[worker] = now
-        if len(holders) > HOLDERS_MOST:
-            del holders[min(holders, key=holders.__getitem__)]
-        self._holders.move_to_end(part)
-        if len(self._holders) > PARTS_MOST:
-            self._holders.popitem(last=False)
+    def _has_cached(now: float, cached_at: Mapping[str, float], worker: str) -> bool:
+        placed_at = cached_at.get(worker)
+        return placed_at is not None and now - placed_at < CACHE_LIFETIME_S
+
+    def _record_placement(self, now: float, segment: str, worker: str) -> None:
+        cached_at = self._cached_at.setdefault(segment, {})
+        cached_at[worker] = now
+        if len(cached_at) > MAX_WORKERS_PER_SEGMENT:
+            del cached_at[min(cached_at, key=cached_at.__getitem__)]
+        self._cached_at.move_to_end(segment)
+        if len(self._cached_at) > MAX_SEGMENTS:
+            self._cached_at.popitem(last=False)
--- a/tests/tier/test_dataplane.py
+++ b/tests/tier/test_dataplane.py
@@ -23,7 +23,7 @@
 from heronstall.dataplane.deferred import DeferredLane
 from heronstall.dataplane.events import EventReader
 from heronstall.dataplane.forwarding import USAGE, Passage
-from heronstall.dataplane.prefixes import NOTHING, shared_prefix
+from heronstall.dataplane.prefixes import NO_SHARED_PREFIX, parse_shared_prefix
 from heronstall.dataplane.routing import Routes, RouteType, read_routes
 from heronstall.dataplane.subset import IDLE, LEAST, Seat, preferred, ring
 from heronstall.dataplane.workers import UnsendablePath, WorkerPool, WorkerState
@@ -101,12 +101,12 @@
 
 class Prefixes(unittest.TestCase):
     def test_the_last_part_is_not_shared(self) -> None:
-        self.assertEqual(shared_prefix("ab:800,cd:410,ef:250"), ("ab", 1210, 800))
-        self.assertEqual(shared_prefix("ab:800"), NOTHING)
+        self.assertEqual(parse_shared_prefix("ab:800,cd:410,ef:250"), ("ab", 1210, 800))
+        self.assertEqual(parse_shared_prefix("ab:800"), NO_SHARED_PREFIX)
 
     def test_what_cannot_be_read_shares_nothing(self) -> None:
         for header in ("", ",", "a,b,c", "a:x,b:1", "a:-1,b:2", "a:1:2,b:3"):
-            self.assertEqual(shared_prefix(header), NOTHING, header)
+            self.assertEqual(parse_shared_prefix(header), NO_SHARED_PREFIX, header)
 
     def test_parts_spread_evenly_over_workers(self) -> None:
         homes = [max(range(6), key=lambda w: affinity(f"part{p}", f"worker{w}")) for p in range(600)]
@@ -284,7 +284,7 @@
     def drawn(self, count: int = 400, **options: bool) -> dict[str, int]:
         found: dict[str, int] = {}
         for _ in range(count):
-            worker = self.admission.pick("s", NOTHING, set(), **options)
+            worker = self.admission.pick("s", NO_SHARED_PREFIX, set(), **options)
             if worker is not None:
                 found[worker.entry.id] = found.get(worker.entry.id, 0) + 1
         return found
@@ -299,7 +299,7 @@
 
     def test_draining_and_tried_workers_get_nothing(self) -> None:
         self.pool.by_id["w0"].entry.state = "draining"
-        found = {w.entry.id for _ in range(200) if (w := self.admission.pick("s", NOTHING, {"w1"}))}
+        found = {w.entry.id for _ in range(200) if (w := self.admission.pick("s", NO_SHARED_PREFIX, {"w1"}))}
         self.assertEqual(found, {"w2", "w3"})
 
     def test_a_worker_that_answers_with_errors_gets_little_until_it_recovers(self) -> None:
@@ -327,7 +327,7 @@
         self.assertLess(self.drawn().get("w0", 0), 60)
 
     def test_a_large_prompt_goes_home(self) -> None:
-        prefix = shared_prefix("aa:13000,bb:400")
+        prefix = parse_shared_prefix("aa:13000,bb:400")
         homes = [self.admission.pick("s", prefix, set()) for _ in range(100)]
         names = [w.entry.id for w in homes if w]
         self.assertGreater(max(names.count(n) for n in set(names)), 80)
@@ -336,7 +336,7 @@
         entries = {f"w{k}": Worker(id=f"w{k}", service="s", state="ready", capacity=10) for k in range(40)}
         with mock.patch("asyncio.Event", mock.Mock):
             self.pool.update(entries)
-        prefix = shared_prefix("aa:13000,bb:400")
+        prefix = parse_shared_prefix("aa:13000,bb:400")
 
         def drawn() -> Counter[str]:
             return Counter(w.entry.id for _ in range(200) if (w := self.admission.pick("s", prefix, set())))
@@ -460,7 +460,7 @@
                 edge.done(worker, True)
                 loads[worker.entry.id] -= 1
             edge = rng.choice(edges)
-            worker = edge.pick("s", NOTHING, set()) or self.fail("no worker")
+            worker = edge.pick("s", NO_SHARED_PREFIX, set()) or self.fail("no worker")
             edge.sent(worker)
             streams.append((edge, worker))
             loads[worker.entry.id] += 1
--- a/tests/tier/test_item_slots.py
+++ b/tests/tier/test_item_slots.py
@@ -8,7 +8,7 @@
 
 from heronstall.dataplane.admission import Admission
 from heronstall.dataplane.item_slots import FIRST_PLACES, TOLD_FOR
-from heronstall.dataplane.prefixes import NOTHING
+from heronstall.dataplane.prefixes import NO_SHARED_PREFIX
 from heronstall.dataplane.subset import Seat, Share, ring, shares
 from heronstall.dataplane.workers import WorkerPool
 from heronstall.transport.messages import Worker
@@ -47,7 +47,7 @@
         for worker in pool.by_id.values():
             worker.others_live = 7  # of 10: less than the root of the places and a fifth is free
         self.assertFalse(admission.room_for_item("s"))
-        self.assertIsNone(admission.pick("s", NOTHING, set(), for_item=True))
+        self.assertIsNone(admission.pick("s", NO_SHARED_PREFIX, set(), for_item=True))
 
     async def test_the_bound_grows_from_the_start_on(self) -> None:
         _, admission, clock = self.dispatcher(Seat(1, 1))
@@ -100,7 +100,7 @@
     async def test_a_dispatcher_without_a_share_runs_one_item_at_a_worker_that_is_nearly_idle(self) -> None:
         pool, admission, _ = self.dispatcher(Seat(1, 40), workers=1)  # a fortieth of six places
         self.assertEqual(admission.items.most("s"), 1)
-        worker = admission.pick("s", NOTHING, set(), for_item=True)
+        worker = admission.pick("s", NO_SHARED_PREFIX, set(), for_item=True)
         assert worker is not None
         worker.items, worker.inflight = 1, 1
         self.assertFalse(admission.room_for_item("s"), "one at a time")
--- a/tests/tier/test_misses.py
+++ b/tests/tier/test_misses.py
@@ -23,7 +23,7 @@
     RequestTimes,
     miss_reason,
 )
-from heronstall.dataplane.prefixes import NOTHING
+from heronstall.dataplane.prefixes import NO_SHARED_PREFIX
 from heronstall.dataplane.routing import Route, RouteType
 
 ROUTE = Route("r", "h", "/", RouteType.STREAMING, (("lm", 1.0),), 5.0, 0.3, 0, 2, True, 0.25, 8.0, 60.0, 0)
@@ -51,7 +51,7 @@
     return EndedRequest(
         request="q1",
         route=ROUTE,
-        prefix=NOTHING,
+        prefix=NO_SHARED_PREFIX,
         prompt_tokens=500,
         output_tokens=40,
         times=RequestTimes(ARRIVED, deferred=0.01, held=0.02),
--- a/tests/tier/test_names.py
+++ b/tests/tier/test_names.py
@@ -13,7 +13,7 @@
 
 from heronstall.dataplane.admission import Admission
 from heronstall.dataplane.misses import EndedRequest, miss_reason
-from heronstall.dataplane.prefixes import NOTHING, shared_prefix
+from heronstall.dataplane.prefixes import NO_SHARED_PREFIX, parse_shared_prefix
 from heronstall.dataplane.routing import read_routes
 from heronstall.dataplane.subset import Seat
 from heronstall.dataplane.workers import WorkerPool
@@ -73,14 +73,19 @@
         admission = Admission(pool, random.Random(7), rename("z1"), clock=lambda: 100.0)
         admission.items.began = 0.0
         pool.take_loads({f"i-{k}": WorkerLoad(f"i-{k}", k % 5, k % 3) for k in range(WORKERS)})
-        prompts = (NOTHING, shared_prefix("aa:9000,bb:100"), NOTHING, shared_prefix("cc:300,dd:100"))
+        prompts = (
+            NO_SHARED_PREFIX,
+            parse_shared_prefix("aa:9000,bb:100"),
+            NO_SHARED_PREFIX,
+            parse_shared_prefix("cc:300,dd:100"),
+        )
         found = []
         for number in range(200):
             worker = admission.pick(rename("lm"), prompts[number % 4], set(), for_item=number % 4 == 2)
             found.append(worker.entry.id if worker else "none")
             if worker is not None:
                 admission.sent(worker)
-                admission.first_event(worker, 500, 0.05 * (number % 7))
+                admission.record_first_event(worker, 500, 0.05 * (number % 7))
             if number % 3 == 0 and worker is not None:
                 admission.done(worker, number % 9 != 0)
         return [*found, str(admission.items_to_lease(rename("lm")))]
--- a/tests/tier/test_prefill_planning.py
+++ b/tests/tier/test_prefill_planning.py
@@ -8,16 +8,21 @@
 from unittest import mock
 
 from heronstall.controlplane.planning import SERVICES_MOST, ReadingPlans
-from heronstall.dataplane.prompt_placement import LEFT_OUT, PART_BYTES, PlacedPrompt, PromptPlacer
-from heronstall.dataplane.prefixes import NOTHING, shared_prefix
+from heronstall.dataplane.prefixes import NO_SHARED_PREFIX, parse_shared_prefix
+from heronstall.dataplane.prompt_placement import (
+    MAX_SEGMENT_NAME_LENGTH,
+    NODE_RETRY_DELAY_S,
+    PlacedPrompt,
+    PromptPlacer,
+)
 from heronstall.distribution.view import View
 from heronstall.placement.prefill import (
-    HELD_FOR,
-    LOOKED_AT,
-    PARTS_MOST,
+    CACHE_LIFETIME_S,
+    MAX_COMPARED_WORKERS,
+    MAX_SEGMENTS,
     Load,
+    PrefillPlanner,
     Prompt,
-    ReadingPlanner,
     affinity,
 )
 from heronstall.sessions.loads import WorkerLoad, pack
@@ -35,7 +40,7 @@
 
 class Planner(unittest.TestCase):
     def setUp(self) -> None:
-        self.planner = ReadingPlanner()
+        self.planner = PrefillPlanner()
 
     def place(self, now: float, part: str, shared: int = 20_000, own: int = 1_000) -> str:
         placed = self.planner.place(now, Prompt(part, shared, own), WORKERS, idle)
@@ -55,7 +60,7 @@
 
     def test_it_goes_elsewhere_while_that_worker_reads_for_longer_than_the_part_takes(self) -> None:
         first = self.place(0.0, "a")
-        self.planner._reads_until[first] = 2.0
+        self.planner._busy_until[first] = 2.0
         self.assertNotEqual(self.place(0.5, "a"), first)
 
     def test_a_planner_that_has_just_begun_sends_a_part_to_its_home_unless_that_reads(self) -> None:
@@ -63,17 +68,17 @@
         for number in range(40):
             part = f"p{number}"
             homes[part] = max(WORKERS, key=lambda worker: affinity(part, worker))
-            placed = ReadingPlanner().place(0.0, Prompt(part, 9_000, 90), WORKERS, idle)
+            placed = PrefillPlanner().place(0.0, Prompt(part, 9_000, 90), WORKERS, idle)
             assert placed is not None
             self.assertEqual(placed.worker, homes[part])
         self.assertGreater(len(set(homes.values())), 5)
-        self.planner._reads_until[homes["p1"]] = 1.0
+        self.planner._busy_until[homes["p1"]] = 1.0
         self.assertNotEqual(self.place(0.0, "p1"), homes["p1"])
 
     def test_a_part_that_nobody_asked_for_is_taken_for_forgotten(self) -> None:
         placed = self.planner.place(0.0, Prompt("a", 20_000, 1_000), WORKERS, idle)
         again = self.planner.place(1.0, Prompt("a", 20_000, 1_000), WORKERS, idle)
-        later = self.planner.place(1.0 + HELD_FOR, Prompt("a", 20_000, 1_000), WORKERS, idle)
+        later = self.planner.place(1.0 + CACHE_LIFETIME_S, Prompt("a", 20_000, 1_000), WORKERS, idle)
         assert placed and again and later
         self.assertEqual((placed.tokens, again.tokens, later.tokens), (21_000, 1_000, 21_000))
 
@@ -92,17 +97,17 @@
         rng = random.Random(5)
         for _ in range(600):
             waited = rng.choice((0.0, 0.0, 0.02, 0.1, 0.3))
-            self.planner.heard(13_000, 13_000 / 250_000 + waited)
-        self.assertGreater(self.planner.speed, 150_000)
-        self.assertLess(self.planner.speed, 300_000)
-        self.planner.heard(0, 0.1)
-        self.planner.heard(10, 0.0)
+            self.planner.record_prefill(13_000, 13_000 / 250_000 + waited)
+        self.assertGreater(self.planner.tokens_per_second, 150_000)
+        self.assertLess(self.planner.tokens_per_second, 300_000)
+        self.planner.record_prefill(0, 0.1)
+        self.planner.record_prefill(10, 0.0)
 
     def test_what_is_remembered_is_bounded(self) -> None:
-        for number in range(PARTS_MOST + 500):
+        for number in range(MAX_SEGMENTS + 500):
             self.place(number * 0.5, f"p{number}")
-        self.assertEqual(len(self.planner._holders), PARTS_MOST)
-        self.assertIn(f"p{PARTS_MOST + 499}", self.planner._holders)
+        self.assertEqual(len(self.planner._cached_at), MAX_SEGMENTS)
+        self.assertIn(f"p{MAX_SEGMENTS + 499}", self.planner._cached_at)
 
     def test_of_many_workers_some_are_looked_at_and_all_are_used(self) -> None:
         many = [f"i-{k}" for k in range(600)]
@@ -118,7 +123,7 @@
             placed = self.planner.place(0.0, Prompt(f"p{number}", 9_000, 100), many, load)
             assert placed is not None
             used[placed.worker] += 1
-        self.assertLessEqual(looked, 600 * (LOOKED_AT + 1))  # and the home
+        self.assertLessEqual(looked, 600 * (MAX_COMPARED_WORKERS + 1))  # and the home
         self.assertLessEqual(max(used.values()), 2)
 
 
@@ -174,7 +179,7 @@
 
 
 class Placer(unittest.IsolatedAsyncioTestCase):
-    PREFIX = shared_prefix("aa:13000,bb:200,own:3000")
+    PREFIX = parse_shared_prefix("aa:13000,bb:200,own:3000")
 
     def setUp(self) -> None:
         self.now = 100.0
@@ -191,7 +196,7 @@
         self.assertEqual((asked.service, asked.part, asked.shared, asked.own), ("lm", "aa", 13_000, 3_200))
         self.assertEqual(asked.read_tokens, 0)
         assert placed is not None
-        self.placer.first_event("lm", placed, 0.25)
+        self.placer.record_first_event("lm", placed, 0.25)
         await self.placer.place("lm", self.PREFIX, 16_200)
         self.assertEqual(
             (self.links.asked[-1][1].read_tokens, self.links.asked[-1][1].read_ms), (16_200, 250)
@@ -205,13 +210,13 @@
         self.assertEqual(self.links.asked[1][0], first)
         for lost in (LOST, Reply(Status.UNSURE), Reply(Status.REFUSED)):
             with self.subTest(status=lost.status):
-                self.now += LEFT_OUT
+                self.now += NODE_RETRY_DELAY_S
                 self.links.replies[first] = lost
                 self.assertIsNone(await self.placer.place("lm", self.PREFIX, 16_200))
                 self.assertIsNotNone(await self.placer.place("lm", self.PREFIX, 16_200))
                 self.assertNotEqual(self.links.asked[-1][0], first)
         self.links.replies = dict.fromkeys(self.view.control, LOST)
-        self.now += LEFT_OUT
+        self.now += NODE_RETRY_DELAY_S
         asked = len(self.links.asked)
         for _ in range(10):
             self.assertIsNone(await self.placer.place("lm", self.PREFIX, 16_200))
@@ -222,15 +227,15 @@
         self.assertIsNone(await self.placer.place("lm", self.PREFIX, 16_200))
 
     async def test_a_long_name_is_cut(self) -> None:
-        await self.placer.place("lm", shared_prefix("f" * 5000 + ":9000,own:1"), 9_001)
-        self.assertEqual(len(self.links.asked[0][1].part), PART_BYTES)
+        await self.placer.place("lm", parse_shared_prefix("f" * 5000 + ":9000,own:1"), 9_001)
+        self.assertEqual(len(self.links.asked[0][1].part), MAX_SEGMENT_NAME_LENGTH)
 
     def test_small_prompts_are_not_asked_for(self) -> None:
         self.assertTrue(self.PREFIX.is_large)
-        self.assertFalse(shared_prefix("aa:170,own:543").is_large)
+        self.assertFalse(parse_shared_prefix("aa:170,own:543").is_large)
 
     def test_a_count_of_tokens_beyond_reason_shares_nothing(self) -> None:
-        self.assertEqual(shared_prefix("aa:" + "9" * 5000 + ",own:1"), NOTHING)
+        self.assertEqual(parse_shared_prefix("aa:" + "9" * 5000 + ",own:1"), NO_SHARED_PREFIX)
 
 
 if __name__ == "__main__":
--- a/tests/tier/test_worker_selection.py
+++ b/tests/tier/test_worker_selection.py
@@ -8,7 +8,7 @@
 
 from heronstall.dataplane import worker_selection
 from heronstall.dataplane.admission import Admission
-from heronstall.dataplane.prefixes import NOTHING, SharedPrefix, shared_prefix
+from heronstall.dataplane.prefixes import NO_SHARED_PREFIX, SharedPrefix, parse_shared_prefix
 from heronstall.dataplane.subset import LEAST, Seat
 from heronstall.dataplane.workers import HOMES_KEPT, WorkerPool
 from heronstall.placement.prefill import affinity
@@ -32,7 +32,7 @@
         self.pool.update({n: Worker(id=n, service=SERVICE, state="ready", capacity=PLACES) for n in names})
         self.pool.seat = seat or Seat()
 
-    def drawn(self, prefix: SharedPrefix = NOTHING, times: int = DRAWS) -> Counter[str]:
+    def drawn(self, prefix: SharedPrefix = NO_SHARED_PREFIX, times: int = DRAWS) -> Counter[str]:
         found: Counter[str] = Counter()
         for _ in range(times):
             worker = self.admission.pick(SERVICE, prefix, set())
@@ -51,10 +51,10 @@
         for number, worker in enumerate(self.pool.by_id.values()):
             worker.others_live = (0.0, 4.0, 8.0, 11.0)[number % 4]
         of_a_part = self.shares_by_load(self.drawn())
-        former, draw.ALL_OF = draw.ALL_OF, MANY
-        self.addCleanup(setattr, draw, "ALL_OF", former)
+        former, worker_selection.ALL_OF = worker_selection.ALL_OF, MANY
+        self.addCleanup(setattr, worker_selection, "ALL_OF", former)
         of_all = self.shares_by_load(self.drawn())
-        draw.ALL_OF = former
+        worker_selection.ALL_OF = former
         deviation = (0.25 / DRAWS) ** 0.5  # of a share, at the most
         for load, share in of_all.items():
             self.assertLess(abs(of_a_part[load] - share), 2**0.5 * SPREAD * deviation, (of_all, of_a_part))
@@ -67,27 +67,29 @@
         self.workers(MANY, Seat(3, 100))
         found = self.drawn(times=600)
         own = [name for name, _ in found.most_common(LEAST)]
-        weight = LEAST * draw.PREFERRED / (LEAST * draw.PREFERRED + 1)  # theirs beside that of all the others
+        weight = (
+            LEAST * worker_selection.PREFERRED / (LEAST * worker_selection.PREFERRED + 1)
+        )  # relative to the weight of all workers
         deviation = (weight * (1 - weight) / 600) ** 0.5
         self.assertGreater(sum(found[name] for name in own) / 600, weight - SPREAD * deviation)
 
     def test_a_large_prompt_finds_its_home(self) -> None:
         self.workers(MANY)
-        prefix = shared_prefix("5c1e07a2:13000,e4402b7d:250")
-        home = max(self.pool.by_id, key=lambda name: affinity(prefix.part, name))
+        prefix = parse_shared_prefix("5c1e07a2:13000,e4402b7d:250")
+        home = max(self.pool.by_id, key=lambda name: affinity(prefix.segment, name))
         self.assertGreater(self.drawn(prefix, 300)[home], 240)
         self.assertEqual(self.admission.home_rank(self.pool.by_id[home], prefix), 0)
-        last = min(self.pool.by_id, key=lambda name: affinity(prefix.part, name))
+        last = min(self.pool.by_id, key=lambda name: affinity(prefix.segment, name))
         self.assertEqual(self.admission.home_rank(self.pool.by_id[last], prefix), HOMES_KEPT)
-        self.assertIsNone(self.admission.home_rank(self.pool.by_id[home], NOTHING))
+        self.assertIsNone(self.admission.home_rank(self.pool.by_id[home], NO_SHARED_PREFIX))
 
     def test_homes_follow_the_registry(self) -> None:
         self.workers(MANY)
-        prefix = shared_prefix("5c1e07a2:13000,e4402b7d:250")
-        first = self.pool.homes(SERVICE, prefix.part)[0]
+        prefix = parse_shared_prefix("5c1e07a2:13000,e4402b7d:250")
+        first = self.pool.homes(SERVICE, prefix.segment)[0]
         entries = {name: worker.entry for name, worker in self.pool.by_id.items() if name != first}
         self.pool.update(entries)
-        self.assertNotIn(first, self.pool.homes(SERVICE, prefix.part))
+        self.assertNotIn(first, self.pool.homes(SERVICE, prefix.segment))
 
     def test_the_one_sound_worker_is_found_however_many_there_are(self) -> None:
         self.workers(MANY)
@@ -102,7 +104,7 @@
         for worker in self.pool.by_id.values():
             worker.others_live = 2.0 * PLACES
         self.pool.by_id["i-00077"].others_live = 0.0
-        picked = self.admission.pick(SERVICE, NOTHING, set(), for_item=True)
+        picked = self.admission.pick(SERVICE, NO_SHARED_PREFIX, set(), for_item=True)
         assert picked is not None
         self.assertEqual(picked.entry.id, "i-00077")
 
