--- a/heronstall/dataplane/prompt_placement.py
+++ b/heronstall/dataplane/prompt_placement.py
@@ -67,7 +67,7 @@
         self._measurements[service] = placed.tokens, seconds
 
     def _planner_node(self, service: str) -> str | None:
-        """Returns the core node to ask for a service: the same for all dispatchers that reach the same nodes."""
+        """Returns the core node to ask, the same one for all dispatchers that reach the same nodes."""
         now = self._clock()
         responsive = [
             node
--- a/heronstall/placement/prefill.py
+++ b/heronstall/placement/prefill.py
@@ -1,10 +1,10 @@
 """Plans which worker prefills a large prompt.
 
 While a worker prefills a long prompt, its other streams nearly stop and the next prompt waits. Dispatchers
-learn of each other's requests too late to keep two long prompts apart, so one planner tracks all of them: which
-workers have recently prefilled the shared segment of a prompt, and until when each worker is expected to be busy
-with prefill. The plan is advisory: a dispatcher that gets no immediate reply selects a worker as for a small
-prompt.
+learn of each other's requests too late to keep two long prompts apart, so one planner tracks all of them:
+which workers have recently prefilled the shared segment of a prompt, and until when each worker is expected
+to be busy with prefill. The plan is advisory: a dispatcher that gets no immediate reply selects a worker as
+for a small prompt.
 
 All times are in seconds of one clock whose readings the caller passes in.
 """
@@ -114,7 +114,7 @@
         return PrefillPlacement(worker, tokens)
 
     def _candidates(self, workers: Sequence[str], preferred: Collection[str]) -> Sequence[str]:
-        """Returns all workers if they are few, else the preferred ones and a window that moves at each call."""
+        """Returns all workers if they are few, else the preferred ones and a moving window of others."""
         if len(workers) <= MAX_COMPARED_WORKERS:
             return workers
         self._offset = (self._offset + MAX_COMPARED_WORKERS) % len(workers)
