--- a/heronstall/dataplane/admission.py
+++ b/heronstall/dataplane/admission.py
@@ -9,7 +9,7 @@
 from heronstall.dataplane.item_slots import ItemPlaces
 from heronstall.dataplane.prefixes import SharedPrefix
 from heronstall.dataplane.routing import Route
-from heronstall.dataplane.worker_latency import UsualPace
+from heronstall.dataplane.worker_latency import LatencyBaseline
 from heronstall.dataplane.worker_selection import WorkerDraw
 from heronstall.dataplane.workers import WorkerPool, WorkerState
 
@@ -33,7 +33,7 @@
         self._pool, self._random, self._clock = pool, rng, clock
         self.items = ItemPlaces(pool, clock)
         self._draw = WorkerDraw(pool, rng, zone, clock, self.items.takes)
-        self._usual = UsualPace()
+        self._latency_baseline = LatencyBaseline()
 
     def pick(
         self, service: str, prefix: SharedPrefix, tried: set[str], for_item: bool = False
@@ -90,7 +90,7 @@
 
     def record_first_event(self, worker: WorkerState, tokens: int, seconds: float) -> None:
         """A worker's first event has come so long after a request with such a prompt was sent."""
-        self._usual.answered(worker.pace, worker.entry.service, tokens, seconds, self._clock())
+        self._latency_baseline.record(worker.latency, worker.entry.service, tokens, seconds, self._clock())
 
     def failed(self, worker: WorkerState) -> None:
         """A worker was not reached, or broke off."""
--- a/heronstall/dataplane/worker_latency.py
+++ b/heronstall/dataplane/worker_latency.py
@@ -1,48 +1,48 @@
-"""How long workers take to their first event, each against what is usual for such a prompt. Free of I/O."""
+"""Compares each worker's time to first event with the usual time for such a prompt. Performs no I/O."""
 
 from __future__ import annotations
 
 import math
 from dataclasses import dataclass
 
-USUAL_LEARNT = 0.03  # weight of a new answer in what is usual
-OWN_LEARNT = 0.15  # weight of a new answer in a worker's own pace
-FORGET_HALF = 6.0  # seconds after which half of what was learnt of a worker is forgotten
-TOLERATED = 1.5  # doublings of the usual time that cost nothing: load and caches make as much
-WEIGHT_LEFT = 0.125  # by each doubling beyond that
-MOST = 4.0  # doublings that one answer counts for at the most, either way
-LEAST_SECONDS = 0.001
-SIZE_STEP = 2  # prompts within so many doublings of length are compared with each other
+BASELINE_SMOOTHING = 0.03  # weight of a new sample in the baseline
+WORKER_SMOOTHING = 0.15  # weight of a new sample in a worker's own deviation
+HALF_LIFE_S = 6.0  # in which a worker's deviation decays by half
+TOLERATED_DOUBLINGS = 1.5  # that cost no weight: load and caches cause as much
+WEIGHT_PER_DOUBLING = 0.125  # factor of the weight for each further doubling
+MAX_SAMPLE_DOUBLINGS = 4.0  # to which one sample is clamped in either direction
+MIN_SAMPLE_S = 0.001
+LENGTH_BUCKET_BITS = 2  # prompts whose lengths differ by less than this many doublings share a baseline
 
 
 @dataclass
-class Pace:
-    """Of one worker: by how many doublings its first events come later than usual."""
+class WorkerLatency:
+    """A worker's deviation from the baseline, in doublings of the time to first event."""
 
     doublings: float = 0.0
-    at: float = 0.0  # steady time of the latest answer
+    updated_at: float = 0.0  # monotonic time of the latest sample
 
-    def now(self, now: float) -> float:
-        """What still counts of it."""
-        return self.doublings * math.pow(0.5, max(0.0, now - self.at) / FORGET_HALF)
+    def decayed(self, now: float) -> float:
+        """Returns the deviation, decayed since the latest sample."""
+        return self.doublings * math.pow(0.5, max(0.0, now - self.updated_at) / HALF_LIFE_S)
 
     def weight(self, now: float) -> float:
-        """Factor of the worker's weight in a draw: 1 at a usual pace, less for each doubling beyond."""
-        return math.pow(WEIGHT_LEFT, max(0.0, self.now(now) - TOLERATED))
+        """Returns the factor of the worker's selection weight: 1 at usual latency, less when it is slower."""
+        return math.pow(WEIGHT_PER_DOUBLING, max(0.0, self.decayed(now) - TOLERATED_DOUBLINGS))
 
 
-class UsualPace:
-    """Mean logarithm of the time to the first event, by service and length of the prompt."""
+class LatencyBaseline:
+    """Tracks the mean logarithm of the time to first event by service and prompt length."""
 
     def __init__(self) -> None:
-        self._usual: dict[tuple[str, int], float] = {}
-
-    def answered(self, worker: Pace, service: str, tokens: int, seconds: float, now: float) -> None:
-        """A worker's first event has come so long after the request was sent."""
-        key = (service, tokens.bit_length() // SIZE_STEP)
-        taken = math.log2(max(LEAST_SECONDS, seconds))
-        usual = self._usual.setdefault(key, taken)
-        late = max(-MOST, min(MOST, taken - usual))
-        self._usual[key] = usual + USUAL_LEARNT * late
-        worker.doublings = worker.now(now) + OWN_LEARNT * (late - worker.now(now))
-        worker.at = now
+        self._means: dict[tuple[str, int], float] = {}
+
+    def record(self, worker: WorkerLatency, service: str, tokens: int, seconds: float, now: float) -> None:
+        """Records the time from sending a request to its first event, for the baseline and the worker."""
+        key = (service, tokens.bit_length() // LENGTH_BUCKET_BITS)
+        sample = math.log2(max(MIN_SAMPLE_S, seconds))
+        mean = self._means.setdefault(key, sample)
+        deviation = max(-MAX_SAMPLE_DOUBLINGS, min(MAX_SAMPLE_DOUBLINGS, sample - mean))
+        self._means[key] = mean + BASELINE_SMOOTHING * deviation
+        worker.doublings = worker.decayed(now) + WORKER_SMOOTHING * (deviation - worker.decayed(now))
+        worker.updated_at = now
--- a/heronstall/dataplane/worker_selection.py
+++ b/heronstall/dataplane/worker_selection.py
@@ -89,7 +89,7 @@
         if not good:
             return None
         weights = [
-            (1.0 / (1 + w.inflight)) ** OWN_POWER * self._room(w) * self._trust(w) * w.pace.weight(now)
+            (1.0 / (1 + w.inflight)) ** OWN_POWER * self._room(w) * self._trust(w) * w.latency.weight(now)
             for w in good
         ]
         count = compared.count(len(good))
@@ -145,7 +145,7 @@
             return None
         if worker in self._set_aside([w for w in self._pool.of(service) if w.ready], now):
             return None
-        return named if self._trust(named) * named.pace.weight(now) >= USABLE else None
+        return named if self._trust(named) * named.latency.weight(now) >= USABLE else None
 
     def _sound(self, workers: Sequence[WorkerState], now: float) -> list[WorkerState]:
         """Workers that have not failed lately, here or by the others' word."""
--- a/heronstall/dataplane/workers.py
+++ b/heronstall/dataplane/workers.py
@@ -14,7 +14,7 @@
 from heronstall.dataplane.attempts import Attempt, Attempts, LoadView
 from heronstall.dataplane.connections import FreshestFirst, RestLimit
 from heronstall.dataplane.subset import Seat, Share, ring, shares
-from heronstall.dataplane.worker_latency import Pace
+from heronstall.dataplane.worker_latency import WorkerLatency
 from heronstall.placement.prefill import affinity
 from heronstall.sessions.loads import WorkerLoad
 from heronstall.transport.messages import Worker as Entry
@@ -48,7 +48,7 @@
     failing_until: float = 0.0  # steady time: it was not reached, or broke off
     failing_elsewhere: int = 0  # other dispatchers of which that is true
     attempts: Attempts = field(default_factory=Attempts)
-    pace: Pace = field(default_factory=Pace)
+    latency: WorkerLatency = field(default_factory=WorkerLatency)
     rest: RestLimit = field(default_factory=RestLimit)
     _session: aiohttp.ClientSession | None = None
     _connector: FreshestFirst | None = None
--- a/tests/tier/test_connections.py
+++ b/tests/tier/test_connections.py
@@ -10,7 +10,7 @@
 from unittest import mock
 
 from heronstall.dataplane.connections import FIRST_REST, LEAST_REST, FreshestFirst, RestLimit
-from heronstall.dataplane.worker_latency import FORGET_HALF, Pace, UsualPace
+from heronstall.dataplane.worker_latency import HALF_LIFE_S, LatencyBaseline, WorkerLatency
 
 
 class Rests(unittest.TestCase):
@@ -113,18 +113,18 @@
 class Paces(unittest.TestCase):
     def test_a_slow_worker_loses_weight_and_gets_it_back(self) -> None:
         """One that takes eight times as long, among seven others."""
-        usual, slow, fair = UsualPace(), Pace(), Pace()
+        baseline, slow, fair = LatencyBaseline(), WorkerLatency(), WorkerLatency()
         for n in range(40):
             for _ in range(7):
-                usual.answered(fair, "s", 700, 0.02, n * 0.1)
-            usual.answered(slow, "s", 700, 0.16, n * 0.1)
+                baseline.record(fair, "s", 700, 0.02, n * 0.1)
+            baseline.record(slow, "s", 700, 0.16, n * 0.1)
         self.assertLess(slow.weight(4.0), 0.5)
         self.assertEqual(fair.weight(4.0), 1.0)
-        self.assertEqual(slow.weight(4.0 + 5 * FORGET_HALF), 1.0)
+        self.assertEqual(slow.weight(4.0 + 5 * HALF_LIFE_S), 1.0)
 
     def test_long_prompts_are_not_compared_with_short_ones(self) -> None:
-        usual, worker = UsualPace(), Pace()
+        baseline, worker = LatencyBaseline(), WorkerLatency()
         for n in range(40):
-            usual.answered(worker, "s", 100, 0.01, n * 0.1)
-            usual.answered(worker, "s", 13_000, 0.2, n * 0.1)
+            baseline.record(worker, "s", 100, 0.01, n * 0.1)
+            baseline.record(worker, "s", 13_000, 0.2, n * 0.1)
         self.assertEqual(worker.weight(4.0), 1.0)
--- a/tests/tier/test_dataplane.py
+++ b/tests/tier/test_dataplane.py
@@ -381,7 +381,7 @@
         self.admission.failed(self.pool.by_id["w1"])
         for _ in range(30):
             self.admission.answered(self.pool.by_id["w2"], 500)
-        self.pool.by_id["w3"].pace.doublings, self.pool.by_id["w3"].pace.at = 3.0, now
+        self.pool.by_id["w3"].latency.doublings, self.pool.by_id["w3"].latency.updated_at = 3.0, now
         self.assertEqual([usable(f"w{k}") for k in range(4)], [False] * 4)
 
     def test_words_against_most_workers_set_none_aside(self) -> None:
