--- a/benchmarks/draw_cost.py
+++ b/benchmarks/draw_cost.py
@@ -16,7 +16,7 @@
 
 from heronstall.dataplane.admission import Admission
 from heronstall.dataplane.prefixes import NO_SHARED_PREFIX, parse_shared_prefix
-from heronstall.dataplane.subset import Seat
+from heronstall.dataplane.subset import DispatcherPosition
 from heronstall.dataplane.workers import WorkerPool
 from heronstall.placement.prefill import Load, PrefillPlanner, Prompt
 from heronstall.transport.messages import Worker
@@ -36,7 +36,7 @@
             for k in range(workers)
         }
     )
-    pool.seat = Seat(5, max(2, workers * 3 // 2))
+    pool.position = DispatcherPosition(5, max(2, workers * 3 // 2))
     for worker in pool.by_id.values():
         worker.inflight = int(rng.random() < 0.1)
         worker.others_live = rng.uniform(0, PLACES)
--- a/heronstall/dataplane/item_slots.py
+++ b/heronstall/dataplane/item_slots.py
@@ -65,7 +65,7 @@
 
     def _misses_a_worker(self, service: str) -> bool:
         now = self._clock()
-        shared = (self._pool.by_id.get(name) for name in self._pool.shares(service))
+        shared = (self._pool.by_id.get(name) for name in self._pool.worker_shares(service))
         return any(w is None or w.avoid_until > now or w.attempts.suspected(now) for w in shared)
 
     def room(self, service: str) -> bool:
@@ -91,11 +91,11 @@
 
     def _places(self, worker: WorkerState) -> int:
         """This dispatcher's places at a worker: whole ones, of which each is one dispatcher's."""
-        share = self._pool.shares(worker.entry.service).get(worker.entry.id)
+        share = self._pool.worker_shares(worker.entry.service).get(worker.entry.id)
         if share is None:
             return 0
         left = self._full(worker) - worker.live
-        return share.of(max(1.0, ITEMS_LEAST * worker.capacity, left))
+        return share.slots(max(1.0, ITEMS_LEAST * worker.capacity, left))
 
     def _full(self, worker: WorkerState) -> float:
         """Requests and items at a worker from which it has no room for an item."""
--- a/heronstall/dataplane/node.py
+++ b/heronstall/dataplane/node.py
@@ -20,7 +20,7 @@
 from heronstall.dataplane.prompt_placement import PromptPlacer
 from heronstall.dataplane.routing import read_routes
 from heronstall.dataplane.shard_client import ShardClient
-from heronstall.dataplane.subset import Seat
+from heronstall.dataplane.subset import DispatcherPosition
 from heronstall.dataplane.workers import WorkerPool
 from heronstall.distribution.freshness import KnowledgeLimits
 from heronstall.distribution.view import View
@@ -150,7 +150,7 @@
         )
 
     def _answered(self) -> None:
-        self.pool.seat = Seat(self.view.edge_number, self.view.edges)
+        self.pool.position = DispatcherPosition(self.view.edge_number, self.view.edges)
         self.pool.take_loads(self.view.loads)
 
     def _news(self, changed: set[str]) -> None:
--- a/heronstall/dataplane/subset.py
+++ b/heronstall/dataplane/subset.py
@@ -1,8 +1,9 @@
-"""Which workers a dispatcher prefers: a part of them, so that its own streams tell most of their load.
+"""Subsetting: each dispatcher prefers some of the workers, so that its own streams show most of their load.
 
-Dispatchers hear of each other's load late. Were each to draw among all workers, a worker's load would vary
-like that of any random draw. With every worker shared by a few dispatchers that each spread their own streams
-evenly it varies less, nobody needs fresher news, and connections are fewer. Free of I/O.
+Dispatchers learn of each other's load late. If each selected among all workers, the load of a worker would
+vary like that of any random assignment. If every worker is shared by a few dispatchers that each spread their
+own streams evenly, the load varies less, fresher load reports are not needed, and fewer connections are
+opened. Performs no I/O.
 """
 
 from __future__ import annotations
@@ -13,59 +14,60 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-LEAST = 3  # workers that a dispatcher prefers, however little it has to do
-IDLE = 2  # preferred workers beyond the streams that it has in flight
+MIN_SUBSET_SIZE = 3  # workers that a dispatcher prefers, however few streams it has
+SPARE_WORKERS = 2  # preferred workers beyond the streams in flight
 
 
 @dataclass(frozen=True)
-class Seat:
-    """A dispatcher's place among the live ones, from 1; 0 is not known."""
+class DispatcherPosition:
+    """The position of a dispatcher among the live ones, from 1; 0 if it is unknown."""
 
     number: int = 0
     dispatchers: int = 1
 
 
-def ring(workers: Iterable[str]) -> list[str]:
-    """Workers in an order that is the same at every dispatcher and mixes their zones."""
+def hash_ring(workers: Iterable[str]) -> list[str]:
+    """Returns the workers in an order that is the same at every dispatcher and mixes their zones."""
     return sorted(workers, key=lambda name: (zlib.crc32(name.encode()), name))
 
 
-def preferred(workers: list[str], seat: Seat, inflight: int) -> frozenset[str]:
-    """The workers of a ring that a dispatcher with so many streams in flight prefers; none: no preference.
+def preferred_subset(workers: list[str], position: DispatcherPosition, inflight: int) -> frozenset[str]:
+    """Returns the workers of a ring that a dispatcher prefers; empty for no preference.
 
-    The dispatchers' parts begin at even distances round the ring: all workers are in about as many of them.
+    The subset grows with the dispatcher's streams in flight. The subsets of all dispatchers begin at even
+    distances around the ring, so every worker is in about as many of them.
     """
-    size = max(LEAST, inflight + IDLE)
-    if not seat.number or size >= len(workers):
+    size = max(MIN_SUBSET_SIZE, inflight + SPARE_WORKERS)
+    if not position.number or size >= len(workers):
         return frozenset()
-    start = (seat.number - 1) * len(workers) // max(seat.number, seat.dispatchers)
+    start = (position.number - 1) * len(workers) // max(position.number, position.dispatchers)
     return frozenset(workers[(start + step) % len(workers)] for step in range(size))
 
 
-class Share(NamedTuple):
-    """The part of a worker that is one dispatcher's, from 0 to 1."""
+class WorkerShare(NamedTuple):
+    """The fraction of a worker that belongs to one dispatcher, as an interval within 0 to 1."""
 
     begin: float
     end: float
 
-    def of(self, places: float) -> int:
-        """Whole places of this part: the dispatchers' parts of a worker add up to all of them."""
-        return math.floor(self.end * places + 0.5) - math.floor(self.begin * places + 0.5)
+    def slots(self, total: float) -> int:
+        """Returns the whole slots of this share; the shares of all dispatchers add up to the total."""
+        return math.floor(self.end * total + 0.5) - math.floor(self.begin * total + 0.5)
 
 
-def shares(workers: list[str], seat: Seat) -> dict[str, Share]:
-    """A dispatcher's shares of the workers of a ring, cut into as many equal parts as dispatchers live.
+def worker_shares(workers: list[str], position: DispatcherPosition) -> dict[str, WorkerShare]:
+    """Returns a dispatcher's shares of a ring that is cut into as many equal parts as dispatchers are live.
 
-    One without a known seat has none.
+    A dispatcher with an unknown position has no share.
     """
-    if not seat.number:
+    if not position.number:
         return {}
-    dispatchers = max(seat.number, seat.dispatchers)
-    begin = (seat.number - 1) * len(workers) / dispatchers
-    end = seat.number * len(workers) / dispatchers
+    dispatchers = max(position.number, position.dispatchers)
+    begin = (position.number - 1) * len(workers) / dispatchers
+    end = position.number * len(workers) / dispatchers
     found = {}
-    for place in range(int(begin), min(len(workers), math.ceil(end))):
-        share = Share(max(0.0, begin - place), min(1.0, end - place))
+    for index in range(int(begin), min(len(workers), math.ceil(end))):
+        share = WorkerShare(max(0.0, begin - index), min(1.0, end - index))
         if share.end > share.begin:
-            found[workers[place]] = share
+            found[workers[index]] = share
     return found
--- a/heronstall/dataplane/worker_selection.py
+++ b/heronstall/dataplane/worker_selection.py
@@ -12,7 +12,7 @@
 from typing import NamedTuple
 
 from heronstall.dataplane.prefixes import SharedPrefix
-from heronstall.dataplane.subset import preferred
+from heronstall.dataplane.subset import preferred_subset
 from heronstall.dataplane.workers import WITNESSES, WorkerPool, WorkerState
 from heronstall.placement.prefill import affinity
 
@@ -115,7 +115,7 @@
         if len(workers) <= ALL_OF:
             return Compared(workers)
         own_workers = self._preferred(service, workers)
-        named = {*self._pool.shares(service), *own_workers}
+        named = {*self._pool.worker_shares(service), *own_workers}
         if prefix.is_large:
             named.update(self._pool.homes(service, prefix.segment))
         at_random = [w for w in self._random.sample(workers, DRAWN) if w.entry.id not in named]
@@ -126,7 +126,9 @@
 
     def _preferred(self, service: str, workers: Sequence[WorkerState]) -> frozenset[str]:
         """The workers that this dispatcher prefers, with so many streams as it has there."""
-        return preferred(self._pool.ring(service), self._pool.seat, sum(w.inflight for w in workers))
+        return preferred_subset(
+            self._pool.hash_ring(service), self._pool.position, sum(w.inflight for w in workers)
+        )
 
     @staticmethod
     def _able(compared: Compared, tried: set[str]) -> list[WorkerState]:
--- a/heronstall/dataplane/workers.py
+++ b/heronstall/dataplane/workers.py
@@ -13,7 +13,7 @@
 
 from heronstall.dataplane.attempts import Attempt, Attempts, LoadView
 from heronstall.dataplane.connections import FreshestFirst, RestLimit
-from heronstall.dataplane.subset import Seat, Share, ring, shares
+from heronstall.dataplane.subset import DispatcherPosition, WorkerShare, hash_ring, worker_shares
 from heronstall.dataplane.worker_latency import WorkerLatency
 from heronstall.placement.prefill import affinity
 from heronstall.sessions.loads import WorkerLoad
@@ -161,8 +161,8 @@
         self.by_id: dict[str, WorkerState] = {}
         self._by_service: dict[str, list[WorkerState]] = {}
         self._rings: dict[str, list[str]] = {}
-        self._seat = Seat()
-        self._shares: dict[str, dict[str, Share]] = {}
+        self._position = DispatcherPosition()
+        self._shares: dict[str, dict[str, WorkerShare]] = {}
         self._homes: dict[tuple[str, str], tuple[str, ...]] = {}
         self.changed = asyncio.Event()
 
@@ -183,7 +183,7 @@
         for worker in self.by_id.values():
             self._by_service.setdefault(worker.entry.service, []).append(worker)
         self._rings = {
-            service: ring(w.entry.id for w in workers if w.ready)
+            service: hash_ring(w.entry.id for w in workers if w.ready)
             for service, workers in self._by_service.items()
         }
         self._shares = {}
@@ -192,20 +192,20 @@
         self.changed = asyncio.Event()
 
     @property
-    def seat(self) -> Seat:
+    def position(self) -> DispatcherPosition:
         """This dispatcher's place among all."""
-        return self._seat
+        return self._position
 
-    @seat.setter
-    def seat(self, seat: Seat) -> None:
-        if seat != self._seat:
-            self._seat, self._shares = seat, {}
+    @position.setter
+    def position(self, position: DispatcherPosition) -> None:
+        if position != self._position:
+            self._position, self._shares = position, {}
 
-    def shares(self, service: str) -> dict[str, Share]:
+    def worker_shares(self, service: str) -> dict[str, WorkerShare]:
         """This dispatcher's shares of the ready workers of a service, by worker."""
         found = self._shares.get(service)
         if found is None:
-            found = self._shares[service] = shares(self.ring(service), self._seat)
+            found = self._shares[service] = worker_shares(self.hash_ring(service), self._position)
         return found
 
     def homes(self, service: str, part: str) -> tuple[str, ...]:
@@ -214,7 +214,7 @@
         if found is None:
             if len(self._homes) >= PARTS_MOST:
                 self._homes.clear()
-            found = tuple(nlargest(HOMES_KEPT, self.ring(service), lambda name: affinity(part, name)))
+            found = tuple(nlargest(HOMES_KEPT, self.hash_ring(service), lambda name: affinity(part, name)))
             self._homes[service, part] = found
         return found
 
@@ -250,7 +250,7 @@
             if w.inflight or w.failing_until > now
         ]
 
-    def ring(self, service: str) -> list[str]:
+    def hash_ring(self, service: str) -> list[str]:
         """The ready workers of a service in the order from which dispatchers' subsets are taken."""
         return self._rings.get(service, [])
 
--- a/heronstall/model/serving/fleet.py
+++ b/heronstall/model/serving/fleet.py
@@ -18,7 +18,7 @@
 
 from heronstall.dataplane.admission import Admission
 from heronstall.dataplane.prefixes import SharedPrefix, parse_shared_prefix
-from heronstall.dataplane.subset import Seat
+from heronstall.dataplane.subset import DispatcherPosition
 from heronstall.dataplane.workers import WorkerPool, WorkerState
 from heronstall.model.kernel import VirtualTime
 from heronstall.model.serving.engine import MICROSECONDS, Engine, EngineRequest, PromptPart
@@ -95,7 +95,7 @@
         self.admission = Admission(self.pool, rng, zone, lambda: fleet.time.now / MICROSECONDS)
         self.admission.items.began = -100.0
         self.pool.update(fleet.entries())
-        self.pool.seat = Seat(number + 1, fleet.deployment.dispatchers)
+        self.pool.position = DispatcherPosition(number + 1, fleet.deployment.dispatchers)
         self.items: list[tuple[int, int, ModelRequest]] = []  # leased and not yet sent
         self.held = 0
 
--- a/tests/tier/test_dataplane.py
+++ b/tests/tier/test_dataplane.py
@@ -25,7 +25,13 @@
 from heronstall.dataplane.forwarding import USAGE, Passage
 from heronstall.dataplane.prefixes import NO_SHARED_PREFIX, parse_shared_prefix
 from heronstall.dataplane.routing import Routes, RouteType, read_routes
-from heronstall.dataplane.subset import IDLE, LEAST, Seat, preferred, ring
+from heronstall.dataplane.subset import (
+    MIN_SUBSET_SIZE,
+    SPARE_WORKERS,
+    DispatcherPosition,
+    hash_ring,
+    preferred_subset,
+)
 from heronstall.dataplane.workers import UnsendablePath, WorkerPool, WorkerState
 from heronstall.placement.prefill import affinity
 from heronstall.sessions.loads import WorkerLoad
@@ -273,7 +279,7 @@
     def setUp(self) -> None:
         self.pool = WorkerPool.__new__(WorkerPool)
         self.pool.by_id, self.pool._by_service, self.pool._rings = {}, {}, {}
-        self.pool._seat, self.pool._shares = Seat(), {}
+        self.pool._position, self.pool._shares = DispatcherPosition(), {}
         self.pool.changed = mock.Mock()
         with mock.patch("asyncio.Event", mock.Mock):
             self.pool.update(
@@ -408,30 +414,39 @@
             (7, 9, 1),
         ):
             with self.subTest(workers=workers, dispatchers=dispatchers):
-                names = ring(f"i-{k}" for k in range(workers))
-                parts = [preferred(names, Seat(n + 1, dispatchers), inflight) for n in range(dispatchers)]
-                self.assertEqual({len(part) for part in parts}, {max(LEAST, inflight + IDLE)})
+                names = hash_ring(f"i-{k}" for k in range(workers))
+                parts = [
+                    preferred_subset(names, DispatcherPosition(n + 1, dispatchers), inflight)
+                    for n in range(dispatchers)
+                ]
+                self.assertEqual(
+                    {len(part) for part in parts}, {max(MIN_SUBSET_SIZE, inflight + SPARE_WORKERS)}
+                )
                 shared = Counter(name for part in parts for name in part)
                 counts = [shared[name] for name in names]
                 if dispatchers >= workers:
-                    self.assertLessEqual(max(counts) - min(counts), max(1, (LEAST + inflight + IDLE) // 2))
-                whole = dispatchers * max(LEAST, inflight + IDLE) / workers
+                    self.assertLessEqual(
+                        max(counts) - min(counts), max(1, (MIN_SUBSET_SIZE + inflight + SPARE_WORKERS) // 2)
+                    )
+                whole = dispatchers * max(MIN_SUBSET_SIZE, inflight + SPARE_WORKERS) / workers
                 self.assertLess(max(counts), whole + 2)
 
     def test_the_ring_does_not_hang_on_the_order_of_the_table(self) -> None:
         names = [f"i-{k}" for k in range(20)]
-        self.assertEqual(ring(names), ring(reversed(names)))
+        self.assertEqual(hash_ring(names), hash_ring(reversed(names)))
 
     def test_few_workers_or_an_unknown_seat_make_no_part(self) -> None:
-        names = ring(f"i-{k}" for k in range(6))
-        self.assertEqual(preferred(names, Seat(1, 4), 6 - IDLE), frozenset())
-        self.assertEqual(preferred(names, Seat(0, 4), 0), frozenset())
-        self.assertEqual(preferred([], Seat(1, 4), 0), frozenset())
-        self.assertEqual(len(preferred(names, Seat(9, 4), 0)), LEAST)  # told by a node that knows fewer
+        names = hash_ring(f"i-{k}" for k in range(6))
+        self.assertEqual(preferred_subset(names, DispatcherPosition(1, 4), 6 - SPARE_WORKERS), frozenset())
+        self.assertEqual(preferred_subset(names, DispatcherPosition(0, 4), 0), frozenset())
+        self.assertEqual(preferred_subset([], DispatcherPosition(1, 4), 0), frozenset())
+        self.assertEqual(
+            len(preferred_subset(names, DispatcherPosition(9, 4), 0)), MIN_SUBSET_SIZE
+        )  # told by a node that knows fewer
 
     def test_more_streams_make_the_part_larger_and_keep_what_is_in_it(self) -> None:
-        names = ring(f"i-{k}" for k in range(40))
-        parts = [preferred(names, Seat(5, 9), inflight) for inflight in range(20)]
+        names = hash_ring(f"i-{k}" for k in range(40))
+        parts = [preferred_subset(names, DispatcherPosition(5, 9), inflight) for inflight in range(20)]
         for smaller, larger in itertools.pairwise(parts):
             self.assertLessEqual(smaller, larger)
 
@@ -451,7 +466,7 @@
             pool.update({n: Worker(id=n, service="s", state="ready", capacity=12) for n in names})
             edges.append(Admission(pool, rng))
             if seats:
-                pool.seat = Seat(number, self.DISPATCHERS)
+                pool.position = DispatcherPosition(number, self.DISPATCHERS)
         streams: list[tuple[Admission, WorkerState]] = []
         loads: Counter[str] = Counter()
         for _ in range(self.ROUNDS * self.STREAMS):
--- a/tests/tier/test_item_slots.py
+++ b/tests/tier/test_item_slots.py
@@ -9,7 +9,7 @@
 from heronstall.dataplane.admission import Admission
 from heronstall.dataplane.item_slots import FIRST_PLACES, TOLD_FOR
 from heronstall.dataplane.prefixes import NO_SHARED_PREFIX
-from heronstall.dataplane.subset import Seat, Share, ring, shares
+from heronstall.dataplane.subset import DispatcherPosition, WorkerShare, hash_ring, worker_shares
 from heronstall.dataplane.workers import WorkerPool
 from heronstall.transport.messages import Worker
 
@@ -28,14 +28,14 @@
     """One dispatcher or some before workers of ten places."""
 
     def dispatcher(
-        self, seat: Seat, workers: int = 4, capacity: int = 10
+        self, position: DispatcherPosition, workers: int = 4, capacity: int = 10
     ) -> tuple[WorkerPool, Admission, Clock]:
         pool, clock = WorkerPool(), Clock()
         entries = {
             f"w{k}": Worker(id=f"w{k}", service="s", state="ready", capacity=capacity) for k in range(workers)
         }
         pool.update(entries)
-        pool.seat = seat
+        pool.position = position
         admission = Admission(pool, random.Random(3), clock=clock)
         clock.now = LONG_AFTER
         return pool, admission, clock
@@ -43,21 +43,21 @@
 
 class Bounds(PlacesCase):
     async def test_items_stay_off_full_workers(self) -> None:
-        pool, admission, _ = self.dispatcher(Seat(1, 1))
+        pool, admission, _ = self.dispatcher(DispatcherPosition(1, 1))
         for worker in pool.by_id.values():
             worker.others_live = 7  # of 10: less than the root of the places and a fifth is free
         self.assertFalse(admission.room_for_item("s"))
         self.assertIsNone(admission.pick("s", NO_SHARED_PREFIX, set(), for_item=True))
 
     async def test_the_bound_grows_from_the_start_on(self) -> None:
-        _, admission, clock = self.dispatcher(Seat(1, 1))
+        _, admission, clock = self.dispatcher(DispatcherPosition(1, 1))
         clock.now = 0.0
         self.assertEqual(admission.items.most("s"), FIRST_PLACES)
         clock.now = 1.0
         self.assertEqual(admission.items.most("s"), 7)
 
     async def test_live_requests_leave_items_fewer_places(self) -> None:
-        pool, admission, _ = self.dispatcher(Seat(1, 1))
+        pool, admission, _ = self.dispatcher(DispatcherPosition(1, 1))
         self.assertEqual(admission.items.most("s"), 24)  # of 40, a fifth more than a root of each ten free
         for worker in pool.by_id.values():
             worker.others_live = 4
@@ -67,7 +67,7 @@
         self.assertEqual(admission.items.most("s"), 4, "one at each worker, as soon as it has room")
 
     async def test_urgent_items_get_places_that_are_kept_free_at_leisure(self) -> None:
-        _, admission, clock = self.dispatcher(Seat(1, 1))
+        _, admission, clock = self.dispatcher(DispatcherPosition(1, 1))
         leisure = admission.items.most("s")
         found = []
         for left in (0.9, 0.6, 0.4, 0.2, 0.05):
@@ -85,20 +85,20 @@
         self.assertEqual(admission.items.most("s"), leisure, "nothing was leased for a while")
 
     async def test_some_items_are_leased_ahead_and_none_without_places(self) -> None:
-        pool, admission, _ = self.dispatcher(Seat(1, 1))
+        pool, admission, _ = self.dispatcher(DispatcherPosition(1, 1))
         self.assertEqual(admission.items_to_lease("s"), 32)  # 24 places and three tenths
         for worker in pool.by_id.values():
             worker.avoid_until = LONG_AFTER + 1
         self.assertEqual(admission.items_to_lease("s"), 0)
 
     async def test_a_worker_of_one_place_takes_an_item_when_it_is_free(self) -> None:
-        pool, admission, _ = self.dispatcher(Seat(1, 1), workers=1, capacity=1)
+        pool, admission, _ = self.dispatcher(DispatcherPosition(1, 1), workers=1, capacity=1)
         self.assertTrue(admission.room_for_item("s"))
         pool.by_id["w0"].others_live = 1
         self.assertFalse(admission.room_for_item("s"))
 
     async def test_a_dispatcher_without_a_share_runs_one_item_at_a_worker_that_is_nearly_idle(self) -> None:
-        pool, admission, _ = self.dispatcher(Seat(1, 40), workers=1)  # a fortieth of six places
+        pool, admission, _ = self.dispatcher(DispatcherPosition(1, 40), workers=1)  # a fortieth of six places
         self.assertEqual(admission.items.most("s"), 1)
         worker = admission.pick("s", NO_SHARED_PREFIX, set(), for_item=True)
         assert worker is not None
@@ -108,8 +108,8 @@
         self.assertEqual(admission.items.most("s"), 0)
 
     async def test_what_was_leased_goes_elsewhere_while_a_shared_worker_is_out_of_reach(self) -> None:
-        pool, admission, _ = self.dispatcher(Seat(1, 4))
-        (mine,) = pool.shares("s")
+        pool, admission, _ = self.dispatcher(DispatcherPosition(1, 4))
+        (mine,) = pool.worker_shares("s")
         places = admission.items.most("s")
         for worker in pool.by_id.values():
             worker.others_live = 4
@@ -134,7 +134,7 @@
             with self.subTest(workers=workers, dispatchers=count):
                 taken: Counter[str] = Counter()
                 for number in range(1, count + 1):
-                    pool, admission, _ = self.dispatcher(Seat(number, count), workers, capacity)
+                    pool, admission, _ = self.dispatcher(DispatcherPosition(number, count), workers, capacity)
                     for worker in pool.by_id.values():
                         worker.others_live = live
                         while (
@@ -142,7 +142,7 @@
                         ):
                             worker.items += 1
                             worker.inflight += 1
-                        if pool.shares("s").get(worker.entry.id):
+                        if pool.worker_shares("s").get(worker.entry.id):
                             taken[worker.entry.id] += worker.items
                 if live:
                     self.assertEqual(len(taken), workers)
@@ -150,13 +150,13 @@
 
     def test_the_shares_of_all_dispatchers_are_the_whole_ring(self) -> None:
         for workers, dispatchers in ((45, 68), (6, 7), (600, 350), (1, 9), (9, 1), (36, 36)):
-            names = ring(f"i-{k}" for k in range(workers))
+            names = hash_ring(f"i-{k}" for k in range(workers))
             whole: defaultdict[str, float] = defaultdict(float)
             places: Counter[str] = Counter()
             for number in range(1, dispatchers + 1):
-                for name, share in shares(names, Seat(number, dispatchers)).items():
+                for name, share in worker_shares(names, DispatcherPosition(number, dispatchers)).items():
                     whole[name] += share.end - share.begin
-                    places[name] += share.of(7.3)
+                    places[name] += share.slots(7.3)
             with self.subTest(workers=workers, dispatchers=dispatchers):
                 self.assertEqual(set(whole), set(names))
                 for name in names:
@@ -164,20 +164,20 @@
                     self.assertEqual(places[name], 7)
 
     def test_an_unknown_seat_has_no_share(self) -> None:
-        self.assertEqual(shares(ring(["a", "b"]), Seat(0, 4)), {})
-        self.assertEqual(shares([], Seat(1, 4)), {})
+        self.assertEqual(worker_shares(hash_ring(["a", "b"]), DispatcherPosition(0, 4)), {})
+        self.assertEqual(worker_shares([], DispatcherPosition(1, 4)), {})
 
     def test_a_whole_share_is_all_places(self) -> None:
-        self.assertEqual(Share(0.0, 1.0).of(11.6), 12)
+        self.assertEqual(WorkerShare(0.0, 1.0).slots(11.6), 12)
 
     async def test_a_new_seat_and_a_new_table_change_the_shares(self) -> None:
-        pool, _, _ = self.dispatcher(Seat(1, 2))
-        first = pool.shares("s")
-        pool.seat = Seat(2, 2)
-        second = pool.shares("s")
+        pool, _, _ = self.dispatcher(DispatcherPosition(1, 2))
+        first = pool.worker_shares("s")
+        pool.position = DispatcherPosition(2, 2)
+        second = pool.worker_shares("s")
         self.assertFalse(set(first) & set(second))
         pool.update({"w9": Worker(id="w9", service="s", state="ready", capacity=4)})
-        self.assertEqual(set(pool.shares("s")), {"w9"})
+        self.assertEqual(set(pool.worker_shares("s")), {"w9"})
 
 
 if __name__ == "__main__":
--- a/tests/tier/test_names.py
+++ b/tests/tier/test_names.py
@@ -15,7 +15,7 @@
 from heronstall.dataplane.misses import EndedRequest, miss_reason
 from heronstall.dataplane.prefixes import NO_SHARED_PREFIX, parse_shared_prefix
 from heronstall.dataplane.routing import read_routes
-from heronstall.dataplane.subset import Seat
+from heronstall.dataplane.subset import DispatcherPosition
 from heronstall.dataplane.workers import WorkerPool
 from heronstall.sessions.loads import WorkerLoad
 from heronstall.transport.messages import Worker
@@ -69,7 +69,7 @@
                 for k in range(WORKERS)
             }
         )
-        pool.seat = Seat(2, 5)
+        pool.position = DispatcherPosition(2, 5)
         admission = Admission(pool, random.Random(7), rename("z1"), clock=lambda: 100.0)
         admission.items.began = 0.0
         pool.take_loads({f"i-{k}": WorkerLoad(f"i-{k}", k % 5, k % 3) for k in range(WORKERS)})
--- a/tests/tier/test_worker_selection.py
+++ b/tests/tier/test_worker_selection.py
@@ -9,7 +9,7 @@
 from heronstall.dataplane import worker_selection
 from heronstall.dataplane.admission import Admission
 from heronstall.dataplane.prefixes import NO_SHARED_PREFIX, SharedPrefix, parse_shared_prefix
-from heronstall.dataplane.subset import LEAST, Seat
+from heronstall.dataplane.subset import MIN_SUBSET_SIZE, DispatcherPosition
 from heronstall.dataplane.workers import HOMES_KEPT, WorkerPool
 from heronstall.placement.prefill import affinity
 from heronstall.transport.messages import Worker
@@ -27,10 +27,10 @@
         self.now = 100.0
         self.admission = Admission(self.pool, random.Random(5), "z", lambda: self.now)
 
-    def workers(self, count: int, seat: Seat | None = None) -> None:
+    def workers(self, count: int, position: DispatcherPosition | None = None) -> None:
         names = [f"i-{k:05d}" for k in range(count)]
         self.pool.update({n: Worker(id=n, service=SERVICE, state="ready", capacity=PLACES) for n in names})
-        self.pool.seat = seat or Seat()
+        self.pool.position = position or DispatcherPosition()
 
     def drawn(self, prefix: SharedPrefix = NO_SHARED_PREFIX, times: int = DRAWS) -> Counter[str]:
         found: Counter[str] = Counter()
@@ -64,11 +64,11 @@
         self.assertEqual(len(self.drawn(times=60 * MANY)), MANY)
 
     def test_a_dispatchers_own_workers_are_always_among_the_compared(self) -> None:
-        self.workers(MANY, Seat(3, 100))
+        self.workers(MANY, DispatcherPosition(3, 100))
         found = self.drawn(times=600)
-        own = [name for name, _ in found.most_common(LEAST)]
+        own = [name for name, _ in found.most_common(MIN_SUBSET_SIZE)]
         weight = (
-            LEAST * worker_selection.PREFERRED / (LEAST * worker_selection.PREFERRED + 1)
+            MIN_SUBSET_SIZE * worker_selection.PREFERRED / (MIN_SUBSET_SIZE * worker_selection.PREFERRED + 1)
         )  # relative to the weight of all workers
         deviation = (weight * (1 - weight) / 600) ** 0.5
         self.assertGreater(sum(found[name] for name in own) / 600, weight - SPREAD * deviation)
@@ -100,7 +100,7 @@
         self.assertEqual(set(self.drawn(times=20)), {"i-00123"})
 
     def test_an_item_finds_the_worker_that_takes_one(self) -> None:
-        self.workers(MANY, Seat(1, 1))
+        self.workers(MANY, DispatcherPosition(1, 1))
         for worker in self.pool.by_id.values():
             worker.others_live = 2.0 * PLACES
         self.pool.by_id["i-00077"].others_live = 0.0
