--- a/heronstall/dataplane/admission.py
+++ b/heronstall/dataplane/admission.py
@@ -98,7 +98,7 @@
         pause = min(AVOID_MOST, AVOID_FIRST * 2 ** (worker.failures - 1))
         worker.avoid_until = self._clock() + pause * (0.8 + 0.4 * self._random.random())
         worker.failing_until = worker.avoid_until
-        worker.forget_kept()
+        worker.close_idle_connections()
 
     def full(self, worker: WorkerState) -> None:
         """A worker has refused for want of room."""
--- a/heronstall/dataplane/connections.py
+++ b/heronstall/dataplane/connections.py
@@ -1,4 +1,4 @@
-"""Kept connections to one worker: which is used next, and how long one may rest."""
+"""Keep-alive connections to one worker: which is reused next, and how long one may stay idle."""
 
 from __future__ import annotations
 
@@ -10,87 +10,88 @@
 from aiohttp.client_reqrep import ConnectionKey
 from aiohttp.connector import Connection
 
-FIRST_REST = 2.0  # seconds that a connection may rest before the worker has told more
-TOLD_SHARE = 0.7  # part of the told time that is used
-BROKEN_SHARE = 0.6  # part of a rest after which a connection was found broken
-LEAST_REST = 0.1  # seconds
-REGAINED = 1.04  # by which each answer lengthens a rest that was shortened
+INITIAL_IDLE_LIMIT_S = 2.0  # until the worker advertises its keep-alive timeout
+ADVERTISED_SHARE = 0.7  # fraction of the advertised timeout that is used
+RESET_SHARE = 0.6  # fraction, used as the new limit, of the idle time after which a connection was reset
+MIN_IDLE_LIMIT_S = 0.1
+RECOVERY_FACTOR = 1.04  # by which each response lengthens a limit that a reset has shortened
 
 
-class RestLimit:
-    """Seconds that a connection to one worker may rest: told by it, shortened by what breaks. Free of I/O.
+class IdleLimit:
+    """How long a connection to one worker may stay idle before it is no longer reused. Performs no I/O.
 
-    A worker may forget a resting connection without a word; what is sent on it then is reset, and may not
-    be sent again where a second run is forbidden.
+    A worker may drop an idle connection silently. A request sent on it is then reset, and must not be sent
+    again if a second execution is forbidden. The limit follows the worker's advertised timeout and is
+    shortened by resets.
     """
 
     def __init__(self) -> None:
-        self._told = FIRST_REST
-        self._seen = float("inf")
+        self._advertised = INITIAL_IDLE_LIMIT_S
+        self._observed = float("inf")
 
     @property
     def seconds(self) -> float:
-        """The limit that holds now."""
-        return min(self._told, self._seen)
+        """The current limit."""
+        return min(self._advertised, self._observed)
 
-    def told(self, seconds: float) -> None:
-        """The worker says how long it lets a connection rest."""
-        self._told = max(LEAST_REST, TOLD_SHARE * seconds)
+    def set_advertised(self, seconds: float) -> None:
+        """Sets the keep-alive timeout that the worker has advertised."""
+        self._advertised = max(MIN_IDLE_LIMIT_S, ADVERTISED_SHARE * seconds)
 
-    def broken_after(self, rest: float) -> None:
-        """A connection that had rested for so long was reset by the first thing sent on it."""
-        self._seen = max(LEAST_REST, min(self._seen, BROKEN_SHARE * rest))
+    def record_reset(self, idle_seconds: float) -> None:
+        """Records that a connection was reset by the first request after this idle time."""
+        self._observed = max(MIN_IDLE_LIMIT_S, min(self._observed, RESET_SHARE * idle_seconds))
 
-    def answered(self) -> None:
-        """A request was answered."""
-        self._seen *= REGAINED
+    def record_response(self) -> None:
+        """Records that a request was answered."""
+        self._observed *= RECOVERY_FACTOR
 
 
-class FreshestFirst(aiohttp.TCPConnector):
-    """Uses the connection first that has rested least, and tells how long that was."""
+class MostRecentlyUsedConnector(aiohttp.TCPConnector):
+    """Reuses the connection with the shortest idle time first, and reports that idle time."""
 
-    def __init__(self, limit: RestLimit) -> None:
+    def __init__(self, limit: IdleLimit) -> None:
         super().__init__(
-            limit=0, keepalive_timeout=FIRST_REST, enable_cleanup_closed=False, use_dns_cache=False
+            limit=0, keepalive_timeout=INITIAL_IDLE_LIMIT_S, enable_cleanup_closed=False, use_dns_cache=False
         )
-        self._rest_limit = limit
-        self._rested: dict[asyncio.Task[Any] | None, float] = {}
+        self._idle_limit = limit
+        self._idle_times: dict[asyncio.Task[Any] | None, float] = {}
 
     async def _get(self, key: ConnectionKey, traces: list[Any]) -> Connection | None:
-        # The library's own order is the longest-rested first; it has no public word for another.
-        self._keepalive_timeout = self._rest_limit.seconds
-        self._end_spoiled(key)
-        kept = self._conns.get(key)
-        rest: float | None = None
-        if kept:
-            kept.rotate(1)
-            rest = time.monotonic() - kept[0][1]
+        # aiohttp reuses the connection with the longest idle time first; its public API has no other order.
+        self._keepalive_timeout = self._idle_limit.seconds
+        self._close_unusable(key)
+        idle = self._conns.get(key)
+        idle_seconds: float | None = None
+        if idle:
+            idle.rotate(1)
+            idle_seconds = time.monotonic() - idle[0][1]
         connection = await super()._get(key, traces)
-        if connection is not None and rest is not None:
-            self._rested[asyncio.current_task()] = rest
+        if connection is not None and idle_seconds is not None:
+            self._idle_times[asyncio.current_task()] = idle_seconds
         return connection
 
-    def _end_spoiled(self, key: ConnectionKey) -> None:
-        """End resting connections on which bytes came for which no request waits: an old answer, maybe."""
-        kept = self._conns.get(key)
-        for entry in [e for e in kept or () if e[0].should_close]:
+    def _close_unusable(self, key: ConnectionKey) -> None:
+        """Closes idle connections that received unrequested bytes, which may be a late response."""
+        idle = self._conns.get(key)
+        for entry in [e for e in idle or () if e[0].should_close]:
             entry[0].close()
-            kept.remove(entry)  # type: ignore[union-attr]
-        if kept is not None and not kept:
+            idle.remove(entry)  # type: ignore[union-attr]
+        if idle is not None and not idle:
             del self._conns[key]
 
-    def has_kept(self, now: float) -> bool:
-        """Whether a connection rests here that may still be used."""
-        limit = self._rest_limit.seconds
-        return any(kept and now - kept[-1][1] < limit for kept in self._conns.values())
+    def has_idle_connection(self, now: float) -> bool:
+        """Returns whether an idle connection can still be reused."""
+        limit = self._idle_limit.seconds
+        return any(idle and now - idle[-1][1] < limit for idle in self._conns.values())
 
-    def forget_kept(self) -> None:
-        """End all connections that rest."""
-        for kept in self._conns.values():
-            for protocol, _ in kept:
+    def close_idle_connections(self) -> None:
+        """Closes all idle connections."""
+        for idle in self._conns.values():
+            for protocol, _ in idle:
                 protocol.close()
         self._conns.clear()
 
-    def rest_of_this_task(self) -> float | None:
-        """How long the connection that this task was given had rested; None for a new one."""
-        return self._rested.pop(asyncio.current_task(), None)
+    def pop_idle_seconds(self) -> float | None:
+        """Removes and returns the idle time of the connection that this task obtained; None for a new one."""
+        return self._idle_times.pop(asyncio.current_task(), None)
--- a/heronstall/dataplane/worker_selection.py
+++ b/heronstall/dataplane/worker_selection.py
@@ -192,7 +192,7 @@
         if worker.total >= EASY * worker.capacity:
             return 1.0
         near = NEAR if worker.entry.zone == self._zone else 1.0
-        return near * CONNECTED if worker.has_kept(now) else near
+        return near * CONNECTED if worker.has_idle_connection(now) else near
 
     @staticmethod
     def _trust(worker: WorkerState) -> float:
--- a/heronstall/dataplane/workers.py
+++ b/heronstall/dataplane/workers.py
@@ -12,7 +12,7 @@
 from yarl import URL
 
 from heronstall.dataplane.attempts import Attempt, Attempts, LoadView
-from heronstall.dataplane.connections import FreshestFirst, RestLimit
+from heronstall.dataplane.connections import IdleLimit, MostRecentlyUsedConnector
 from heronstall.dataplane.subset import DispatcherPosition, WorkerShare, hash_ring, worker_shares
 from heronstall.dataplane.worker_latency import WorkerLatency
 from heronstall.placement.prefill import affinity
@@ -49,9 +49,9 @@
     failing_elsewhere: int = 0  # other dispatchers of which that is true
     attempts: Attempts = field(default_factory=Attempts)
     latency: WorkerLatency = field(default_factory=WorkerLatency)
-    rest: RestLimit = field(default_factory=RestLimit)
+    idle_limit: IdleLimit = field(default_factory=IdleLimit)
     _session: aiohttp.ClientSession | None = None
-    _connector: FreshestFirst | None = None
+    _connector: MostRecentlyUsedConnector | None = None
 
     @property
     def total(self) -> float:
@@ -76,7 +76,7 @@
     def session(self) -> aiohttp.ClientSession:
         """Connections to this incarnation alone: an address may be another worker's later."""
         if self._session is None:
-            self._connector = FreshestFirst(self.rest)
+            self._connector = MostRecentlyUsedConnector(self.idle_limit)
             self._session = aiohttp.ClientSession(
                 connector=self._connector,
                 auto_decompress=False,
@@ -110,34 +110,34 @@
             broken = not isinstance(error, aiohttp.ClientConnectorError)
             raise
         finally:
-            rested = connector.rest_of_this_task()
-            if broken and rested is not None:
-                self.rest.broken_after(rested)
+            idle_seconds = connector.pop_idle_seconds()
+            if broken and idle_seconds is not None:
+                self.idle_limit.record_reset(idle_seconds)
 
     def learn_idle(self, keep_alive: str | None) -> None:
         """Take the time that the worker lets a connection rest, from a Keep-Alive header."""
-        self.rest.answered()
+        self.idle_limit.record_response()
         if keep_alive is None:
             return
         for part in keep_alive.split(","):
             name, _, value = part.strip().partition("=")
             if name.lower() == "timeout" and value.strip().isdigit():
-                self.rest.told(int(value))
+                self.idle_limit.set_advertised(int(value))
 
     def note_failing(self, dispatchers: int) -> None:
         """So many other dispatchers lately did not reach it; if several, kept connections are dead too."""
         if dispatchers >= WITNESSES > self.failing_elsewhere:
-            self.forget_kept()
+            self.close_idle_connections()
         self.failing_elsewhere = dispatchers
 
-    def has_kept(self, now: float) -> bool:
+    def has_idle_connection(self, now: float) -> bool:
         """Whether a request would need no new connection."""
-        return self._connector is not None and self._connector.has_kept(now)
+        return self._connector is not None and self._connector.has_idle_connection(now)
 
-    def forget_kept(self) -> None:
+    def close_idle_connections(self) -> None:
         """Use no kept connection again: the worker broke one, and the others may be as dead."""
         if self._connector is not None:
-            self._connector.forget_kept()
+            self._connector.close_idle_connections()
 
     def close(self) -> None:
         """End all connections that rest; those in use end with their request."""
@@ -151,7 +151,7 @@
     attempt.worker = worker.entry.id
     attempt.view = LoadView(worker.inflight - 1, worker.others_live + worker.others_items, worker.capacity)
     attempt.home = home
-    attempt.new_connection = not worker.has_kept(attempt.sent_at)
+    attempt.new_connection = not worker.has_idle_connection(attempt.sent_at)
 
 
 class WorkerPool:
--- a/tests/tier/test_attempt_ends.py
+++ b/tests/tier/test_attempt_ends.py
@@ -330,7 +330,7 @@
     async def test_one_that_comes_at_once_spoils_the_connection(self) -> None:
         self.first.behave = lambda _: Behaviour(GOOD + answer(503, PROOF), stay=True)
         await self.send(ID)
-        self.assertFalse(self.worker.has_kept(time.monotonic()))
+        self.assertFalse(self.worker.has_idle_connection(time.monotonic()))
 
     async def test_one_that_comes_while_the_connection_rests_spoils_it(self) -> None:
         await self.send(ID)
@@ -351,7 +351,7 @@
             self.first.behave = lambda _, s=surplus: Behaviour(s, stay=True)  # type: ignore[misc]
             with self.subTest(surplus[:30]):
                 self.assertIs(await self.send(OTHER), AttemptEnd.OTHER_ID)
-                self.assertFalse(self.worker.has_kept(time.monotonic()))
+                self.assertFalse(self.worker.has_idle_connection(time.monotonic()))
 
 
 class Items(SocketCase):
--- a/tests/tier/test_connections.py
+++ b/tests/tier/test_connections.py
@@ -9,38 +9,43 @@
 from typing import Any
 from unittest import mock
 
-from heronstall.dataplane.connections import FIRST_REST, LEAST_REST, FreshestFirst, RestLimit
+from heronstall.dataplane.connections import (
+    INITIAL_IDLE_LIMIT_S,
+    MIN_IDLE_LIMIT_S,
+    IdleLimit,
+    MostRecentlyUsedConnector,
+)
 from heronstall.dataplane.worker_latency import HALF_LIFE_S, LatencyBaseline, WorkerLatency
 
 
 class Rests(unittest.TestCase):
     def test_the_worker_tells_and_a_broken_connection_shortens(self) -> None:
-        limit = RestLimit()
-        self.assertEqual(limit.seconds, FIRST_REST)
-        limit.told(10)
+        limit = IdleLimit()
+        self.assertEqual(limit.seconds, INITIAL_IDLE_LIMIT_S)
+        limit.set_advertised(10)
         self.assertAlmostEqual(limit.seconds, 7.0)
-        limit.broken_after(0.5)
+        limit.record_reset(0.5)
         self.assertAlmostEqual(limit.seconds, 0.3)
-        limit.broken_after(2.0)  # a longer rest that broke says nothing new
+        limit.record_reset(2.0)  # a longer rest that broke says nothing new
         self.assertAlmostEqual(limit.seconds, 0.3)
 
     def test_answers_lengthen_it_again_up_to_what_was_told(self) -> None:
-        limit = RestLimit()
-        limit.told(1)
-        limit.broken_after(0.0)
-        self.assertEqual(limit.seconds, LEAST_REST)
+        limit = IdleLimit()
+        limit.set_advertised(1)
+        limit.record_reset(0.0)
+        self.assertEqual(limit.seconds, MIN_IDLE_LIMIT_S)
         for _ in range(200):
-            limit.answered()
+            limit.record_response()
         self.assertAlmostEqual(limit.seconds, 0.7)
 
 
 class Kept(unittest.IsolatedAsyncioTestCase):
     def setUp(self) -> None:
-        self.limit = RestLimit()
+        self.limit = IdleLimit()
         self.spoiled: set[str] = set()
 
     async def asyncSetUp(self) -> None:
-        self.connector = FreshestFirst(self.limit)
+        self.connector = MostRecentlyUsedConnector(self.limit)
 
     def keep(self, **rests: float) -> None:
         now = time.monotonic()
@@ -61,7 +66,7 @@
 
     async def used(self) -> tuple[str | None, float | None]:
         connection: Any = await self.connector._get("key", [])  # type: ignore[arg-type]
-        rest = self.connector.rest_of_this_task()
+        rest = self.connector.pop_idle_seconds()
         if connection is None:
             return None, rest
         label = connection._protocol.label
@@ -77,14 +82,14 @@
         self.assertEqual((await self.used())[0], "c")
 
     async def test_none_is_used_that_has_rested_beyond_the_limit(self) -> None:
-        self.limit.broken_after(0.5)
+        self.limit.record_reset(0.5)
         self.keep(a=1.5, c=0.9)
         self.assertEqual(await self.used(), (None, None))
 
     async def test_after_a_break_no_kept_connection_is_used(self) -> None:
         self.keep(a=0.1, b=0.2)
         kept: list[Any] = [p for p, _ in self.connector._conns["key"]]  # type: ignore[index]
-        self.connector.forget_kept()
+        self.connector.close_idle_connections()
         self.assertEqual(await self.used(), (None, None))
         self.assertTrue(all(protocol.close.called for protocol in kept))
 
@@ -104,10 +109,10 @@
         connection._protocol = None
 
         async def other() -> float | None:
-            return self.connector.rest_of_this_task()
+            return self.connector.pop_idle_seconds()
 
         self.assertIsNone(await asyncio.create_task(other()))
-        self.assertIsNotNone(self.connector.rest_of_this_task())
+        self.assertIsNotNone(self.connector.pop_idle_seconds())
 
 
 class Paces(unittest.TestCase):
--- a/tests/tier/test_dataplane.py
+++ b/tests/tier/test_dataplane.py
@@ -325,7 +325,7 @@
         near.entry.zone = "z"
         found = self.drawn()
         self.assertGreater(found["w0"], 1.5 * max(found["w1"], found["w2"], found["w3"]))
-        with mock.patch.object(connected, "has_kept", return_value=True):
+        with mock.patch.object(connected, "has_idle_connection", return_value=True):
             self.assertGreater(self.drawn()["w1"], 250)
             connected.others_live = 8.0
             self.assertLess(self.drawn().get("w1", 0), 60)
@@ -370,7 +370,7 @@
 
     def test_connections_kept_to_it_are_ended_once(self) -> None:
         worker = self.pool.by_id["w0"]
-        with mock.patch.object(type(worker), "forget_kept") as forget:
+        with mock.patch.object(type(worker), "close_idle_connections") as forget:
             for failing in (1, 2, 3, 1, 2):
                 worker.note_failing(failing)
         self.assertEqual(forget.call_count, 2)
