--- a/heronstall/dataplane/attempt_ends.py
+++ b/heronstall/dataplane/attempt_ends.py
@@ -1,7 +1,8 @@
-"""Every way in which an attempt at a worker ends without an answer for the client, and what may follow.
+"""The ways in which an attempt at a worker ends without a response for the client, and what may follow.
 
-Only four ways prove that the request did not run. After any other it may have run, whatever its bytes say:
-another attempt then counts against the route's attempts, and is made on routes alone that allow repeats.
+Only four of them prove that the request was not executed. After any other it may have been executed, whatever
+the bytes received say: the attempt then counts towards the route's limit, and another attempt is made only on
+routes that allow repeats.
 """
 
 from __future__ import annotations
@@ -12,29 +13,29 @@
 
 
 class AttemptEnd(Enum):
-    """How an attempt ended that gave no answer."""
+    """How an attempt ended without a response for the client."""
 
-    NO_CONNECTION = "no connection was made, nothing was sent"
-    FULL = "503 with proof that it did not run"
-    TURNED_AWAY = "429 with proof that it did not run"
-    WRONG_WORKER = "421: another worker has this address"
-    UNPROVEN_REFUSAL = "408, 429 or 503 without proof that it did not run"
-    NO_ANSWER = "the connection ended before the head of an answer, with or without the whole request sent"
-    OTHER_ID = "an answer that belongs to another request, or says not to which"
-    NO_LENGTH = "an answer that ends with its connection"
-    CUT_SHORT = "the connection ended within an answer, or its bytes are none"
-    FAILED_RESUMPTION = "another worker did not go on with a stream that the client has begun to receive"
-    TIMED_OUT = "the deadline came, or the worker was silent for too long"
+    NO_CONNECTION = "the connection could not be established, nothing was sent"
+    FULL = "503 with proof that the request was not executed"
+    TURNED_AWAY = "429 with proof that the request was not executed"
+    WRONG_WORKER = "421: the address belongs to another worker"
+    UNPROVEN_REFUSAL = "408, 429 or 503 without proof that the request was not executed"
+    NO_ANSWER = "the connection ended before a complete response head, the request may have been sent in part"
+    OTHER_ID = "the response carries another request's id, or none"
+    NO_LENGTH = "the response is delimited only by the end of its connection"
+    CUT_SHORT = "the connection ended within the response, or the response is malformed"
+    FAILED_RESUMPTION = "another worker did not resume a stream that the client has begun to receive"
+    TIMED_OUT = "the deadline passed, or the worker was silent for too long"
 
 
 class EndRule(NamedTuple):
-    """What an end says of the request, and of the worker."""
+    """What an end implies for the request and for the worker."""
 
-    not_run: bool  # it is certain that the worker neither ran the request nor ever will
+    not_run: bool  # the worker certainly has not executed the request and never will
     worker_failed: bool  # the worker is avoided for a while
 
 
-RULES: Mapping[AttemptEnd, EndRule] = {
+END_RULES: Mapping[AttemptEnd, EndRule] = {
     AttemptEnd.NO_CONNECTION: EndRule(not_run=True, worker_failed=True),
     AttemptEnd.FULL: EndRule(not_run=True, worker_failed=False),
     AttemptEnd.TURNED_AWAY: EndRule(not_run=True, worker_failed=False),
@@ -47,19 +48,20 @@
     AttemptEnd.FAILED_RESUMPTION: EndRule(not_run=False, worker_failed=True),
     AttemptEnd.TIMED_OUT: EndRule(not_run=False, worker_failed=False),
 }
-PROOF_STATUSES = frozenset({429, 503})  # with the header that states it; 421 needs none
-UNPROVEN_STATUSES = frozenset({408, 429, 503})  # they promise a client that its request has not run
+PROOF_STATUSES = frozenset({429, 503})  # prove a refusal if the header says so; 421 needs no header
+# Without the proof these are not passed on: they would promise the client that its request was not executed.
+UNPROVEN_STATUSES = frozenset({408, 429, 503})
 
 
 class Refusal(NamedTuple):
-    """What the head of a worker's answer says of the run, where the answer belongs to the request."""
+    """What a worker's response head, if it belongs to the request, says about its execution."""
 
     status: int
-    proven: bool  # it carries Heronstall-Not-Executed
+    proven: bool  # the head carries Heronstall-Not-Executed
 
     @property
     def end(self) -> AttemptEnd | None:
-        """How the attempt has ended by this; None where the answer is the client's."""
+        """How this response ends the attempt; None if it is to be passed on to the client."""
         if self.status == 421:
             return AttemptEnd.WRONG_WORKER
         if self.proven and self.status in PROOF_STATUSES:
@@ -69,6 +71,6 @@
         return None
 
 
-def another_may_follow(end: AttemptEnd, repeatable: bool, runs: int, most: int) -> bool:
-    """Whether a request may be sent again after `runs` attempts, this one included, that may have run."""
-    return RULES[end].not_run or (repeatable and runs < most)
+def may_retry(end: AttemptEnd, repeatable: bool, runs: int, max_runs: int) -> bool:
+    """Returns whether a request may be sent again after `runs` attempts that may have executed it."""
+    return END_RULES[end].not_run or (repeatable and runs < max_runs)
--- a/heronstall/dataplane/attempts.py
+++ b/heronstall/dataplane/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts at a worker that are under way, and when one counts as silent."""
+"""Tracks the attempts in progress at a worker and detects silence."""
 
 from __future__ import annotations
 
@@ -7,101 +7,113 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from heronstall.dataplane.attempt_ends import RULES, AttemptEnd
+from heronstall.dataplane.attempt_ends import END_RULES, AttemptEnd
 
-WORKER_SILENT = 0.5  # seconds: a worker from which nothing has come since an attempt that old is suspected
-REQUEST_SILENT = 1.2  # seconds without an event after which a request that may be repeated goes elsewhere
-ITEM_SILENT = 3.0  # the same for a batch item, which may wait in a worker's queue
-READ_PER_SECOND = 30_000  # prompt tokens that a loaded worker reads at the least: as long it may be silent
-READING_MOST = 2.0  # seconds of silence that a prompt excuses at the most, whatever its length
+# A worker is suspected if it has sent nothing since an attempt this old was sent.
+WORKER_SILENCE_S = 0.5
+REQUEST_SILENCE_S = 1.2  # without an event, after which a repeatable request is sent to another worker
+ITEM_SILENCE_S = 3.0  # the same for a batch item, which may wait in a worker's queue
+# The lowest prefill rate of a loaded worker. Silence is tolerated while a prompt takes that long.
+MIN_PREFILL_TOKENS_PER_SECOND = 30_000
+MAX_PREFILL_ALLOWANCE_S = 2.0  # silence that is tolerated for a prompt of any length
 
 
-class LoadView(NamedTuple):
-    """A worker's load as its dispatcher knew it when it sent an attempt there."""
+class LoadSnapshot(NamedTuple):
+    """A worker's load as the dispatcher knew it when it sent an attempt there."""
 
     own: int  # requests and items of this dispatcher
-    others: float  # those of the other dispatchers, as last told
+    others: float  # those of the other dispatchers, from their latest reports
     capacity: int
 
 
 @dataclass(eq=False)
 class Attempt:
-    """One request at one worker. `limit` ends it; only attempts that may be repeated are ended early."""
+    """One request at one worker. `timeout` ends it; only repeatable attempts are ended early."""
 
-    limit: asyncio.Timeout
-    patience: float | None  # seconds of silence after which it may be tried elsewhere; None: never
+    timeout: asyncio.Timeout
+    max_silence: float | None  # seconds, after which another worker may be tried; None for no limit
     sent_at: float
-    heard_at: float
-    reading: float = 0.0  # seconds that the worker may need for its prompt before anything comes
+    last_data_at: float
+    prefill_allowance: float = 0.0  # seconds that the worker may need for the prompt before the first data
     worker: str = ""
-    view: LoadView | None = None
-    home: int | None = None  # the worker's rank among those that the shared part belongs to, from 0
-    new_connection: bool = False  # was opened for it
-    first_at: float = 0.0  # steady time of its first event; 0 where none came
-    longest_gap: float = 0.0  # seconds between two of its events
-    end: AttemptEnd | None = None  # None: it gave an answer, or is under way
+    load: LoadSnapshot | None = None
+    home_rank: int | None = None  # rank of the worker among the homes of the shared segment, from 0
+    new_connection: bool = False  # whether a connection was opened for it
+    first_event_at: float = 0.0  # monotonic time of the first event; 0 without one
+    longest_gap: float = 0.0  # seconds between two successive events
+    end: AttemptEnd | None = None  # None if it was answered or is in progress
 
     @property
-    def ran(self) -> bool:
-        """Whether the worker may have run it."""
-        return self.end is None or not RULES[self.end].not_run
+    def may_have_run(self) -> bool:
+        """Whether the worker may have executed the request."""
+        return self.end is None or not END_RULES[self.end].not_run
 
 
 @dataclass
 class Attempts:
-    """The attempts at one worker."""
+    """The attempts in progress at one worker."""
 
-    under_way: set[Attempt] = field(default_factory=set)
-    heard_at: float = 0.0  # latest byte of the worker on any connection
+    active: set[Attempt] = field(default_factory=set)
+    last_data_at: float = 0.0  # when the worker last sent data on any connection
 
-    def begin(self, limit: asyncio.Timeout, patience: float | None, prompt_tokens: int = 0) -> Attempt:
-        """An attempt is sent."""
+    def begin(self, timeout: asyncio.Timeout, max_silence: float | None, prompt_tokens: int = 0) -> Attempt:
+        """Registers an attempt that is being sent."""
         now = time.monotonic()
-        attempt = Attempt(limit, patience, now, now, min(READING_MOST, prompt_tokens / READ_PER_SECOND))
-        self.under_way.add(attempt)
+        attempt = Attempt(
+            timeout,
+            max_silence,
+            now,
+            now,
+            min(MAX_PREFILL_ALLOWANCE_S, prompt_tokens / MIN_PREFILL_TOKENS_PER_SECOND),
+        )
+        self.active.add(attempt)
         return attempt
 
-    def heard(self, attempt: Attempt) -> None:
-        """Something has come of an attempt."""
+    def record_data(self, attempt: Attempt) -> None:
+        """Records that data has arrived for an attempt."""
         now = time.monotonic()
-        if attempt.first_at:
-            attempt.longest_gap = max(attempt.longest_gap, now - attempt.heard_at)
-        attempt.heard_at = self.heard_at = now
+        if attempt.first_event_at:
+            attempt.longest_gap = max(attempt.longest_gap, now - attempt.last_data_at)
+        attempt.last_data_at = self.last_data_at = now
 
-    def first_heard(self, attempt: Attempt) -> float:
-        """The first event of an attempt has come; seconds since it was sent."""
-        self.heard(attempt)
-        attempt.first_at = attempt.heard_at
-        return attempt.first_at - attempt.sent_at
+    def record_first_event(self, attempt: Attempt) -> float:
+        """Records the first event of an attempt and returns the seconds since it was sent."""
+        self.record_data(attempt)
+        attempt.first_event_at = attempt.last_data_at
+        return attempt.first_event_at - attempt.sent_at
 
-    def end(self, attempt: Attempt) -> None:
-        """An attempt is over."""
-        self.under_way.discard(attempt)
+    def finish(self, attempt: Attempt) -> None:
+        """Removes an attempt that has ended."""
+        self.active.discard(attempt)
 
     def suspected(self, now: float) -> bool:
-        """Whether the worker seems dark: an attempt waits, and nothing has come since it was sent."""
+        """Returns whether the worker seems unresponsive.
+
+        That is so if an attempt is overdue and the worker has sent no data since that attempt was sent.
+        """
         return any(
-            now - a.sent_at > WORKER_SILENT + a.reading
-            and a.heard_at == a.sent_at
-            and self.heard_at <= a.sent_at
-            for a in self.under_way
+            now - a.sent_at > WORKER_SILENCE_S + a.prefill_allowance
+            and a.last_data_at == a.sent_at
+            and self.last_data_at <= a.sent_at
+            for a in self.active
         )
 
     def end_silent(self, now: float) -> int:
-        """End the attempts that may be repeated and get nothing; how many."""
-        most = WORKER_SILENT if self.suspected(now) else ITEM_SILENT
+        """Ends the repeatable attempts that have been silent for too long and returns their number."""
+        limit = WORKER_SILENCE_S if self.suspected(now) else ITEM_SILENCE_S
         silent = [
             a
-            for a in self.under_way
-            if a.patience is not None and now - a.heard_at > min(most, a.patience) + _reading(a)
+            for a in self.active
+            if a.max_silence is not None
+            and now - a.last_data_at > min(limit, a.max_silence) + _remaining_allowance(a)
         ]
         loop_now = asyncio.get_running_loop().time()
         for attempt in silent:
-            self.end(attempt)
-            attempt.limit.reschedule(loop_now)
+            self.finish(attempt)
+            attempt.timeout.reschedule(loop_now)
         return len(silent)
 
 
-def _reading(attempt: Attempt) -> float:
-    """Seconds of silence that its prompt still excuses."""
-    return attempt.reading if attempt.heard_at == attempt.sent_at else 0.0
+def _remaining_allowance(attempt: Attempt) -> float:
+    """Returns the prefill allowance in seconds; 0 once data has arrived."""
+    return attempt.prefill_allowance if attempt.last_data_at == attempt.sent_at else 0.0
--- a/heronstall/dataplane/batch_runner.py
+++ b/heronstall/dataplane/batch_runner.py
@@ -15,7 +15,7 @@
 from heronstall.batch.leases import ITEM_LIMIT
 from heronstall.batch.outcomes import Outcome
 from heronstall.dataplane.admission import Admission
-from heronstall.dataplane.attempts import ITEM_SILENT, Attempt
+from heronstall.dataplane.attempts import ITEM_SILENCE_S, Attempt
 from heronstall.dataplane.deferred import DeferredLane
 from heronstall.dataplane.events import EventReader
 from heronstall.dataplane.forwarding import LAST_EVENT, PREFIX, REQUEST_ID, TARGET
@@ -337,7 +337,7 @@
         attempt: Attempt | None = None
         try:
             async with asyncio.timeout(None) as limit:
-                attempt = worker.attempts.begin(limit, ITEM_SILENT)
+                attempt = worker.attempts.begin(limit, ITEM_SILENCE_S)
                 note_attempt(attempt, worker)
                 item.attempts.append(attempt)
                 answer = await worker.request(
@@ -355,7 +355,7 @@
             if answer is not None and not well:
                 answer.close()
             if attempt is not None:
-                worker.attempts.end(attempt)
+                worker.attempts.finish(attempt)
             worker.items -= 1
             admission.done(worker, well)
 
@@ -383,10 +383,10 @@
             piece = await answer.content.readany()
             if not piece:
                 break
-            if attempt.first_at:
-                worker.attempts.heard(attempt)
+            if attempt.first_event_at:
+                worker.attempts.record_data(attempt)
             else:
-                worker.attempts.first_heard(attempt)
+                worker.attempts.record_first_event(attempt)
             for event in reader.feed(piece):
                 self._take(item, event.id, event.data)
         if reader.partial:
--- a/heronstall/dataplane/forwarding.py
+++ b/heronstall/dataplane/forwarding.py
@@ -14,8 +14,8 @@
 from multidict import CIMultiDict
 
 from heronstall.dataplane.admission import Admission
-from heronstall.dataplane.attempt_ends import RULES, AttemptEnd, Refusal, another_may_follow
-from heronstall.dataplane.attempts import REQUEST_SILENT, Attempt
+from heronstall.dataplane.attempt_ends import END_RULES, AttemptEnd, Refusal, may_retry
+from heronstall.dataplane.attempts import REQUEST_SILENCE_S, Attempt
 from heronstall.dataplane.events import EventReader
 from heronstall.dataplane.framing import is_framed
 from heronstall.dataplane.misses import EndedRequest, MissLog, RequestTimes
@@ -190,8 +190,8 @@
             if isinstance(outcome, web.StreamResponse):
                 return outcome
             passage.tried.add(worker.entry.id)
-            passage.runs += not RULES[outcome].not_run
-            if not another_may_follow(outcome, route.repeatable, passage.runs, route.max_attempts):
+            passage.runs += not END_RULES[outcome].not_run
+            if not may_retry(outcome, route.repeatable, passage.runs, route.max_attempts):
                 break
         return self._give_up(passage)
 
@@ -242,7 +242,7 @@
         if isinstance(outcome, AttemptEnd):
             for attempt in passage.attempts[began:]:
                 attempt.end = outcome
-            if RULES[outcome].worker_failed:
+            if END_RULES[outcome].worker_failed:
                 self._admission.failed(worker)
             if outcome is AttemptEnd.FULL:
                 self._admission.full(worker)
@@ -255,7 +255,7 @@
         well = head_came = False
         try:
             async with asyncio.timeout(passage.deadline - time.monotonic()) as limit:
-                patience = REQUEST_SILENT if passage.may_repeat else None
+                patience = REQUEST_SILENCE_S if passage.may_repeat else None
                 passage.attempt = worker.attempts.begin(limit, patience, passage.prompt_tokens)
                 note_attempt(passage.attempt, worker, self._admission.home_rank(worker, passage.prefix))
                 passage.attempts.append(passage.attempt)
@@ -285,7 +285,7 @@
             return AttemptEnd.TIMED_OUT
         finally:
             if passage.attempt is not None:
-                worker.attempts.end(passage.attempt)
+                worker.attempts.finish(passage.attempt)
             admission.done(worker, well)
 
     def _headers(self, passage: Passage, worker: WorkerState) -> CIMultiDict[str]:
@@ -303,7 +303,7 @@
         """Pass an answer on. Raises Broken where it is not whole, or not the request's own."""
         worker.learn_idle(answer.headers.get("Keep-Alive"))
         assert passage.attempt is not None
-        worker.attempts.heard(passage.attempt)
+        worker.attempts.record_data(passage.attempt)
         if answer.headers.get(REQUEST_ID) != passage.request.headers.get(REQUEST_ID):
             raise Broken(AttemptEnd.OTHER_ID)  # whatever it says, it says nothing of this request
         refusal_end = Refusal(answer.status, NOT_EXECUTED in answer.headers).end
@@ -323,7 +323,7 @@
         if passage.route.type is RouteType.STREAMING and answer.status == 200:
             return await self._relay_pieces(passage, worker, answer)
         body = await answer.read()
-        worker.attempts.first_heard(passage.attempt)
+        worker.attempts.record_first_event(passage.attempt)
         if passage.response is not None:
             raise Broken(AttemptEnd.FAILED_RESUMPTION)
         response = passage.response = PassedResponse(answer.status, answer.reason, answer_headers(answer))
@@ -350,12 +350,12 @@
     def _heard(self, passage: Passage, worker: WorkerState, first: bool) -> None:
         assert passage.attempt is not None
         if first:
-            seconds = worker.attempts.first_heard(passage.attempt)
+            seconds = worker.attempts.record_first_event(passage.attempt)
             self._admission.record_first_event(worker, passage.prefix.tokens, seconds)
             if self._placer is not None and passage.placed is not None and not passage.tried:
                 self._placer.record_first_event(passage.service, passage.placed, seconds)
         else:
-            worker.attempts.heard(passage.attempt)
+            worker.attempts.record_data(passage.attempt)
 
     async def _relay_pieces(
         self, passage: Passage, worker: WorkerState, answer: aiohttp.ClientResponse
--- a/heronstall/dataplane/misses.py
+++ b/heronstall/dataplane/misses.py
@@ -90,7 +90,7 @@
     @property
     def first_event_after(self) -> float | None:
         """Seconds from its arrival to the first event; None where there was none."""
-        heard = [a.first_at for a in self.attempts if a.first_at]
+        heard = [a.first_event_at for a in self.attempts if a.first_event_at]
         return min(heard) - self.times.arrived if heard else None
 
     @property
@@ -98,9 +98,9 @@
         """Longest pause between events, in seconds, also from one worker's last to the next one's first."""
         gap, last = 0.0, 0.0
         for attempt in self.attempts:
-            if attempt.first_at:
-                gap = max(gap, attempt.longest_gap, attempt.first_at - last if last else 0.0)
-                last = attempt.heard_at
+            if attempt.first_event_at:
+                gap = max(gap, attempt.longest_gap, attempt.first_event_at - last if last else 0.0)
+                last = attempt.last_data_at
         return gap
 
 
@@ -132,7 +132,7 @@
         return MissReason.LATE_FIRST_EVENT
     if ended.longest_gap > ended.route.gap_aim:
         return MissReason.LONG_GAP
-    if sum(attempt.ran for attempt in ended.attempts) > 1:
+    if sum(attempt.may_have_run for attempt in ended.attempts) > 1:
         return MissReason.RAN_AGAIN
     return None
 
@@ -162,8 +162,8 @@
         tally = self._counted(ended.route.name, ended.attempts)
         tally.size += ended.size
         tally.planned += ended.planned
-        if ended.attempts and ended.attempts[0].home is not None:
-            _count_home(tally, ended.attempts[0].home)
+        if ended.attempts and ended.attempts[0].home_rank is not None:
+            _count_home(tally, ended.attempts[0].home_rank)
         now = time.monotonic()
         reason = miss_reason(ended, now)
         if reason is None:
@@ -271,11 +271,11 @@
 def _attempt_text(attempt: Attempt) -> str:
     """One attempt: its worker, how it ended, its load as it was known, home, connection, milliseconds."""
     end = attempt.end.name.lower() if attempt.end is not None else "answered"
-    home = "-" if attempt.home is None else str(attempt.home)
-    view = attempt.view
+    home = "-" if attempt.home_rank is None else str(attempt.home_rank)
+    view = attempt.load
     load = f"{view.own}+{view.others:.1f}/{view.capacity}" if view is not None else "?"
     connection = "new" if attempt.new_connection else "kept"
-    first = _ms(attempt.first_at - attempt.sent_at) if attempt.first_at else "-"
+    first = _ms(attempt.first_event_at - attempt.sent_at) if attempt.first_event_at else "-"
     return f"{attempt.worker}:{end}:{load}:{home}:{connection}:{first}"
 
 
--- a/heronstall/dataplane/worker_selection.py
+++ b/heronstall/dataplane/worker_selection.py
@@ -178,7 +178,7 @@
         failing = {
             w.entry.id
             for w in workers
-            if w.failing_elsewhere >= WITNESSES and now - w.attempts.heard_at > ANSWERED_NOW
+            if w.failing_elsewhere >= WITNESSES and now - w.attempts.last_data_at > ANSWERED_NOW
         }
         return failing if len(failing) <= ASIDE_MOST * len(workers) else set()
 
--- a/heronstall/dataplane/workers.py
+++ b/heronstall/dataplane/workers.py
@@ -11,7 +11,7 @@
 from multidict import CIMultiDict
 from yarl import URL
 
-from heronstall.dataplane.attempts import Attempt, Attempts, LoadView
+from heronstall.dataplane.attempts import Attempt, Attempts, LoadSnapshot
 from heronstall.dataplane.connections import IdleLimit, MostRecentlyUsedConnector
 from heronstall.dataplane.subset import DispatcherPosition, WorkerShare, hash_ring, worker_shares
 from heronstall.dataplane.worker_latency import WorkerLatency
@@ -149,8 +149,10 @@
 def note_attempt(attempt: Attempt, worker: WorkerState, home: int | None = None) -> None:
     """Note where an attempt goes, and what is known of that worker."""
     attempt.worker = worker.entry.id
-    attempt.view = LoadView(worker.inflight - 1, worker.others_live + worker.others_items, worker.capacity)
-    attempt.home = home
+    attempt.load = LoadSnapshot(
+        worker.inflight - 1, worker.others_live + worker.others_items, worker.capacity
+    )
+    attempt.home_rank = home
     attempt.new_connection = not worker.has_idle_connection(attempt.sent_at)
 
 
@@ -229,7 +231,7 @@
             await asyncio.sleep(WATCH)
             now = time.monotonic()
             for worker in self.by_id.values():
-                if worker.attempts.under_way:
+                if worker.attempts.active:
                     worker.attempts.end_silent(now)
 
     def take_loads(self, loads: dict[str, WorkerLoad]) -> None:
--- a/tests/tier/test_attempt_ends.py
+++ b/tests/tier/test_attempt_ends.py
@@ -15,7 +15,7 @@
 
 from heronstall.batch.outcomes import Outcome
 from heronstall.dataplane.admission import Admission
-from heronstall.dataplane.attempt_ends import RULES, AttemptEnd, EndRule, Refusal, another_may_follow
+from heronstall.dataplane.attempt_ends import END_RULES, AttemptEnd, EndRule, Refusal, may_retry
 from heronstall.dataplane.batch_runner import BatchRunner, Running
 from heronstall.dataplane.forwarding import REQUEST_ID, Forwarder, Passage
 from heronstall.dataplane.routing import Route, RouteType
@@ -237,7 +237,7 @@
                 continue
             with self.subTest(row.name, end=row.end):
                 status, again = await self.row_status(row, RouteType.NON_IDEMPOTENT)
-                self.assertEqual((status, again), (row.status, int(RULES[row.end].not_run)))
+                self.assertEqual((status, again), (row.status, int(END_RULES[row.end].not_run)))
 
     async def test_on_a_route_with_repeats_another_attempt_follows_every_end(self) -> None:
         for row in ROWS:
@@ -258,7 +258,7 @@
 
     def test_every_end_has_a_row_and_a_rule(self) -> None:
         self.assertEqual({row.end for row in ROWS}, set(AttemptEnd))
-        self.assertEqual(set(RULES), set(AttemptEnd))
+        self.assertEqual(set(END_RULES), set(AttemptEnd))
 
     async def test_a_cancelled_request_is_not_sent_again(self) -> None:
         first, second = await self.workers(Behaviour(stay=True), Behaviour(GOOD, stay=True))
@@ -283,9 +283,9 @@
                 self.assertEqual((passage.response.data, second.requests), (WHOLE_EVENTS, 1))
 
     def test_runs_are_bounded_by_the_route(self) -> None:
-        for end, rule in RULES.items():
-            self.assertEqual(another_may_follow(end, True, 2, 2), rule.not_run)
-            self.assertTrue(another_may_follow(end, True, 1, 2))
+        for end, rule in END_RULES.items():
+            self.assertEqual(may_retry(end, True, 2, 2), rule.not_run)
+            self.assertTrue(may_retry(end, True, 1, 2))
 
     def test_what_a_worker_itself_decided_is_the_clients(self) -> None:
         for status in (200, 400, 404, 422, 500, 504):
@@ -297,7 +297,7 @@
     """Wrong rules, each found by a row."""
 
     async def assert_found(self, end: AttemptEnd) -> None:
-        with mock.patch.dict(RULES, {end: EndRule(not_run=True, worker_failed=True)}):
+        with mock.patch.dict(END_RULES, {end: EndRule(not_run=True, worker_failed=True)}):
             for row in (r for r in ROWS if r.end is end):
                 _, second = await self.workers(row.behaviour, Behaviour(GOOD, stay=True))
                 await self.carried(self.passage(RouteType.NON_IDEMPOTENT, row.deadline))
--- a/tests/tier/test_dataplane.py
+++ b/tests/tier/test_dataplane.py
@@ -232,33 +232,33 @@
             waiting, streaming = worker.begin(limit, None), worker.begin(limit, None)
             sent = waiting.sent_at
             self.assertFalse(worker.suspected(sent + 0.1))
-            self.assertTrue(worker.suspected(sent + silence.WORKER_SILENT + 0.1))
-            worker.heard(streaming)
-            self.assertFalse(worker.suspected(sent + silence.WORKER_SILENT + 0.1))
+            self.assertTrue(worker.suspected(sent + silence.WORKER_SILENCE_S + 0.1))
+            worker.record_data(streaming)
+            self.assertFalse(worker.suspected(sent + silence.WORKER_SILENCE_S + 0.1))
 
     async def test_a_long_prompt_excuses_silence_until_something_has_come(self) -> None:
         worker = Attempts()
         reading = 1.0
-        tokens = int(reading * silence.READ_PER_SECOND)
+        tokens = int(reading * silence.MIN_PREFILL_TOKENS_PER_SECOND)
         with self.assertRaises(TimeoutError):
             async with asyncio.timeout(None) as limit:
-                attempt = worker.begin(limit, silence.REQUEST_SILENT, tokens)
+                attempt = worker.begin(limit, silence.REQUEST_SILENCE_S, tokens)
                 sent = attempt.sent_at
-                self.assertFalse(worker.suspected(sent + silence.WORKER_SILENT + 0.9 * reading))
-                self.assertTrue(worker.suspected(sent + silence.WORKER_SILENT + 1.1 * reading))
-                self.assertEqual(worker.end_silent(sent + silence.WORKER_SILENT + 0.9 * reading), 0)
-                worker.heard(attempt)
-                begun = attempt.heard_at
-                self.assertEqual(worker.end_silent(begun + 0.9 * silence.REQUEST_SILENT), 0)
-                self.assertEqual(worker.end_silent(begun + 1.1 * silence.REQUEST_SILENT), 1)
+                self.assertFalse(worker.suspected(sent + silence.WORKER_SILENCE_S + 0.9 * reading))
+                self.assertTrue(worker.suspected(sent + silence.WORKER_SILENCE_S + 1.1 * reading))
+                self.assertEqual(worker.end_silent(sent + silence.WORKER_SILENCE_S + 0.9 * reading), 0)
+                worker.record_data(attempt)
+                begun = attempt.last_data_at
+                self.assertEqual(worker.end_silent(begun + 0.9 * silence.REQUEST_SILENCE_S), 0)
+                self.assertEqual(worker.end_silent(begun + 1.1 * silence.REQUEST_SILENCE_S), 1)
                 await asyncio.Event().wait()
 
     async def test_no_length_told_excuses_silence_for_ever(self) -> None:
         worker = Attempts()
         with self.assertRaises(TimeoutError):
             async with asyncio.timeout(None) as limit:
-                attempt = worker.begin(limit, silence.REQUEST_SILENT, 10**9)
-                late = attempt.sent_at + silence.WORKER_SILENT + silence.READING_MOST + 0.1
+                attempt = worker.begin(limit, silence.REQUEST_SILENCE_S, 10**9)
+                late = attempt.sent_at + silence.WORKER_SILENCE_S + silence.MAX_PREFILL_ALLOWANCE_S + 0.1
                 self.assertEqual(worker.end_silent(late), 1)
                 await asyncio.Event().wait()
 
@@ -268,11 +268,11 @@
             with self.assertRaises(TimeoutError):
                 async with asyncio.timeout(None) as limit:
                     once = worker.begin(kept, None)
-                    again = worker.begin(limit, silence.REQUEST_SILENT)
+                    again = worker.begin(limit, silence.REQUEST_SILENCE_S)
                     self.assertEqual(worker.end_silent(again.sent_at + 0.1), 0)
-                    self.assertEqual(worker.end_silent(again.sent_at + silence.REQUEST_SILENT + 0.1), 1)
+                    self.assertEqual(worker.end_silent(again.sent_at + silence.REQUEST_SILENCE_S + 0.1), 1)
                     await asyncio.Event().wait()
-            self.assertEqual(worker.under_way, {once})
+            self.assertEqual(worker.active, {once})
 
 
 class Draws(unittest.TestCase):
@@ -362,9 +362,9 @@
         self.pool.take_loads({"w0": WorkerLoad("w0", failing=2), "w1": WorkerLoad("w1", failing=1)})
         self.assertEqual(set(self.drawn()), {"w1", "w2", "w3"})
         worker = self.pool.by_id["w0"]
-        worker.attempts.heard_at = time.monotonic()  # it has just answered here
+        worker.attempts.last_data_at = time.monotonic()  # it has just answered here
         self.assertIn("w0", self.drawn())
-        worker.attempts.heard_at = 0.0
+        worker.attempts.last_data_at = 0.0
         self.pool.take_loads({})
         self.assertIn("w0", self.drawn())
 
--- a/tests/tier/test_drain.py
+++ b/tests/tier/test_drain.py
@@ -366,7 +366,7 @@
             return web.Response(body=bytes(LARGE), headers={REQUEST_ID: request.headers[REQUEST_ID]})
 
         # A slow machine may take long to read so much: that is no reason here to ask another worker.
-        self.enterContext(mock.patch("heronstall.dataplane.forwarding.REQUEST_SILENT", LATE_MACHINE))
+        self.enterContext(mock.patch("heronstall.dataplane.forwarding.REQUEST_SILENCE_S", LATE_MACHINE))
         answer = await self.ended(large, plain_routes(), has_a_part)
         self.assertTrue(answer.startswith(b"HTTP/1.1 200"), answer[:80])
         self.assertEqual(answer.count(b"HTTP/1.1 "), 1)
--- a/tests/tier/test_misses.py
+++ b/tests/tier/test_misses.py
@@ -13,7 +13,7 @@
 
 from heronstall.batch.outcomes import Outcome
 from heronstall.dataplane.attempt_ends import AttemptEnd
-from heronstall.dataplane.attempts import Attempt, Attempts, LoadView
+from heronstall.dataplane.attempts import Attempt, Attempts, LoadSnapshot
 from heronstall.dataplane.misses import (
     EVENTS_MOST,
     EndedItem,
@@ -41,8 +41,8 @@
 ) -> Attempt:
     """An attempt; times in seconds since the request's arrival."""
     made = Attempt(mock.Mock(), None, ARRIVED + sent, ARRIVED + (last if last is not None else first or sent))
-    made.worker, made.view, made.home = "w1", LoadView(2, 3.25, 12), home
-    made.first_at = ARRIVED + first if first is not None else 0.0
+    made.worker, made.load, made.home_rank = "w1", LoadSnapshot(2, 3.25, 12), home
+    made.first_event_at = ARRIVED + first if first is not None else 0.0
     made.longest_gap, made.end = gap, end
     return made
 
@@ -109,10 +109,10 @@
                 for at, first in ((12.0, True), (12.25, False), (13.0, False), (13.5, False)):
                     clock.monotonic.return_value = at
                     if first:
-                        worker.first_heard(begun)
+                        worker.record_first_event(begun)
                     else:
-                        worker.heard(begun)
-        self.assertEqual((begun.first_at, begun.longest_gap), (12.0, 0.75))
+                        worker.record_data(begun)
+        self.assertEqual((begun.first_event_at, begun.longest_gap), (12.0, 0.75))
 
 
 class Log(unittest.TestCase):
