--- a/heronstall/dataplane/batch_runner.py
+++ b/heronstall/dataplane/batch_runner.py
@@ -16,7 +16,7 @@
 from heronstall.batch.outcomes import Outcome
 from heronstall.dataplane.admission import Admission
 from heronstall.dataplane.attempts import ITEM_SILENCE_S, Attempt
-from heronstall.dataplane.deferred import DeferredLane
+from heronstall.dataplane.deferred import DeferredQueue
 from heronstall.dataplane.events import EventReader
 from heronstall.dataplane.forwarding import LAST_EVENT, PREFIX, REQUEST_ID, TARGET
 from heronstall.dataplane.framing import is_framed
@@ -78,7 +78,7 @@
         name: str,
         shards: ShardClient,
         admission: Admission,
-        deferred: DeferredLane,
+        deferred: DeferredQueue,
         routes: Callable[[], Routes],
         misses: MissLog | None = None,
     ) -> None:
--- a/heronstall/dataplane/deferred.py
+++ b/heronstall/dataplane/deferred.py
@@ -1,4 +1,4 @@
-"""Deferrable work of a dispatcher: it waits by deadline and is released by the busy/idle switch."""
+"""The queue of a dispatcher's deferrable work, released by deadline and by the busy/idle switch."""
 
 from __future__ import annotations
 
@@ -10,73 +10,74 @@
 from heronstall.policy.lane import DeadlineLane
 from heronstall.policy.switch import Switch
 
-LOOK = 0.03  # seconds between looks while something waits
-WATCH = 0.25  # seconds between updates of the switch
+RELEASE_INTERVAL_S = 0.03  # between release attempts while work is queued
+SWITCH_INTERVAL_S = 0.25  # between updates of the switch
 MICROSECONDS = 1_000_000
 
 
 @dataclass
-class Deferred:
-    """Work that waits."""
+class DeferredWork:
+    """Queued work."""
 
-    due: float  # steady time from which it is released though the workers are busy
-    may_start: Callable[[], bool]
-    alike: Hashable  # work for which `may_start` says the same within one look; None is alike to nothing
+    due: float  # monotonic time from which it is released even if the workers are busy
+    can_start: Callable[[], bool]
+    group: Hashable  # work of one group gets the same answer from `can_start` in one pass; None for no group
     released: asyncio.Future[None]
 
 
-class DeferredLane:
-    """Idle: the earliest deadline first, as long as there is room. Busy: only what is due."""
+class DeferredQueue:
+    """Releases work in order of deadline while workers have capacity; when busy, only work that is due."""
 
     def __init__(self, utilisation: Callable[[], float], clock: Callable[[], float] = time.monotonic) -> None:
         self.switch = Switch()
         self._utilisation, self._clock = utilisation, clock
-        self._lane: DeadlineLane[Deferred] = DeadlineLane()
-        self._news = asyncio.Event()
-        self._watched_at = -WATCH
+        self._queue: DeadlineLane[DeferredWork] = DeadlineLane()
+        self._work_added = asyncio.Event()
+        self._switch_updated_at = -SWITCH_INTERVAL_S
 
     def __len__(self) -> int:
-        return len(self._lane)
+        return len(self._queue)
 
     async def wait(
-        self, rank: int, deadline: float, due: float, may_start: Callable[[], bool], alike: Hashable = None
+        self, rank: int, deadline: float, due: float, can_start: Callable[[], bool], group: Hashable = None
     ) -> None:
-        """Return when the work may start; cancelling gives the place up."""
-        work = Deferred(due, may_start, alike, asyncio.get_running_loop().create_future())
-        self._lane.push((rank, int(deadline * MICROSECONDS)), work)
-        self._news.set()
+        """Returns when the work may start; cancelling the call removes the work from the queue."""
+        work = DeferredWork(due, can_start, group, asyncio.get_running_loop().create_future())
+        self._queue.push((rank, int(deadline * MICROSECONDS)), work)
+        self._work_added.set()
         await work.released
 
-    def look(self) -> None:
-        """Update the switch and release what may start now."""
+    def release_ready(self) -> None:
+        """Updates the switch and releases the work that may start now."""
         now = self._clock()
-        if now - self._watched_at >= WATCH:
-            self._watched_at = now
+        if now - self._switch_updated_at >= SWITCH_INTERVAL_S:
+            self._switch_updated_at = now
             self.switch.update(int(now * MICROSECONDS), self._utilisation())
-        passed: list[tuple[tuple[int, int], Deferred]] = []  # not due, or without room: others need not wait
-        without_room: set[Hashable] = set()
-        while self._lane:
-            key, work = self._lane.first()
-            self._lane.pop()
+        # Work that is not due, or finds no capacity, does not block work behind it.
+        kept: list[tuple[tuple[int, int], DeferredWork]] = []
+        blocked_groups: set[Hashable] = set()
+        while self._queue:
+            key, work = self._queue.first()
+            self._queue.pop()
             if work.released.done():
                 continue
             held = self.switch.busy and work.due > now
-            if not held and work.alike not in without_room and work.may_start():
+            if not held and work.group not in blocked_groups and work.can_start():
                 work.released.set_result(None)
                 continue
-            if not held and work.alike is not None:
-                without_room.add(work.alike)
-            passed.append((key, work))
-        for key, work in passed:
-            self._lane.push(key, work)
+            if not held and work.group is not None:
+                blocked_groups.add(work.group)
+            kept.append((key, work))
+        for key, work in kept:
+            self._queue.push(key, work)
 
     async def run(self) -> None:
-        """Release until cancelled."""
+        """Releases work until cancelled."""
         while True:
-            self.look()
-            self._news.clear()
+            self.release_ready()
+            self._work_added.clear()
             try:
-                async with asyncio.timeout(LOOK if self._lane else WATCH):
-                    await self._news.wait()
+                async with asyncio.timeout(RELEASE_INTERVAL_S if self._queue else SWITCH_INTERVAL_S):
+                    await self._work_added.wait()
             except TimeoutError:
                 continue
--- a/heronstall/dataplane/ingress.py
+++ b/heronstall/dataplane/ingress.py
@@ -14,7 +14,7 @@
 from aiohttp import web
 
 from heronstall.dataplane.batch_front import BatchFront
-from heronstall.dataplane.deferred import DeferredLane
+from heronstall.dataplane.deferred import DeferredQueue
 from heronstall.dataplane.forwarding import DEADLINE, STARTING, Broken, Forwarder, Passage, failure, refusal
 from heronstall.dataplane.routing import Routes, RouteType
 from heronstall.distribution.freshness import KnowledgeLimits
@@ -45,7 +45,7 @@
         self,
         forwarder: Forwarder,
         batch: BatchFront,
-        deferred: DeferredLane,
+        deferred: DeferredQueue,
         rng: random.Random,
         knowledge_age: Callable[[], float],
         limits: KnowledgeLimits,
--- a/heronstall/dataplane/node.py
+++ b/heronstall/dataplane/node.py
@@ -13,7 +13,7 @@
 from heronstall.dataplane.admission import Admission
 from heronstall.dataplane.batch_front import BatchFront
 from heronstall.dataplane.batch_runner import BatchRunner
-from heronstall.dataplane.deferred import DeferredLane
+from heronstall.dataplane.deferred import DeferredQueue
 from heronstall.dataplane.forwarding import Forwarder
 from heronstall.dataplane.ingress import Ingress
 from heronstall.dataplane.misses import MissLog
@@ -50,7 +50,7 @@
         self.pool = WorkerPool()
         self.admission = Admission(self.pool, rng, settings.zone)
         shards = ShardClient(self.links, self.view)
-        self.deferred = DeferredLane(self.admission.utilisation)
+        self.deferred = DeferredQueue(self.admission.utilisation)
         self.misses = MissLog()
         self.runner = BatchRunner(
             settings.name, shards, self.admission, self.deferred, lambda: self.ingress.routes, self.misses
--- a/tests/tier/test_dataplane.py
+++ b/tests/tier/test_dataplane.py
@@ -20,7 +20,7 @@
 from heronstall.dataplane.attempts import Attempts
 from heronstall.dataplane.batch_front import Malformed, read_items
 from heronstall.dataplane.batch_runner import BatchRunner, Running
-from heronstall.dataplane.deferred import DeferredLane
+from heronstall.dataplane.deferred import DeferredQueue
 from heronstall.dataplane.events import EventReader
 from heronstall.dataplane.forwarding import USAGE, Passage
 from heronstall.dataplane.prefixes import NO_SHARED_PREFIX, parse_shared_prefix
@@ -133,7 +133,7 @@
     async def asyncSetUp(self) -> None:
         self.clock = Clock()
         self.utilisation = 0.2
-        self.lane = DeferredLane(lambda: self.utilisation, self.clock)
+        self.lane = DeferredQueue(lambda: self.utilisation, self.clock)
         self.order: list[str] = []
         self.room = 100
 
@@ -149,7 +149,7 @@
         return task
 
     async def look(self) -> list[str]:
-        self.lane.look()
+        self.lane.release_ready()
         for _ in range(3):
             await asyncio.sleep(0)
         return self.order
@@ -158,7 +158,7 @@
         self.utilisation = 0.95
         for _ in range(130):
             self.clock.now += 0.25
-            self.lane.look()
+            self.lane.release_ready()
         self.assertTrue(self.lane.switch.busy)
 
     async def test_idle_releases_all_by_deadline_and_late_ranks_last(self) -> None:
