--- a/benchmarks/draw_cost.py
+++ b/benchmarks/draw_cost.py
@@ -39,7 +39,7 @@
     pool.position = DispatcherPosition(5, max(2, workers * 3 // 2))
     for worker in pool.by_id.values():
         worker.inflight = int(rng.random() < 0.1)
-        worker.others_live = rng.uniform(0, PLACES)
+        worker.peer_requests = rng.uniform(0, PLACES)
     return Admission(pool, rng, "z")
 
 
--- a/heronstall/dataplane/admission.py
+++ b/heronstall/dataplane/admission.py
@@ -65,7 +65,7 @@
         workers = [w for w in self._pool.by_id.values() if w.ready]
         if not workers:
             return -1.0
-        return min(1.0, sum(w.total for w in workers) / sum(w.capacity for w in workers))
+        return min(1.0, sum(w.total_load for w in workers) / sum(w.capacity for w in workers))
 
     def sent(self, worker: WorkerState) -> None:
         """A request goes to a worker."""
@@ -82,7 +82,7 @@
     def answered(self, worker: WorkerState, status: int) -> None:
         """A worker has answered a request that it ran."""
         error = 1.0 if status >= 500 else 0.0
-        worker.error_share += ERROR_LEARNT * (error - worker.error_share)
+        worker.error_rate += ERROR_LEARNT * (error - worker.error_rate)
 
     def service_of(self, route: Route) -> str:
         """A service of a route, drawn by its weights."""
--- a/heronstall/dataplane/batch_runner.py
+++ b/heronstall/dataplane/batch_runner.py
@@ -24,7 +24,7 @@
 from heronstall.dataplane.prefixes import SharedPrefix, parse_shared_prefix
 from heronstall.dataplane.routing import Route, Routes, RouteType
 from heronstall.dataplane.shard_client import ShardClient
-from heronstall.dataplane.workers import UnsendablePath, WorkerState, note_attempt
+from heronstall.dataplane.workers import UnsendablePath, WorkerState, record_target
 from heronstall.distribution.shards import batch_shard
 from heronstall.transport.frames import Kind, Status
 from heronstall.transport.links import Reply
@@ -338,7 +338,7 @@
         try:
             async with asyncio.timeout(None) as limit:
                 attempt = worker.attempts.begin(limit, ITEM_SILENCE_S)
-                note_attempt(attempt, worker)
+                record_target(attempt, worker)
                 item.attempts.append(attempt)
                 answer = await worker.request(
                     "POST", item.request.path, _headers(item, worker), item.request.body
@@ -362,7 +362,7 @@
     async def _read(
         self, item: Running, worker: WorkerState, attempt: Attempt, answer: aiohttp.ClientResponse
     ) -> Outcome | None:
-        worker.learn_idle(answer.headers.get("Keep-Alive"))
+        worker.learn_keep_alive(answer.headers.get("Keep-Alive"))
         if answer.headers.get(REQUEST_ID) != item.request.id:
             raise aiohttp.ClientPayloadError("answer to another request")
         if answer.status in (200, 500):
--- a/heronstall/dataplane/forwarding.py
+++ b/heronstall/dataplane/forwarding.py
@@ -22,7 +22,7 @@
 from heronstall.dataplane.prefixes import MAX_TOKEN_DIGITS, SharedPrefix, parse_shared_prefix
 from heronstall.dataplane.prompt_placement import PlacedPrompt, PromptPlacer
 from heronstall.dataplane.routing import Route, RouteType
-from heronstall.dataplane.workers import UnsendablePath, WorkerPool, WorkerState, note_attempt
+from heronstall.dataplane.workers import UnsendablePath, WorkerPool, WorkerState, record_target
 
 log = structlog.get_logger()
 
@@ -233,7 +233,7 @@
             return failure(504 if time.monotonic() >= passage.deadline else 502)
         if passage.runs:
             return failure(502)
-        return refusal() if self._pool.of(passage.service) else refusal(STARTING)
+        return refusal() if self._pool.of_service(passage.service) else refusal(STARTING)
 
     async def _attempt(self, passage: Passage, worker: WorkerState) -> web.StreamResponse | AttemptEnd:
         """One attempt at one worker, and what its end says of the worker."""
@@ -257,7 +257,7 @@
             async with asyncio.timeout(passage.deadline - time.monotonic()) as limit:
                 patience = REQUEST_SILENCE_S if passage.may_repeat else None
                 passage.attempt = worker.attempts.begin(limit, patience, passage.prompt_tokens)
-                note_attempt(passage.attempt, worker, self._admission.home_rank(worker, passage.prefix))
+                record_target(passage.attempt, worker, self._admission.home_rank(worker, passage.prefix))
                 passage.attempts.append(passage.attempt)
                 answer = await worker.request(
                     passage.request.method,
@@ -301,7 +301,7 @@
         self, passage: Passage, worker: WorkerState, answer: aiohttp.ClientResponse
     ) -> web.StreamResponse | AttemptEnd:
         """Pass an answer on. Raises Broken where it is not whole, or not the request's own."""
-        worker.learn_idle(answer.headers.get("Keep-Alive"))
+        worker.learn_keep_alive(answer.headers.get("Keep-Alive"))
         assert passage.attempt is not None
         worker.attempts.record_data(passage.attempt)
         if answer.headers.get(REQUEST_ID) != passage.request.headers.get(REQUEST_ID):
--- a/heronstall/dataplane/item_slots.py
+++ b/heronstall/dataplane/item_slots.py
@@ -47,7 +47,7 @@
 
     def takes(self, worker: WorkerState) -> bool:
         """Whether a worker has room for a batch item of this dispatcher."""
-        if worker.total >= self._full(worker):
+        if worker.total_load >= self._full(worker):
             return False
         places = self._places(worker)
         return worker.items < places if places else self._takes_outside(worker)
@@ -87,14 +87,14 @@
 
     def _reached(self, service: str) -> Iterator[WorkerState]:
         now = self._clock()
-        return (w for w in self._pool.of(service) if w.ready and w.avoid_until <= now)
+        return (w for w in self._pool.of_service(service) if w.ready and w.avoid_until <= now)
 
     def _places(self, worker: WorkerState) -> int:
         """This dispatcher's places at a worker: whole ones, of which each is one dispatcher's."""
         share = self._pool.worker_shares(worker.entry.service).get(worker.entry.id)
         if share is None:
             return 0
-        left = self._full(worker) - worker.live
+        left = self._full(worker) - worker.live_requests
         return share.slots(max(1.0, ITEMS_LEAST * worker.capacity, left))
 
     def _full(self, worker: WorkerState) -> float:
@@ -109,9 +109,9 @@
         return SPARE_URGENT + (most - SPARE_URGENT) * min(1.0, max(0.0, leisure))
 
     def _running(self, service: str) -> int:
-        return sum(worker.items for worker in self._pool.of(service))
+        return sum(worker.items for worker in self._pool.of_service(service))
 
     @staticmethod
     def _is_idle(worker: WorkerState) -> bool:
         """Whether a worker takes an item whosever its places are: their dispatcher may be gone or cut off."""
-        return worker.total < IDLE * worker.capacity
+        return worker.total_load < IDLE * worker.capacity
--- a/heronstall/dataplane/node.py
+++ b/heronstall/dataplane/node.py
@@ -92,7 +92,7 @@
             self.puller.run(),
             self.runner.report(),
             self.deferred.run(),
-            self.pool.watch(),
+            self.pool.end_silent_attempts(),
             self.misses.run(),
             self._sweep(),
         )
@@ -146,12 +146,12 @@
             machine_class="edge",
             address=address,
             zone=self.settings.zone,
-            loads=pack(self.pool.loads()),
+            loads=pack(self.pool.own_loads()),
         )
 
     def _answered(self) -> None:
         self.pool.position = DispatcherPosition(self.view.edge_number, self.view.edges)
-        self.pool.take_loads(self.view.loads)
+        self.pool.update_peer_loads(self.view.loads)
 
     def _news(self, changed: set[str]) -> None:
         if "config" in changed:
--- a/heronstall/dataplane/worker_selection.py
+++ b/heronstall/dataplane/worker_selection.py
@@ -13,7 +13,7 @@
 
 from heronstall.dataplane.prefixes import SharedPrefix
 from heronstall.dataplane.subset import preferred_subset
-from heronstall.dataplane.workers import WITNESSES, WorkerPool, WorkerState
+from heronstall.dataplane.workers import MIN_FAILURE_REPORTS, WorkerPool, WorkerState
 from heronstall.placement.prefill import affinity
 
 # Power of the inverse of one plus own work at a worker: own work is known at once, the others' is not.
@@ -81,7 +81,7 @@
         able = self._able(compared, tried)
         good = self._good(able, now, for_item)
         if not good and compared.is_part:
-            compared = Compared(self._pool.of(service))
+            compared = Compared(self._pool.of_service(service))
             able = self._able(compared, tried)
             good = self._good(able, now, for_item)
         if not good and not for_item:
@@ -111,13 +111,13 @@
 
     def _compared(self, service: str, prefix: SharedPrefix) -> Compared:
         """All workers of a service, or a part of many."""
-        workers = self._pool.of(service)
+        workers = self._pool.of_service(service)
         if len(workers) <= ALL_OF:
             return Compared(workers)
         own_workers = self._preferred(service, workers)
         named = {*self._pool.worker_shares(service), *own_workers}
         if prefix.is_large:
-            named.update(self._pool.homes(service, prefix.segment))
+            named.update(self._pool.home_workers(service, prefix.segment))
         at_random = [w for w in self._random.sample(workers, DRAWN) if w.entry.id not in named]
         known = [w for name in sorted(named) if (w := self._pool.by_id.get(name)) is not None]
         stands_for = (len(workers) - len(known)) / max(1, len(at_random))
@@ -145,7 +145,7 @@
         named = self._pool.by_id.get(worker)
         if named is None or named.entry.service != service or not named.ready or self._fails(named, now):
             return None
-        if worker in self._set_aside([w for w in self._pool.of(service) if w.ready], now):
+        if worker in self._set_aside([w for w in self._pool.of_service(service) if w.ready], now):
             return None
         return named if self._trust(named) * named.latency.weight(now) >= USABLE else None
 
@@ -166,7 +166,7 @@
         """
         if not prefix.is_large:
             return None
-        homes = self._pool.homes(worker.entry.service, prefix.segment)
+        homes = self._pool.home_workers(worker.entry.service, prefix.segment)
         return homes.index(worker.entry.id) if worker.entry.id in homes else len(homes)
 
     @staticmethod
@@ -178,18 +178,18 @@
         failing = {
             w.entry.id
             for w in workers
-            if w.failing_elsewhere >= WITNESSES and now - w.attempts.last_data_at > ANSWERED_NOW
+            if w.peers_failing >= MIN_FAILURE_REPORTS and now - w.attempts.last_data_at > ANSWERED_NOW
         }
         return failing if len(failing) <= ASIDE_MOST * len(workers) else set()
 
     @staticmethod
     def _room(worker: WorkerState) -> float:
         """Part of a worker's places that no dispatcher uses, as far as known."""
-        return max(FULL, 1.0 - worker.total / worker.capacity)
+        return max(FULL, 1.0 - worker.total_load / worker.capacity)
 
     def _nearness(self, worker: WorkerState, now: float) -> float:
         """Weight of a worker that is reached cheaply, as long as it has places to spare."""
-        if worker.total >= EASY * worker.capacity:
+        if worker.total_load >= EASY * worker.capacity:
             return 1.0
         near = NEAR if worker.entry.zone == self._zone else 1.0
         return near * CONNECTED if worker.has_idle_connection(now) else near
@@ -197,4 +197,4 @@
     @staticmethod
     def _trust(worker: WorkerState) -> float:
         """Weight of a worker that answers with errors: never nothing, so that its recovery is seen."""
-        return max(DISTRUST, 1.0 - ERROR_WEIGHT * max(0.0, worker.error_share - ERRORS_USUAL))
+        return max(DISTRUST, 1.0 - ERROR_WEIGHT * max(0.0, worker.error_rate - ERRORS_USUAL))
--- a/heronstall/dataplane/workers.py
+++ b/heronstall/dataplane/workers.py
@@ -1,4 +1,4 @@
-"""Workers as this dispatcher knows them: streams in flight, connections, troubles seen."""
+"""The state of workers as this dispatcher knows it: load, connections and failures."""
 
 from __future__ import annotations
 
@@ -19,18 +19,19 @@
 from heronstall.sessions.loads import WorkerLoad
 from heronstall.transport.messages import Worker as Entry
 
-CONNECT_WITHIN = 0.5  # seconds; a connection that takes longer has carried nothing
+CONNECT_TIMEOUT_S = 0.5  # an attempt that fails to connect in time has sent nothing
 DEFAULT_CAPACITY = 8
-WITNESSES = 2  # other dispatchers that must have failed at a worker before their word counts
-WATCH = 0.15  # seconds between looks for silent attempts
-OTHERS_LEARNT = 0.25  # weight of a new word: all dispatchers see the same, and must not all follow it at once
-HOMES_KEPT = 6  # homes of a shared part that are remembered: some may be out of reach
-PARTS_MOST = 2048  # shared parts whose homes are remembered
+MIN_FAILURE_REPORTS = 2  # other dispatchers that must have failed at a worker before their reports count
+SILENCE_CHECK_INTERVAL_S = 0.15
+# Weight of a new load report. All dispatchers see the same reports, and must not all react at once.
+PEER_LOAD_SMOOTHING = 0.25
+MAX_HOME_WORKERS = 6  # home workers that are remembered for a shared segment, as some may be unreachable
+MAX_HOME_ENTRIES = 2048  # shared segments whose home workers are remembered
 SKIPPED_HEADERS = frozenset({"Accept", "Accept-Encoding", "User-Agent", "Content-Type"})
 
 
 class UnsendablePath(ValueError):
-    """The library would send another path than the client's."""
+    """aiohttp would send a path that differs from the client's."""
 
 
 @dataclass
@@ -40,13 +41,13 @@
     entry: Entry
     inflight: int = 0  # own requests and items there
     items: int = 0  # own batch items there
-    others_live: float = 0.0  # requests of the other dispatchers there, averaged over their latest words
-    others_items: float = 0.0  # batch items, likewise
+    peer_requests: float = 0.0  # requests of the other dispatchers there, averaged over the latest reports
+    peer_items: float = 0.0  # batch items of the other dispatchers, averaged likewise
     failures: float = 0.0
-    error_share: float = 0.0  # of its answers lately
-    avoid_until: float = 0.0  # steady time
-    failing_until: float = 0.0  # steady time: it was not reached, or broke off
-    failing_elsewhere: int = 0  # other dispatchers of which that is true
+    error_rate: float = 0.0  # moving average over its responses
+    avoid_until: float = 0.0  # monotonic time
+    failing_until: float = 0.0  # monotonic time; set when it was unreachable or broke a connection
+    peers_failing: int = 0  # other dispatchers that report the same
     attempts: Attempts = field(default_factory=Attempts)
     latency: WorkerLatency = field(default_factory=WorkerLatency)
     idle_limit: IdleLimit = field(default_factory=IdleLimit)
@@ -54,27 +55,27 @@
     _connector: MostRecentlyUsedConnector | None = None
 
     @property
-    def total(self) -> float:
-        """Requests and items of all dispatchers there, as far as known."""
-        return self.inflight + self.others_live + self.others_items
+    def total_load(self) -> float:
+        """The known number of requests and items of all dispatchers there."""
+        return self.inflight + self.peer_requests + self.peer_items
 
     @property
-    def live(self) -> float:
-        """Requests of all dispatchers there, without batch items."""
-        return self.inflight - self.items + self.others_live
+    def live_requests(self) -> float:
+        """The known number of requests of all dispatchers there, without batch items."""
+        return self.inflight - self.items + self.peer_requests
 
     @property
     def capacity(self) -> int:
-        """Places of its engine."""
+        """The number of slots of its engine."""
         return self.entry.capacity or DEFAULT_CAPACITY
 
     @property
     def ready(self) -> bool:
-        """Whether new work may go there, by its own word."""
+        """Whether it accepts new work, as registered by the worker."""
         return self.entry.state == "ready"
 
     def session(self) -> aiohttp.ClientSession:
-        """Connections to this incarnation alone: an address may be another worker's later."""
+        """Returns the connections of this incarnation only; its address may be reused by another worker."""
         if self._session is None:
             self._connector = MostRecentlyUsedConnector(self.idle_limit)
             self._session = aiohttp.ClientSession(
@@ -82,40 +83,40 @@
                 auto_decompress=False,
                 cookie_jar=aiohttp.DummyCookieJar(),
                 skip_auto_headers=SKIPPED_HEADERS,
-                timeout=aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_WITHIN),
+                timeout=aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_S),
                 read_bufsize=2**16,
                 max_line_size=65536,
                 max_field_size=65536,
             )
-            # aiohttp repeats GET, PUT and DELETE by itself when a kept connection drops: a run unseen by us.
+            # aiohttp retries GET, PUT and DELETE if an idle connection drops, which would hide an execution.
             self._session._retry_connection = False
         return self._session
 
     async def request(
         self, method: str, path: str, headers: CIMultiDict[str], body: bytes
     ) -> aiohttp.ClientResponse:
-        """Send one request, once; returns when the head of the answer is there."""
+        """Sends a request once and returns when the response head has arrived."""
         url = URL(f"http://{self.entry.address}{path}", encoded=True)
         if url.raw_path_qs != path:
             raise UnsendablePath(path)
         session = self.session()
         connector = self._connector
         assert connector is not None
-        broken = False
+        reset = False
         try:
             return await session.request(
                 method, url, headers=headers, data=body or None, allow_redirects=False
             )
         except (aiohttp.ServerDisconnectedError, aiohttp.ClientOSError) as error:
-            broken = not isinstance(error, aiohttp.ClientConnectorError)
+            reset = not isinstance(error, aiohttp.ClientConnectorError)
             raise
         finally:
             idle_seconds = connector.pop_idle_seconds()
-            if broken and idle_seconds is not None:
+            if reset and idle_seconds is not None:
                 self.idle_limit.record_reset(idle_seconds)
 
-    def learn_idle(self, keep_alive: str | None) -> None:
-        """Take the time that the worker lets a connection rest, from a Keep-Alive header."""
+    def learn_keep_alive(self, keep_alive: str | None) -> None:
+        """Records a response and the timeout of its Keep-Alive header."""
         self.idle_limit.record_response()
         if keep_alive is None:
             return
@@ -124,40 +125,43 @@
             if name.lower() == "timeout" and value.strip().isdigit():
                 self.idle_limit.set_advertised(int(value))
 
-    def note_failing(self, dispatchers: int) -> None:
-        """So many other dispatchers lately did not reach it; if several, kept connections are dead too."""
-        if dispatchers >= WITNESSES > self.failing_elsewhere:
+    def record_peer_failures(self, dispatchers: int) -> None:
+        """Sets how many other dispatchers recently failed to reach it.
+
+        Once enough of them report it, the idle connections are assumed to be dead too.
+        """
+        if dispatchers >= MIN_FAILURE_REPORTS > self.peers_failing:
             self.close_idle_connections()
-        self.failing_elsewhere = dispatchers
+        self.peers_failing = dispatchers
 
     def has_idle_connection(self, now: float) -> bool:
-        """Whether a request would need no new connection."""
+        """Returns whether a request would need no new connection."""
         return self._connector is not None and self._connector.has_idle_connection(now)
 
     def close_idle_connections(self) -> None:
-        """Use no kept connection again: the worker broke one, and the others may be as dead."""
+        """Closes the idle connections; called after one broke, as the others may be dead too."""
         if self._connector is not None:
             self._connector.close_idle_connections()
 
     def close(self) -> None:
-        """End all connections that rest; those in use end with their request."""
+        """Closes all idle connections; those in use end with their request."""
         if self._session is not None:
             asyncio.get_running_loop().create_task(self._session.close())
             self._session = self._connector = None
 
 
-def note_attempt(attempt: Attempt, worker: WorkerState, home: int | None = None) -> None:
-    """Note where an attempt goes, and what is known of that worker."""
+def record_target(attempt: Attempt, worker: WorkerState, home_rank: int | None = None) -> None:
+    """Records the worker of an attempt and what is known about it."""
     attempt.worker = worker.entry.id
     attempt.load = LoadSnapshot(
-        worker.inflight - 1, worker.others_live + worker.others_items, worker.capacity
+        worker.inflight - 1, worker.peer_requests + worker.peer_items, worker.capacity
     )
-    attempt.home_rank = home
+    attempt.home_rank = home_rank
     attempt.new_connection = not worker.has_idle_connection(attempt.sent_at)
 
 
 class WorkerPool:
-    """All workers by service."""
+    """All registered workers, by service."""
 
     def __init__(self) -> None:
         self.by_id: dict[str, WorkerState] = {}
@@ -169,7 +173,7 @@
         self.changed = asyncio.Event()
 
     def update(self, entries: dict[str, Entry]) -> None:
-        """Take the registry's workers."""
+        """Replaces the workers by those of the registry."""
         for worker in [w for name, w in self.by_id.items() if name not in entries]:
             del self.by_id[worker.entry.id]
             worker.entry.state = "gone"
@@ -195,7 +199,7 @@
 
     @property
     def position(self) -> DispatcherPosition:
-        """This dispatcher's place among all."""
+        """The position of this dispatcher among all."""
         return self._position
 
     @position.setter
@@ -204,47 +208,49 @@
             self._position, self._shares = position, {}
 
     def worker_shares(self, service: str) -> dict[str, WorkerShare]:
-        """This dispatcher's shares of the ready workers of a service, by worker."""
+        """Returns this dispatcher's shares of the ready workers of a service, by worker."""
         found = self._shares.get(service)
         if found is None:
             found = self._shares[service] = worker_shares(self.hash_ring(service), self._position)
         return found
 
-    def homes(self, service: str, part: str) -> tuple[str, ...]:
-        """The ready workers to which a prompt's shared part belongs most, the first home first."""
-        found = self._homes.get((service, part))
+    def home_workers(self, service: str, segment: str) -> tuple[str, ...]:
+        """Returns the ready workers with the highest affinity to a shared segment, the highest first."""
+        found = self._homes.get((service, segment))
         if found is None:
-            if len(self._homes) >= PARTS_MOST:
+            if len(self._homes) >= MAX_HOME_ENTRIES:
                 self._homes.clear()
-            found = tuple(nlargest(HOMES_KEPT, self.hash_ring(service), lambda name: affinity(part, name)))
-            self._homes[service, part] = found
+            found = tuple(
+                nlargest(MAX_HOME_WORKERS, self.hash_ring(service), lambda name: affinity(segment, name))
+            )
+            self._homes[service, segment] = found
         return found
 
     def close(self) -> None:
-        """End all connections to workers: the process ends."""
+        """Closes all connections to workers when the process ends."""
         for worker in self.by_id.values():
             worker.close()
 
-    async def watch(self) -> None:
-        """End silent attempts until cancelled."""
+    async def end_silent_attempts(self) -> None:
+        """Ends silent attempts periodically until cancelled."""
         while True:
-            await asyncio.sleep(WATCH)
+            await asyncio.sleep(SILENCE_CHECK_INTERVAL_S)
             now = time.monotonic()
             for worker in self.by_id.values():
                 if worker.attempts.active:
                     worker.attempts.end_silent(now)
 
-    def take_loads(self, loads: dict[str, WorkerLoad]) -> None:
-        """Take what the other dispatchers have at the workers."""
+    def update_peer_loads(self, loads: dict[str, WorkerLoad]) -> None:
+        """Applies the other dispatchers' reported load at the workers."""
         for name, worker in self.by_id.items():
             load = loads.get(name)
-            live, items = (load.requests, load.items) if load else (0, 0)
-            worker.note_failing(load.failing if load else 0)
-            worker.others_live += OTHERS_LEARNT * (live - worker.others_live)
-            worker.others_items += OTHERS_LEARNT * (items - worker.others_items)
+            requests, items = (load.requests, load.items) if load else (0, 0)
+            worker.record_peer_failures(load.failing if load else 0)
+            worker.peer_requests += PEER_LOAD_SMOOTHING * (requests - worker.peer_requests)
+            worker.peer_items += PEER_LOAD_SMOOTHING * (items - worker.peer_items)
 
-    def loads(self) -> list[WorkerLoad]:
-        """What this dispatcher has at the workers."""
+    def own_loads(self) -> list[WorkerLoad]:
+        """Returns this dispatcher's load at the workers, for the report to the others."""
         now = time.monotonic()
         return [
             WorkerLoad(w.entry.id, w.inflight - w.items, w.items, int(w.failing_until > now))
@@ -253,9 +259,9 @@
         ]
 
     def hash_ring(self, service: str) -> list[str]:
-        """The ready workers of a service in the order from which dispatchers' subsets are taken."""
+        """Returns the ready workers of a service in the order from which subsets are taken."""
         return self._rings.get(service, [])
 
-    def of(self, service: str) -> list[WorkerState]:
-        """All workers of a service."""
+    def of_service(self, service: str) -> list[WorkerState]:
+        """Returns all workers of a service."""
         return self._by_service.get(service, [])
--- a/heronstall/model/serving/fleet.py
+++ b/heronstall/model/serving/fleet.py
@@ -270,9 +270,9 @@
 
     def _pull(self, dispatcher: ModelDispatcher, number: int) -> None:
         now, name = self.time.now / MICROSECONDS, str(number)
-        session = Session(name=name, machine_class="edge", loads=pack(dispatcher.pool.loads()))
+        session = Session(name=name, machine_class="edge", loads=pack(dispatcher.pool.own_loads()))
         self._sessions.renew(now, session)
-        dispatcher.pool.take_loads({load.worker: load for load in self._sessions.loads(now, name)})
+        dispatcher.pool.update_peer_loads({load.worker: load for load in self._sessions.loads(now, name)})
 
     def _lease(self, dispatcher: ModelDispatcher) -> None:
         want = dispatcher.admission.items_to_lease(SERVICE) - dispatcher.held
--- a/tests/tier/test_dataplane.py
+++ b/tests/tier/test_dataplane.py
@@ -298,7 +298,7 @@
     def test_own_load_and_the_others_load_weigh(self) -> None:
         self.pool.by_id["w0"].inflight = 5
         for _ in range(20):
-            self.pool.take_loads({"w1": WorkerLoad("w1", 9, 0)})
+            self.pool.update_peer_loads({"w1": WorkerLoad("w1", 9, 0)})
         found = self.drawn()
         self.assertLess(found.get("w0", 0), 30)
         self.assertLess(found.get("w1", 0), 60)
@@ -327,9 +327,9 @@
         self.assertGreater(found["w0"], 1.5 * max(found["w1"], found["w2"], found["w3"]))
         with mock.patch.object(connected, "has_idle_connection", return_value=True):
             self.assertGreater(self.drawn()["w1"], 250)
-            connected.others_live = 8.0
+            connected.peer_requests = 8.0
             self.assertLess(self.drawn().get("w1", 0), 60)
-        near.others_live = 8.0
+        near.peer_requests = 8.0
         self.assertLess(self.drawn().get("w0", 0), 60)
 
     def test_a_large_prompt_goes_home(self) -> None:
@@ -350,8 +350,8 @@
         (home, often) = drawn().most_common(1)[0]
         self.assertGreater(often, 160)
         for name in self.pool.by_id:
-            self.pool.by_id[name].others_live = 7.0
-        self.pool.by_id[home].others_live = 10.0
+            self.pool.by_id[name].peer_requests = 7.0
+        self.pool.by_id[home].peer_requests = 10.0
         full = drawn()
         (second, often) = next(pair for pair in full.most_common() if pair[0] != home)
         self.assertGreater(often, 160)
@@ -359,20 +359,20 @@
         self.assertGreater(drawn()[second], 180)
 
     def test_a_worker_that_others_do_not_reach_is_set_aside_here_too(self) -> None:
-        self.pool.take_loads({"w0": WorkerLoad("w0", failing=2), "w1": WorkerLoad("w1", failing=1)})
+        self.pool.update_peer_loads({"w0": WorkerLoad("w0", failing=2), "w1": WorkerLoad("w1", failing=1)})
         self.assertEqual(set(self.drawn()), {"w1", "w2", "w3"})
         worker = self.pool.by_id["w0"]
         worker.attempts.last_data_at = time.monotonic()  # it has just answered here
         self.assertIn("w0", self.drawn())
         worker.attempts.last_data_at = 0.0
-        self.pool.take_loads({})
+        self.pool.update_peer_loads({})
         self.assertIn("w0", self.drawn())
 
     def test_connections_kept_to_it_are_ended_once(self) -> None:
         worker = self.pool.by_id["w0"]
         with mock.patch.object(type(worker), "close_idle_connections") as forget:
             for failing in (1, 2, 3, 1, 2):
-                worker.note_failing(failing)
+                worker.record_peer_failures(failing)
         self.assertEqual(forget.call_count, 2)
 
     def test_a_worker_that_was_named_elsewhere_is_used_only_where_it_is_sound_from_here(self) -> None:
@@ -392,16 +392,16 @@
 
     def test_words_against_most_workers_set_none_aside(self) -> None:
         """Then those who say so are cut off themselves."""
-        self.pool.take_loads({f"w{k}": WorkerLoad(f"w{k}", failing=4) for k in range(3)})
+        self.pool.update_peer_loads({f"w{k}": WorkerLoad(f"w{k}", failing=4) for k in range(3)})
         self.assertEqual(len(self.drawn()), 4)
 
     def test_a_failure_is_told_to_the_others_while_it_is_fresh(self) -> None:
         worker = self.pool.by_id["w2"]
         self.admission.failed(worker)
-        (told,) = self.pool.loads()
+        (told,) = self.pool.own_loads()
         self.assertEqual((told.worker, told.failing, told.requests), ("w2", 1, 0))
         worker.failing_until = 0.0
-        self.assertEqual(self.pool.loads(), [])
+        self.assertEqual(self.pool.own_loads(), [])
 
 
 class Subsets(unittest.TestCase):
--- a/tests/tier/test_item_slots.py
+++ b/tests/tier/test_item_slots.py
@@ -45,7 +45,7 @@
     async def test_items_stay_off_full_workers(self) -> None:
         pool, admission, _ = self.dispatcher(DispatcherPosition(1, 1))
         for worker in pool.by_id.values():
-            worker.others_live = 7  # of 10: less than the root of the places and a fifth is free
+            worker.peer_requests = 7  # of 10: less than the root of the places and a fifth is free
         self.assertFalse(admission.room_for_item("s"))
         self.assertIsNone(admission.pick("s", NO_SHARED_PREFIX, set(), for_item=True))
 
@@ -60,10 +60,10 @@
         pool, admission, _ = self.dispatcher(DispatcherPosition(1, 1))
         self.assertEqual(admission.items.most("s"), 24)  # of 40, a fifth more than a root of each ten free
         for worker in pool.by_id.values():
-            worker.others_live = 4
+            worker.peer_requests = 4
         self.assertEqual(admission.items.most("s"), 8)
         for worker in pool.by_id.values():
-            worker.others_live = 30
+            worker.peer_requests = 30
         self.assertEqual(admission.items.most("s"), 4, "one at each worker, as soon as it has room")
 
     async def test_urgent_items_get_places_that_are_kept_free_at_leisure(self) -> None:
@@ -94,7 +94,7 @@
     async def test_a_worker_of_one_place_takes_an_item_when_it_is_free(self) -> None:
         pool, admission, _ = self.dispatcher(DispatcherPosition(1, 1), workers=1, capacity=1)
         self.assertTrue(admission.room_for_item("s"))
-        pool.by_id["w0"].others_live = 1
+        pool.by_id["w0"].peer_requests = 1
         self.assertFalse(admission.room_for_item("s"))
 
     async def test_a_dispatcher_without_a_share_runs_one_item_at_a_worker_that_is_nearly_idle(self) -> None:
@@ -104,7 +104,7 @@
         assert worker is not None
         worker.items, worker.inflight = 1, 1
         self.assertFalse(admission.room_for_item("s"), "one at a time")
-        worker.items, worker.inflight, worker.others_live = 0, 0, 5
+        worker.items, worker.inflight, worker.peer_requests = 0, 0, 5
         self.assertEqual(admission.items.most("s"), 0)
 
     async def test_what_was_leased_goes_elsewhere_while_a_shared_worker_is_out_of_reach(self) -> None:
@@ -112,7 +112,7 @@
         (mine,) = pool.worker_shares("s")
         places = admission.items.most("s")
         for worker in pool.by_id.values():
-            worker.others_live = 4
+            worker.peer_requests = 4
         others = [w for name, w in pool.by_id.items() if name != mine]
         self.assertFalse(any(admission.items.takes(w) for w in others))
         pool.by_id[mine].avoid_until = LONG_AFTER + 1
@@ -136,9 +136,9 @@
                 for number in range(1, count + 1):
                     pool, admission, _ = self.dispatcher(DispatcherPosition(number, count), workers, capacity)
                     for worker in pool.by_id.values():
-                        worker.others_live = live
+                        worker.peer_requests = live
                         while (
-                            worker.others_live and admission.items.takes(worker) and worker.items < capacity
+                            worker.peer_requests and admission.items.takes(worker) and worker.items < capacity
                         ):
                             worker.items += 1
                             worker.inflight += 1
--- a/tests/tier/test_names.py
+++ b/tests/tier/test_names.py
@@ -72,7 +72,7 @@
         pool.position = DispatcherPosition(2, 5)
         admission = Admission(pool, random.Random(7), rename("z1"), clock=lambda: 100.0)
         admission.items.began = 0.0
-        pool.take_loads({f"i-{k}": WorkerLoad(f"i-{k}", k % 5, k % 3) for k in range(WORKERS)})
+        pool.update_peer_loads({f"i-{k}": WorkerLoad(f"i-{k}", k % 5, k % 3) for k in range(WORKERS)})
         prompts = (
             NO_SHARED_PREFIX,
             parse_shared_prefix("aa:9000,bb:100"),
--- a/tests/tier/test_worker_selection.py
+++ b/tests/tier/test_worker_selection.py
@@ -10,7 +10,7 @@
 from heronstall.dataplane.admission import Admission
 from heronstall.dataplane.prefixes import NO_SHARED_PREFIX, SharedPrefix, parse_shared_prefix
 from heronstall.dataplane.subset import MIN_SUBSET_SIZE, DispatcherPosition
-from heronstall.dataplane.workers import HOMES_KEPT, WorkerPool
+from heronstall.dataplane.workers import MAX_HOME_WORKERS, WorkerPool
 from heronstall.placement.prefill import affinity
 from heronstall.transport.messages import Worker
 
@@ -43,13 +43,13 @@
     def shares_by_load(self, found: Counter[str]) -> dict[float, float]:
         shares: Counter[float] = Counter()
         for name, count in found.items():
-            shares[self.pool.by_id[name].others_live] += count
+            shares[self.pool.by_id[name].peer_requests] += count
         return {load: count / found.total() for load, count in shares.items()}
 
     def test_workers_are_drawn_by_their_load_as_among_all(self) -> None:
         self.workers(MANY)
         for number, worker in enumerate(self.pool.by_id.values()):
-            worker.others_live = (0.0, 4.0, 8.0, 11.0)[number % 4]
+            worker.peer_requests = (0.0, 4.0, 8.0, 11.0)[number % 4]
         of_a_part = self.shares_by_load(self.drawn())
         former, worker_selection.ALL_OF = worker_selection.ALL_OF, MANY
         self.addCleanup(setattr, worker_selection, "ALL_OF", former)
@@ -80,16 +80,16 @@
         self.assertGreater(self.drawn(prefix, 300)[home], 240)
         self.assertEqual(self.admission.home_rank(self.pool.by_id[home], prefix), 0)
         last = min(self.pool.by_id, key=lambda name: affinity(prefix.segment, name))
-        self.assertEqual(self.admission.home_rank(self.pool.by_id[last], prefix), HOMES_KEPT)
+        self.assertEqual(self.admission.home_rank(self.pool.by_id[last], prefix), MAX_HOME_WORKERS)
         self.assertIsNone(self.admission.home_rank(self.pool.by_id[home], NO_SHARED_PREFIX))
 
     def test_homes_follow_the_registry(self) -> None:
         self.workers(MANY)
         prefix = parse_shared_prefix("5c1e07a2:13000,e4402b7d:250")
-        first = self.pool.homes(SERVICE, prefix.segment)[0]
+        first = self.pool.home_workers(SERVICE, prefix.segment)[0]
         entries = {name: worker.entry for name, worker in self.pool.by_id.items() if name != first}
         self.pool.update(entries)
-        self.assertNotIn(first, self.pool.homes(SERVICE, prefix.segment))
+        self.assertNotIn(first, self.pool.home_workers(SERVICE, prefix.segment))
 
     def test_the_one_sound_worker_is_found_however_many_there_are(self) -> None:
         self.workers(MANY)
@@ -102,8 +102,8 @@
     def test_an_item_finds_the_worker_that_takes_one(self) -> None:
         self.workers(MANY, DispatcherPosition(1, 1))
         for worker in self.pool.by_id.values():
-            worker.others_live = 2.0 * PLACES
-        self.pool.by_id["i-00077"].others_live = 0.0
+            worker.peer_requests = 2.0 * PLACES
+        self.pool.by_id["i-00077"].peer_requests = 0.0
         picked = self.admission.pick(SERVICE, NO_SHARED_PREFIX, set(), for_item=True)
         assert picked is not None
         self.assertEqual(picked.entry.id, "i-00077")
