--- a/heronstall/dataplane/batch_runner.py
+++ b/heronstall/dataplane/batch_runner.py
@@ -187,7 +187,7 @@
             route = self._batch_route(leased)
             if route is not None and leased.due_in_ms > RUN_TIME * 1000:
                 left.append(leased.due_in_ms / 1000 / route.completion)
-        self._admission.items.leased(min(left, default=1.0), backlog)
+        self._admission.item_slots.record_lease(min(left, default=1.0), backlog)
 
     def _batch_route(self, leased: LeasedItem) -> Route | None:
         """The route of a leased item's job, if this dispatcher's configuration has it."""
@@ -233,7 +233,7 @@
         for service in {
             t[0] for h in self._routes().by_host.values() for r in h for t in self._targets(r, shard)
         }:
-            places += self._admission.items_to_lease(service)
+            places += self._admission.max_leased_items(service)
         return max(0, places - len(self._running))
 
     @staticmethod
@@ -300,7 +300,7 @@
 
     def _may_start(self, item: Running) -> bool:
         route = self._routes().find(item.leased.host, item.request.path)
-        return route is None or any(self._admission.room_for_item(target) for target, _ in route.targets)
+        return route is None or any(self._admission.can_start_item(target) for target, _ in route.targets)
 
     async def _attempts(self, item: Running) -> Outcome:
         tried: set[str] = set()
@@ -313,7 +313,7 @@
                 await asyncio.sleep(UNKNOWN_ROUTE)  # maybe newer than this dispatcher's configuration
                 return Outcome.RETURNED
             fresh = time.monotonic() - self._polled_at.get(item.shard, 0.0) < STALE_AFTER
-            service = self._admission.service_of(route)
+            service = self._admission.choose_service(route)
             prefix = _prefix(item.request)
             worker = self._admission.pick(service, prefix, tried, for_item=True) if fresh else None
             if worker is None:
@@ -330,7 +330,7 @@
     async def _attempt(self, item: Running, worker: WorkerState) -> Outcome | None:
         """One run at one worker; None where another may go on from what has come."""
         admission = self._admission
-        admission.sent(worker)
+        admission.record_sent(worker)
         worker.items += 1
         well = False
         answer: aiohttp.ClientResponse | None = None
@@ -349,7 +349,7 @@
         except UnsendablePath:
             return Outcome.UNDOABLE
         except (aiohttp.ClientError, ConnectionError, TimeoutError):
-            admission.failed(worker)
+            admission.record_failure(worker)
             return None
         finally:
             if answer is not None and not well:
@@ -357,7 +357,7 @@
             if attempt is not None:
                 worker.attempts.finish(attempt)
             worker.items -= 1
-            admission.done(worker, well)
+            admission.record_finished(worker, well)
 
     async def _read(
         self, item: Running, worker: WorkerState, attempt: Attempt, answer: aiohttp.ClientResponse
@@ -366,7 +366,7 @@
         if answer.headers.get(REQUEST_ID) != item.request.id:
             raise aiohttp.ClientPayloadError("answer to another request")
         if answer.status in (200, 500):
-            self._admission.answered(worker, answer.status)
+            self._admission.record_response(worker, answer.status)
         if answer.status != 200:
             await answer.read()
             if answer.status == 422:
@@ -374,7 +374,7 @@
             if answer.status == 500:
                 return Outcome.FAILED
             if answer.status == 503:
-                self._admission.full(worker)
+                self._admission.record_overload(worker)
             return None
         if not is_framed(answer):
             raise aiohttp.ClientPayloadError("an answer that does not say where it ends")
--- a/heronstall/dataplane/forwarding.py
+++ b/heronstall/dataplane/forwarding.py
@@ -215,7 +215,7 @@
     async def _place(self, placer: PromptPlacer, passage: Passage) -> WorkerState | None:
         """The worker that a planner names for a large prompt, if it can be used from here."""
         placed = await placer.place(passage.service, passage.prefix, passage.prompt_tokens)
-        worker = self._admission.usable(placed.worker, passage.service) if placed is not None else None
+        worker = self._admission.usable_worker(placed.worker, passage.service) if placed is not None else None
         passage.placed = placed if worker is not None else None
         return worker
 
@@ -243,14 +243,14 @@
             for attempt in passage.attempts[began:]:
                 attempt.end = outcome
             if END_RULES[outcome].worker_failed:
-                self._admission.failed(worker)
+                self._admission.record_failure(worker)
             if outcome is AttemptEnd.FULL:
-                self._admission.full(worker)
+                self._admission.record_overload(worker)
         return outcome
 
     async def _send(self, passage: Passage, worker: WorkerState) -> web.StreamResponse | AttemptEnd:
         admission = self._admission
-        admission.sent(worker)
+        admission.record_sent(worker)
         passage.attempt = None
         well = head_came = False
         try:
@@ -286,7 +286,7 @@
         finally:
             if passage.attempt is not None:
                 worker.attempts.finish(passage.attempt)
-            admission.done(worker, well)
+            admission.record_finished(worker, well)
 
     def _headers(self, passage: Passage, worker: WorkerState) -> CIMultiDict[str]:
         headers = request_headers(passage.request.headers)
@@ -312,7 +312,7 @@
             return refusal_end
         if not is_framed(answer):
             raise Broken(AttemptEnd.NO_LENGTH)
-        self._admission.answered(worker, answer.status)
+        self._admission.record_response(worker, answer.status)
         resumes = (
             passage.route.type is RouteType.STREAMING and passage.route.resumable and answer.status == 200
         )
--- a/heronstall/model/serving/fleet.py
+++ b/heronstall/model/serving/fleet.py
@@ -93,7 +93,7 @@
         self.pool = WorkerPool()
         zone = f"z{number % fleet.deployment.zones}"
         self.admission = Admission(self.pool, rng, zone, lambda: fleet.time.now / MICROSECONDS)
-        self.admission.items.began = -100.0
+        self.admission.item_slots.started_at = -100.0
         self.pool.update(fleet.entries())
         self.pool.position = DispatcherPosition(number + 1, fleet.deployment.dispatchers)
         self.items: list[tuple[int, int, ModelRequest]] = []  # leased and not yet sent
@@ -102,7 +102,7 @@
     def send(self, request: ModelRequest, worker: WorkerState) -> None:
         """Send a request to a worker."""
         fleet, engine = self._fleet, self._fleet.engines[worker.entry.id]
-        self.admission.sent(worker)
+        self.admission.record_sent(worker)
         worker.items += request.job is not None
         sent_at = fleet.time.now
 
@@ -117,14 +117,14 @@
         def done() -> None:
             worker.items -= request.job is not None
             self.held -= request.job is not None
-            self.admission.done(worker, True)
+            self.admission.record_finished(worker, True)
             fleet.ended(request, at_engine.longest_gap)
 
         at_engine = EngineRequest(request.prompt, request.output, first, done)
         if not engine.submit(at_engine):
             worker.items -= request.job is not None
-            self.admission.done(worker, False)
-            self.admission.full(worker)
+            self.admission.record_finished(worker, False)
+            self.admission.record_overload(worker)
             request.tried.add(worker.entry.id)
             self.offer(request)
 
@@ -148,7 +148,7 @@
 
     def look(self) -> None:
         """Send leased items as long as a worker has room."""
-        while self.items and self.admission.room_for_item(SERVICE):
+        while self.items and self.admission.can_start_item(SERVICE):
             waiting = len(self.items)
             self.offer(heapq.heappop(self.items)[2])
             if len(self.items) == waiting:
@@ -275,7 +275,7 @@
         dispatcher.pool.update_peer_loads({load.worker: load for load in self._sessions.loads(now, name)})
 
     def _lease(self, dispatcher: ModelDispatcher) -> None:
-        want = dispatcher.admission.items_to_lease(SERVICE) - dispatcher.held
+        want = dispatcher.admission.max_leased_items(SERVICE) - dispatcher.held
         left = []
         wanted = want
         while want > 0 and self._waiting:
@@ -286,7 +286,7 @@
             heapq.heappush(dispatcher.items, leased)
         if wanted > 0:
             in_time = (part for part in left if part > 0)
-            dispatcher.admission.items.leased(min(in_time, default=1.0), backlog=not want)
+            dispatcher.admission.item_slots.record_lease(min(in_time, default=1.0), backlog=not want)
 
     def _watch_spread(self) -> None:
         loads = [engine.load for engine in self.engines.values()]
--- a/tests/tier/test_dataplane.py
+++ b/tests/tier/test_dataplane.py
@@ -311,12 +311,12 @@
     def test_a_worker_that_answers_with_errors_gets_little_until_it_recovers(self) -> None:
         grey = self.pool.by_id["w0"]
         for _ in range(30):
-            self.admission.answered(grey, 500)
+            self.admission.record_response(grey, 500)
         found = self.drawn()
         self.assertLess(found.get("w0", 0), 25)
         self.assertGreater(found.get("w0", 0), 0)
         for _ in range(60):
-            self.admission.answered(grey, 200)
+            self.admission.record_response(grey, 200)
         self.assertGreater(self.drawn().get("w0", 0), 60)
 
     def test_a_worker_near_or_connected_goes_first_as_long_as_it_has_places_to_spare(self) -> None:
@@ -377,16 +377,16 @@
 
     def test_a_worker_that_was_named_elsewhere_is_used_only_where_it_is_sound_from_here(self) -> None:
         def usable(name: str) -> bool:
-            return self.admission.usable(name, "s") is not None
+            return self.admission.usable_worker(name, "s") is not None
 
         now = time.monotonic()
         self.assertTrue(usable("w0"))
         self.assertFalse(usable("w9"))
-        self.assertIsNone(self.admission.usable("w0", "another"))
+        self.assertIsNone(self.admission.usable_worker("w0", "another"))
         self.pool.by_id["w0"].entry.state = "draining"
-        self.admission.failed(self.pool.by_id["w1"])
+        self.admission.record_failure(self.pool.by_id["w1"])
         for _ in range(30):
-            self.admission.answered(self.pool.by_id["w2"], 500)
+            self.admission.record_response(self.pool.by_id["w2"], 500)
         self.pool.by_id["w3"].latency.doublings, self.pool.by_id["w3"].latency.updated_at = 3.0, now
         self.assertEqual([usable(f"w{k}") for k in range(4)], [False] * 4)
 
@@ -397,7 +397,7 @@
 
     def test_a_failure_is_told_to_the_others_while_it_is_fresh(self) -> None:
         worker = self.pool.by_id["w2"]
-        self.admission.failed(worker)
+        self.admission.record_failure(worker)
         (told,) = self.pool.own_loads()
         self.assertEqual((told.worker, told.failing, told.requests), ("w2", 1, 0))
         worker.failing_until = 0.0
@@ -472,11 +472,11 @@
         for _ in range(self.ROUNDS * self.STREAMS):
             if len(streams) == self.STREAMS:
                 edge, worker = streams.pop(rng.randrange(self.STREAMS))
-                edge.done(worker, True)
+                edge.record_finished(worker, True)
                 loads[worker.entry.id] -= 1
             edge = rng.choice(edges)
             worker = edge.pick("s", NO_SHARED_PREFIX, set()) or self.fail("no worker")
-            edge.sent(worker)
+            edge.record_sent(worker)
             streams.append((edge, worker))
             loads[worker.entry.id] += 1
         mean = self.STREAMS / self.WORKERS
--- a/tests/tier/test_item_slots.py
+++ b/tests/tier/test_item_slots.py
@@ -7,7 +7,7 @@
 from collections import Counter, defaultdict
 
 from heronstall.dataplane.admission import Admission
-from heronstall.dataplane.item_slots import FIRST_PLACES, TOLD_FOR
+from heronstall.dataplane.item_slots import INITIAL_SLOTS, URGENCY_LIFETIME_S
 from heronstall.dataplane.prefixes import NO_SHARED_PREFIX
 from heronstall.dataplane.subset import DispatcherPosition, WorkerShare, hash_ring, worker_shares
 from heronstall.dataplane.workers import WorkerPool
@@ -46,80 +46,86 @@
         pool, admission, _ = self.dispatcher(DispatcherPosition(1, 1))
         for worker in pool.by_id.values():
             worker.peer_requests = 7  # of 10: less than the root of the places and a fifth is free
-        self.assertFalse(admission.room_for_item("s"))
+        self.assertFalse(admission.can_start_item("s"))
         self.assertIsNone(admission.pick("s", NO_SHARED_PREFIX, set(), for_item=True))
 
     async def test_the_bound_grows_from_the_start_on(self) -> None:
         _, admission, clock = self.dispatcher(DispatcherPosition(1, 1))
         clock.now = 0.0
-        self.assertEqual(admission.items.most("s"), FIRST_PLACES)
+        self.assertEqual(admission.item_slots.max_running("s"), INITIAL_SLOTS)
         clock.now = 1.0
-        self.assertEqual(admission.items.most("s"), 7)
+        self.assertEqual(admission.item_slots.max_running("s"), 7)
 
     async def test_live_requests_leave_items_fewer_places(self) -> None:
         pool, admission, _ = self.dispatcher(DispatcherPosition(1, 1))
-        self.assertEqual(admission.items.most("s"), 24)  # of 40, a fifth more than a root of each ten free
+        self.assertEqual(
+            admission.item_slots.max_running("s"), 24
+        )  # of 40, a fifth more than a root of each ten free
         for worker in pool.by_id.values():
             worker.peer_requests = 4
-        self.assertEqual(admission.items.most("s"), 8)
+        self.assertEqual(admission.item_slots.max_running("s"), 8)
         for worker in pool.by_id.values():
             worker.peer_requests = 30
-        self.assertEqual(admission.items.most("s"), 4, "one at each worker, as soon as it has room")
+        self.assertEqual(
+            admission.item_slots.max_running("s"), 4, "one at each worker, as soon as it has room"
+        )
 
     async def test_urgent_items_get_places_that_are_kept_free_at_leisure(self) -> None:
         _, admission, clock = self.dispatcher(DispatcherPosition(1, 1))
-        leisure = admission.items.most("s")
+        leisure = admission.item_slots.max_running("s")
         found = []
         for left in (0.9, 0.6, 0.4, 0.2, 0.05):
-            admission.items.leased(left, backlog=False)
-            found.append(admission.items.most("s"))
+            admission.item_slots.record_lease(left, backlog=False)
+            found.append(admission.item_slots.max_running("s"))
         self.assertEqual(found[0], leisure)
         self.assertEqual(found, sorted(found))
         self.assertGreaterEqual(found[-1], leisure + 10)
-        admission.items.leased(0.9, backlog=True)
-        backlog = admission.items.most("s")
+        admission.item_slots.record_lease(0.9, backlog=True)
+        backlog = admission.item_slots.max_running("s")
         self.assertTrue(leisure + 6 <= backlog < found[-1], backlog)
-        admission.items.leased(0.1, backlog=True)
-        self.assertEqual(admission.items.most("s"), found[-1])
-        clock.now += TOLD_FOR + 0.1
-        self.assertEqual(admission.items.most("s"), leisure, "nothing was leased for a while")
+        admission.item_slots.record_lease(0.1, backlog=True)
+        self.assertEqual(admission.item_slots.max_running("s"), found[-1])
+        clock.now += URGENCY_LIFETIME_S + 0.1
+        self.assertEqual(admission.item_slots.max_running("s"), leisure, "nothing was leased for a while")
 
     async def test_some_items_are_leased_ahead_and_none_without_places(self) -> None:
         pool, admission, _ = self.dispatcher(DispatcherPosition(1, 1))
-        self.assertEqual(admission.items_to_lease("s"), 32)  # 24 places and three tenths
+        self.assertEqual(admission.max_leased_items("s"), 32)  # 24 places and three tenths
         for worker in pool.by_id.values():
             worker.avoid_until = LONG_AFTER + 1
-        self.assertEqual(admission.items_to_lease("s"), 0)
+        self.assertEqual(admission.max_leased_items("s"), 0)
 
     async def test_a_worker_of_one_place_takes_an_item_when_it_is_free(self) -> None:
         pool, admission, _ = self.dispatcher(DispatcherPosition(1, 1), workers=1, capacity=1)
-        self.assertTrue(admission.room_for_item("s"))
+        self.assertTrue(admission.can_start_item("s"))
         pool.by_id["w0"].peer_requests = 1
-        self.assertFalse(admission.room_for_item("s"))
+        self.assertFalse(admission.can_start_item("s"))
 
     async def test_a_dispatcher_without_a_share_runs_one_item_at_a_worker_that_is_nearly_idle(self) -> None:
         pool, admission, _ = self.dispatcher(DispatcherPosition(1, 40), workers=1)  # a fortieth of six places
-        self.assertEqual(admission.items.most("s"), 1)
+        self.assertEqual(admission.item_slots.max_running("s"), 1)
         worker = admission.pick("s", NO_SHARED_PREFIX, set(), for_item=True)
         assert worker is not None
         worker.items, worker.inflight = 1, 1
-        self.assertFalse(admission.room_for_item("s"), "one at a time")
+        self.assertFalse(admission.can_start_item("s"), "one at a time")
         worker.items, worker.inflight, worker.peer_requests = 0, 0, 5
-        self.assertEqual(admission.items.most("s"), 0)
+        self.assertEqual(admission.item_slots.max_running("s"), 0)
 
     async def test_what_was_leased_goes_elsewhere_while_a_shared_worker_is_out_of_reach(self) -> None:
         pool, admission, _ = self.dispatcher(DispatcherPosition(1, 4))
         (mine,) = pool.worker_shares("s")
-        places = admission.items.most("s")
+        places = admission.item_slots.max_running("s")
         for worker in pool.by_id.values():
             worker.peer_requests = 4
         others = [w for name, w in pool.by_id.items() if name != mine]
-        self.assertFalse(any(admission.items.takes(w) for w in others))
+        self.assertFalse(any(admission.item_slots.accepts(w) for w in others))
         pool.by_id[mine].avoid_until = LONG_AFTER + 1
-        self.assertTrue(all(admission.items.takes(w) for w in others))
+        self.assertTrue(all(admission.item_slots.accepts(w) for w in others))
         others[0].items, others[0].inflight = 1, 1
-        self.assertFalse(admission.items.takes(others[0]), "one at each")
-        self.assertLess(admission.items.most("s"), places, "nothing more is leased for its places")
+        self.assertFalse(admission.item_slots.accepts(others[0]), "one at each")
+        self.assertLess(
+            admission.item_slots.max_running("s"), places, "nothing more is leased for its places"
+        )
 
 
 class SharedOut(PlacesCase):
@@ -138,7 +144,9 @@
                     for worker in pool.by_id.values():
                         worker.peer_requests = live
                         while (
-                            worker.peer_requests and admission.items.takes(worker) and worker.items < capacity
+                            worker.peer_requests
+                            and admission.item_slots.accepts(worker)
+                            and worker.items < capacity
                         ):
                             worker.items += 1
                             worker.inflight += 1
--- a/tests/tier/test_names.py
+++ b/tests/tier/test_names.py
@@ -71,7 +71,7 @@
         )
         pool.position = DispatcherPosition(2, 5)
         admission = Admission(pool, random.Random(7), rename("z1"), clock=lambda: 100.0)
-        admission.items.began = 0.0
+        admission.item_slots.started_at = 0.0
         pool.update_peer_loads({f"i-{k}": WorkerLoad(f"i-{k}", k % 5, k % 3) for k in range(WORKERS)})
         prompts = (
             NO_SHARED_PREFIX,
@@ -84,11 +84,11 @@
             worker = admission.pick(rename("lm"), prompts[number % 4], set(), for_item=number % 4 == 2)
             found.append(worker.entry.id if worker else "none")
             if worker is not None:
-                admission.sent(worker)
+                admission.record_sent(worker)
                 admission.record_first_event(worker, 500, 0.05 * (number % 7))
             if number % 3 == 0 and worker is not None:
-                admission.done(worker, number % 9 != 0)
-        return [*found, str(admission.items_to_lease(rename("lm")))]
+                admission.record_finished(worker, number % 9 != 0)
+        return [*found, str(admission.max_leased_items(rename("lm")))]
 
     async def test_draws_are_the_same_with_other_services_and_zones(self) -> None:
         self.assertEqual(self.picked(unchanged), self.picked(replaced))
--- a/tests/tier/test_worker_selection.py
+++ b/tests/tier/test_worker_selection.py
@@ -51,10 +51,10 @@
         for number, worker in enumerate(self.pool.by_id.values()):
             worker.peer_requests = (0.0, 4.0, 8.0, 11.0)[number % 4]
         of_a_part = self.shares_by_load(self.drawn())
-        former, worker_selection.ALL_OF = worker_selection.ALL_OF, MANY
-        self.addCleanup(setattr, worker_selection, "ALL_OF", former)
+        former, worker_selection.MAX_COMPARED_WORKERS = worker_selection.MAX_COMPARED_WORKERS, MANY
+        self.addCleanup(setattr, worker_selection, "MAX_COMPARED_WORKERS", former)
         of_all = self.shares_by_load(self.drawn())
-        worker_selection.ALL_OF = former
+        worker_selection.MAX_COMPARED_WORKERS = former
         deviation = (0.25 / DRAWS) ** 0.5  # of a share, at the most
         for load, share in of_all.items():
             self.assertLess(abs(of_a_part[load] - share), 2**0.5 * SPREAD * deviation, (of_all, of_a_part))
@@ -68,7 +68,9 @@
         found = self.drawn(times=600)
         own = [name for name, _ in found.most_common(MIN_SUBSET_SIZE)]
         weight = (
-            MIN_SUBSET_SIZE * worker_selection.PREFERRED / (MIN_SUBSET_SIZE * worker_selection.PREFERRED + 1)
+            MIN_SUBSET_SIZE
+            * worker_selection.SUBSET_WEIGHT
+            / (MIN_SUBSET_SIZE * worker_selection.SUBSET_WEIGHT + 1)
         )  # relative to the weight of all workers
         deviation = (weight * (1 - weight) / 600) ** 0.5
         self.assertGreater(sum(found[name] for name in own) / 600, weight - SPREAD * deviation)
@@ -110,11 +112,11 @@
 
     def test_a_worker_that_is_named_is_usable_only_where_it_is_sound(self) -> None:
         self.workers(MANY)
-        self.assertIsNotNone(self.admission.usable("i-00010", SERVICE))
-        self.assertIsNone(self.admission.usable("i-00010", "other"))
-        self.assertIsNone(self.admission.usable("i-99999", SERVICE))
+        self.assertIsNotNone(self.admission.usable_worker("i-00010", SERVICE))
+        self.assertIsNone(self.admission.usable_worker("i-00010", "other"))
+        self.assertIsNone(self.admission.usable_worker("i-99999", SERVICE))
         self.pool.by_id["i-00010"].avoid_until = self.now + 1
-        self.assertIsNone(self.admission.usable("i-00010", SERVICE))
+        self.assertIsNone(self.admission.usable_worker("i-00010", SERVICE))
 
 
 if __name__ == "__main__":
