--- a/heronstall/dataplane/item_slots.py
+++ b/heronstall/dataplane/item_slots.py
@@ -19,8 +19,8 @@
 # While more items wait than dispatchers request: the quota would otherwise reject further jobs.
 RESERVE_BACKLOG = 0.5
 RESERVE_URGENT = 0.2
-# Fractions of its job's time that an item has left when it is leased: it is urgent up to the first and relaxed
-# from the second.
+# Fractions of its job's time that an item has left when it is leased: it is urgent up to the first value
+# and relaxed from the second.
 URGENT_TIME_LEFT = 0.2
 RELAXED_TIME_LEFT = 0.6
 URGENCY_LIFETIME_S = 2.0  # for which the time left of the latest leased items counts
--- a/tests/tier/test_attempt_ends.py
+++ b/tests/tier/test_attempt_ends.py
@@ -1,4 +1,4 @@
-"""Every end of an attempt, brought about on a real socket: whether another follows, what the client gets."""
+"""Every end of an attempt over a real socket: whether another attempt follows and what the client gets."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 FIRST_PORT, SECOND_PORT, CLOSED_PORT = 7751, 7752, 7753
 ID = "9c41d07be2a35f68"
 OTHER = "0000000000000000"
-BODY = b"b" * 200_000  # more than a connection takes at once
+BODY = b"b" * 200_000  # more than the socket buffers hold
 SIGNED = "Heronstall-Response-Signature: s\r\n"
 PROOF = "Heronstall-Not-Executed: 1\r\n"
 WHOLE_EVENTS = b"id: 1\ndata: a\n\nid: 2\ndata: b\n\n"
@@ -34,7 +34,7 @@
 
 
 def answer(status: int, headers: str = "", name: str | None = ID, body: bytes = b"x") -> bytes:
-    """The bytes of a worker's answer."""
+    """Returns the bytes of a worker's response."""
     id_header = f"{REQUEST_ID}: {name}\r\n" if name else ""
     head = f"HTTP/1.1 {status} S\r\n{id_header}{headers}Content-Length: {len(body)}\r\n\r\n"
     return head.encode() + body
@@ -45,18 +45,18 @@
 
 @dataclass
 class Behaviour:
-    """What a worker does with a request."""
+    """How a worker handles a request."""
 
     reply: bytes = b""
     read_body: bool = True
-    early: bool = False  # answer first, then read the body
+    early: bool = False  # respond before reading the body
     reset: bool = False
-    stay: bool = False  # keep the connection open afterwards, saying nothing
+    stay: bool = False  # keep the connection open afterwards without sending anything
 
 
 @dataclass
 class Server:
-    """A worker on a socket: the requests that it got whole, and what it does with each."""
+    """A worker on a socket, with a behaviour for each request; counts the requests received completely."""
 
     behave: Callable[[int], Behaviour]
     requests: int = 0
@@ -97,7 +97,7 @@
         return False
 
     def close(self) -> None:
-        """End all connections."""
+        """Closes all connections."""
         assert self.server is not None
         self.server.close()
         for writer in self.writers:
@@ -106,14 +106,14 @@
 
 @dataclass(frozen=True)
 class Row:
-    """How one end is brought about, and what follows on a route that allows no repeat."""
+    """How one end is caused, and the result on a route that allows no repeats."""
 
     end: AttemptEnd
     name: str
-    behaviour: Behaviour | None  # None: nothing listens
-    status: int  # that the client of an unsafe request gets
+    behaviour: Behaviour | None  # None if nothing listens
+    status: int  # that the client of a non-idempotent request gets
     deadline: float = DEADLINE
-    resumed: bool = False  # the client has begun to receive the stream
+    resumed: bool = False  # whether the client has begun to receive the stream
 
 
 CUT = answer(200, SIGNED)[:-1]
@@ -123,7 +123,7 @@
     Row(AttemptEnd.FULL, "503 with proof", Behaviour(answer(503, PROOF)), 200),
     Row(
         AttemptEnd.FULL,
-        "503 before the body is in",
+        "503 before the body is read",
         Behaviour(answer(503, PROOF), early=True, stay=True),
         200,
     ),
@@ -133,15 +133,15 @@
     Row(AttemptEnd.UNPROVEN_REFUSAL, "503 without proof", Behaviour(answer(503, SIGNED)), 502),
     Row(AttemptEnd.UNPROVEN_REFUSAL, "429 without proof", Behaviour(answer(429, SIGNED)), 502),
     Row(AttemptEnd.UNPROVEN_REFUSAL, "408 without proof", Behaviour(answer(408, SIGNED)), 502),
-    Row(AttemptEnd.NO_ANSWER, "reset before the body is in", Behaviour(read_body=False, reset=True), 502),
-    Row(AttemptEnd.NO_ANSWER, "reset after the body is in", Behaviour(reset=True), 502),
+    Row(AttemptEnd.NO_ANSWER, "reset before the body is read", Behaviour(read_body=False, reset=True), 502),
+    Row(AttemptEnd.NO_ANSWER, "reset after the body is read", Behaviour(reset=True), 502),
     Row(AttemptEnd.NO_ANSWER, "closed before the first byte", Behaviour(), 502),
     Row(AttemptEnd.NO_ANSWER, "closed within the head", Behaviour(b"HTTP/1.1 200 OK\r\nHer"), 502),
-    Row(AttemptEnd.NO_ANSWER, "bytes that are no answer", Behaviour(b"\0\1rubbish\r\n\r\n"), 502),
-    Row(AttemptEnd.OTHER_ID, "another's answer", Behaviour(answer(200, SIGNED, OTHER)), 502),
-    Row(AttemptEnd.OTHER_ID, "another's 503 with proof", Behaviour(answer(503, PROOF, OTHER)), 502),
-    Row(AttemptEnd.OTHER_ID, "another's 429 with proof", Behaviour(answer(429, PROOF, OTHER)), 502),
-    Row(AttemptEnd.OTHER_ID, "another's 421", Behaviour(answer(421, PROOF, OTHER)), 502),
+    Row(AttemptEnd.NO_ANSWER, "bytes that are not HTTP", Behaviour(b"\0\1rubbish\r\n\r\n"), 502),
+    Row(AttemptEnd.OTHER_ID, "another request's response", Behaviour(answer(200, SIGNED, OTHER)), 502),
+    Row(AttemptEnd.OTHER_ID, "another request's 503 with proof", Behaviour(answer(503, PROOF, OTHER)), 502),
+    Row(AttemptEnd.OTHER_ID, "another request's 429 with proof", Behaviour(answer(429, PROOF, OTHER)), 502),
+    Row(AttemptEnd.OTHER_ID, "another request's 421", Behaviour(answer(421, PROOF, OTHER)), 502),
     Row(AttemptEnd.OTHER_ID, "421 without an id", Behaviour(answer(421, PROOF, None)), 502),
     Row(
         AttemptEnd.NO_LENGTH,
@@ -149,14 +149,14 @@
         Behaviour(f"HTTP/1.1 200 OK\r\n{REQUEST_ID}: {ID}\r\n{SIGNED}\r\nall".encode()),
         502,
     ),
-    Row(AttemptEnd.CUT_SHORT, "closed within the answer", Behaviour(CUT), 502),
-    Row(AttemptEnd.FAILED_RESUMPTION, "500 in place of the rest", Behaviour(answer(500)), 0, resumed=True),
-    Row(AttemptEnd.TIMED_OUT, "silence to the deadline", Behaviour(stay=True), 504, SHORT_DEADLINE),
+    Row(AttemptEnd.CUT_SHORT, "closed within the response", Behaviour(CUT), 502),
+    Row(AttemptEnd.FAILED_RESUMPTION, "500 instead of the rest", Behaviour(answer(500)), 0, resumed=True),
+    Row(AttemptEnd.TIMED_OUT, "silence until the deadline", Behaviour(stay=True), 504, SHORT_DEADLINE),
 )
 
 
 class SocketCase(unittest.IsolatedAsyncioTestCase):
-    """A dispatcher's forwarder before two workers; the first is always asked first."""
+    """A dispatcher's forwarder with two workers, of which the first is always tried first."""
 
     async def asyncSetUp(self) -> None:
         self.servers: list[Server] = []
@@ -171,7 +171,7 @@
             server.close()
 
     async def workers(self, first: Behaviour | None, second: Behaviour) -> tuple[Server, Server]:
-        """Start two workers that do the same with every request."""
+        """Starts two workers that handle every request alike."""
         for server in self.servers:
             server.close()
         made = Server(lambda _: first or Behaviour()), Server(lambda _: second)
@@ -201,21 +201,21 @@
         now = time.monotonic()
         return Passage(request, route, "lm", BODY, now + deadline, now)
 
-    async def carried(self, passage: Passage) -> int:
-        """The status that the client gets."""
-        with mock.patch("heronstall.dataplane.forwarding.PassedResponse", Written):
+    async def client_status(self, passage: Passage) -> int:
+        """Returns the status that the client gets."""
+        with mock.patch("heronstall.dataplane.forwarding.PassedResponse", RecordedResponse):
             return (await Forwarder(self.pool, self.admission).carry(passage)).status
 
 
-class Written(web.StreamResponse):
-    """An answer to a client that is not there."""
+class RecordedResponse(web.StreamResponse):
+    """A response that is recorded instead of being sent to a client."""
 
     def __init__(self, status: int, reason: str | None, headers: CIMultiDict[str]) -> None:
         super().__init__(status=status, reason=reason, headers=headers)
         self.data = b""
 
     async def prepare(self, request: object) -> None:
-        """Send the head."""
+        """Skips sending the head."""
 
     async def write(self, data: bytes) -> None:  # type: ignore[override]
         self.data += data
@@ -224,14 +224,14 @@
         self.data += data
 
 
-class Table(SocketCase):
+class AllEnds(SocketCase):
     async def row_status(self, row: Row, kind: RouteType) -> tuple[int, int]:
-        """The client's status, and the requests that reached the second worker."""
+        """Returns the client's status and the number of requests that reached the second worker."""
         _, second = await self.workers(row.behaviour, Behaviour(GOOD, stay=True))
-        status = await self.carried(self.passage(kind, row.deadline))
+        status = await self.client_status(self.passage(kind, row.deadline))
         return status, second.requests
 
-    async def test_on_a_route_without_repeats_another_attempt_follows_a_proof_alone(self) -> None:
+    async def test_without_repeats_another_attempt_follows_only_a_proof_of_non_execution(self) -> None:
         for row in ROWS:
             if row.resumed:
                 continue
@@ -239,14 +239,14 @@
                 status, again = await self.row_status(row, RouteType.NON_IDEMPOTENT)
                 self.assertEqual((status, again), (row.status, int(END_RULES[row.end].not_run)))
 
-    async def test_on_a_route_with_repeats_another_attempt_follows_every_end(self) -> None:
+    async def test_with_repeats_another_attempt_follows_every_end(self) -> None:
         for row in ROWS:
             if row.resumed or row.end is AttemptEnd.TIMED_OUT:
-                continue  # after the deadline nothing follows
+                continue  # no attempt follows after the deadline
             with self.subTest(row.name, end=row.end):
                 self.assertEqual(await self.row_status(row, RouteType.IDEMPOTENT), (200, 1))
 
-    async def test_each_row_ends_as_it_says(self) -> None:
+    async def test_each_row_causes_its_end(self) -> None:
         for row in ROWS:
             await self.workers(row.behaviour, Behaviour(GOOD, stay=True))
             passage = self.passage(RouteType.STREAMING if row.resumed else RouteType.IDEMPOTENT, row.deadline)
@@ -262,7 +262,7 @@
 
     async def test_a_cancelled_request_is_not_sent_again(self) -> None:
         first, second = await self.workers(Behaviour(stay=True), Behaviour(GOOD, stay=True))
-        task = asyncio.create_task(self.carried(self.passage(RouteType.IDEMPOTENT)))
+        task = asyncio.create_task(self.client_status(self.passage(RouteType.IDEMPOTENT)))
         async with asyncio.timeout(DEADLINE):
             while not first.requests:
                 await asyncio.sleep(0)
@@ -271,47 +271,47 @@
         self.assertTrue(task.cancelled())
         self.assertEqual((second.requests, self.pool.by_id["w1"].inflight), (0, 0))
 
-    async def test_a_stream_cut_in_an_event_goes_on_elsewhere_and_a_whole_one_does_not(self) -> None:
+    async def test_a_truncated_stream_resumes_at_another_worker_without_duplicate_events(self) -> None:
         events = f"Content-Type: text/event-stream\r\n{SIGNED}"
         whole = answer(200, events, body=WHOLE_EVENTS)
         for cut in (whole[:-1], whole[: -len(WHOLE_EVENTS)], whole[:-20]):
             _, second = await self.workers(Behaviour(cut), Behaviour(whole, stay=True))
             with self.subTest(len(cut)):
                 passage = self.passage(RouteType.STREAMING)
-                self.assertEqual(await self.carried(passage), 200)
-                assert isinstance(passage.response, Written)
+                self.assertEqual(await self.client_status(passage), 200)
+                assert isinstance(passage.response, RecordedResponse)
                 self.assertEqual((passage.response.data, second.requests), (WHOLE_EVENTS, 1))
 
-    def test_runs_are_bounded_by_the_route(self) -> None:
+    def test_executions_are_limited_by_the_route(self) -> None:
         for end, rule in END_RULES.items():
             self.assertEqual(may_retry(end, True, 2, 2), rule.not_run)
             self.assertTrue(may_retry(end, True, 1, 2))
 
-    def test_what_a_worker_itself_decided_is_the_clients(self) -> None:
+    def test_other_responses_are_passed_on_to_the_client(self) -> None:
         for status in (200, 400, 404, 422, 500, 504):
             self.assertIsNone(Refusal(status, proven=False).end)
         self.assertIsNone(Refusal(400, proven=True).end)
 
 
-class PlantedMistakes(SocketCase):
-    """Wrong rules, each found by a row."""
+class WrongRules(SocketCase):
+    """Wrong rules, each of which a row detects."""
 
-    async def assert_found(self, end: AttemptEnd) -> None:
+    async def assert_detected(self, end: AttemptEnd) -> None:
         with mock.patch.dict(END_RULES, {end: EndRule(not_run=True, worker_failed=True)}):
             for row in (r for r in ROWS if r.end is end):
                 _, second = await self.workers(row.behaviour, Behaviour(GOOD, stay=True))
-                await self.carried(self.passage(RouteType.NON_IDEMPOTENT, row.deadline))
+                await self.client_status(self.passage(RouteType.NON_IDEMPOTENT, row.deadline))
                 self.assertEqual(second.requests, 1, row.name)
 
-    async def test_belief_in_anothers_answer_is_found(self) -> None:
-        await self.assert_found(AttemptEnd.OTHER_ID)
+    async def test_trusting_a_response_with_another_id_is_detected(self) -> None:
+        await self.assert_detected(AttemptEnd.OTHER_ID)
 
-    async def test_belief_in_a_refusal_without_proof_is_found(self) -> None:
-        await self.assert_found(AttemptEnd.UNPROVEN_REFUSAL)
+    async def test_trusting_a_refusal_without_proof_is_detected(self) -> None:
+        await self.assert_detected(AttemptEnd.UNPROVEN_REFUSAL)
 
 
-class SurplusAnswers(SocketCase):
-    """A worker answers twice; the surplus comes at once, while the connection rests, or later."""
+class SurplusResponses(SocketCase):
+    """A worker sends a surplus response: at once, on an idle connection, or to the next request."""
 
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
@@ -324,29 +324,29 @@
     async def send(self, name: str) -> web.StreamResponse | AttemptEnd:
         passage = self.passage(RouteType.NON_IDEMPOTENT)
         passage.request.headers[REQUEST_ID] = name  # type: ignore[index]
-        with mock.patch("heronstall.dataplane.forwarding.PassedResponse", Written):
+        with mock.patch("heronstall.dataplane.forwarding.PassedResponse", RecordedResponse):
             return await Forwarder(self.pool, self.admission)._attempt(passage, self.worker)
 
-    async def test_one_that_comes_at_once_spoils_the_connection(self) -> None:
+    async def test_an_immediate_surplus_response_makes_the_connection_unusable(self) -> None:
         self.first.behave = lambda _: Behaviour(GOOD + answer(503, PROOF), stay=True)
         await self.send(ID)
         self.assertFalse(self.worker.has_idle_connection(time.monotonic()))
 
-    async def test_one_that_comes_while_the_connection_rests_spoils_it(self) -> None:
+    async def test_a_surplus_response_on_an_idle_connection_makes_it_unusable(self) -> None:
         await self.send(ID)
         self.first.writers[0].write(answer(503, PROOF))
         connector = self.worker._connector
         assert connector is not None
-        kept = next(iter(connector._conns.values()))[0][0]
+        idle = next(iter(connector._conns.values()))[0][0]
         async with asyncio.timeout(DEADLINE):
-            while not kept.should_close:
+            while not idle.should_close:
                 await asyncio.sleep(0)
         self.first.behave = lambda _: Behaviour(answer(200, SIGNED, OTHER), stay=True)
         outcome = await self.send(OTHER)
-        self.assertIsInstance(outcome, Written)
+        self.assertIsInstance(outcome, RecordedResponse)
         self.assertEqual(self.first.connections, 2)
 
-    async def test_one_that_comes_in_place_of_the_next_answer_proves_nothing(self) -> None:
+    async def test_a_surplus_response_to_the_next_request_proves_nothing(self) -> None:
         for surplus in (answer(503, PROOF), answer(421, PROOF), answer(429, PROOF), GOOD):
             self.first.behave = lambda _, s=surplus: Behaviour(s, stay=True)  # type: ignore[misc]
             with self.subTest(surplus[:30]):
@@ -355,7 +355,7 @@
 
 
 class Items(SocketCase):
-    """Batch items: what a worker's answer says counts for the item that it names alone."""
+    """Batch items: a worker's response counts only for the item that it names."""
 
     async def outcome(self, reply: bytes) -> Outcome | None:
         await self.workers(Behaviour(reply), Behaviour())
@@ -363,7 +363,7 @@
         item = Running(LeasedItem(job="j", host="h"), BatchItem(id=ID, path="/p", body=BODY), "batch-0")
         return await runner._attempt(item, self.pool.by_id["w1"])
 
-    async def test_anothers_answer_says_nothing_of_an_item(self) -> None:
+    async def test_a_response_with_another_id_says_nothing_about_an_item(self) -> None:
         for status, own in ((422, Outcome.UNDOABLE), (500, Outcome.FAILED), (503, None), (421, None)):
             with self.subTest(status):
                 self.assertEqual(await self.outcome(answer(status)), own)
--- a/tests/tier/test_connections.py
+++ b/tests/tier/test_connections.py
@@ -1,4 +1,4 @@
-"""Kept connections to a worker, and a worker's pace against what is usual."""
+"""Idle connections to a worker, and a worker's latency against the baseline."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
 from heronstall.dataplane.worker_latency import HALF_LIFE_S, LatencyBaseline, WorkerLatency
 
 
-class Rests(unittest.TestCase):
-    def test_the_worker_tells_and_a_broken_connection_shortens(self) -> None:
+class IdleLimits(unittest.TestCase):
+    def test_the_worker_advertises_the_limit_and_a_reset_shortens_it(self) -> None:
         limit = IdleLimit()
         self.assertEqual(limit.seconds, INITIAL_IDLE_LIMIT_S)
         limit.set_advertised(10)
         self.assertAlmostEqual(limit.seconds, 7.0)
         limit.record_reset(0.5)
         self.assertAlmostEqual(limit.seconds, 0.3)
-        limit.record_reset(2.0)  # a longer rest that broke says nothing new
+        limit.record_reset(2.0)  # a reset after a longer idle time adds no information
         self.assertAlmostEqual(limit.seconds, 0.3)
 
-    def test_answers_lengthen_it_again_up_to_what_was_told(self) -> None:
+    def test_responses_lengthen_it_again_up_to_the_advertised_limit(self) -> None:
         limit = IdleLimit()
         limit.set_advertised(1)
         limit.record_reset(0.0)
@@ -39,72 +39,72 @@
         self.assertAlmostEqual(limit.seconds, 0.7)
 
 
-class Kept(unittest.IsolatedAsyncioTestCase):
+class IdleConnections(unittest.IsolatedAsyncioTestCase):
     def setUp(self) -> None:
         self.limit = IdleLimit()
-        self.spoiled: set[str] = set()
+        self.unusable: set[str] = set()
 
     async def asyncSetUp(self) -> None:
         self.connector = MostRecentlyUsedConnector(self.limit)
 
-    def keep(self, **rests: float) -> None:
+    def add_idle(self, **idle_times: float) -> None:
         now = time.monotonic()
-        kept: deque[tuple[Any, float]] = deque()
-        for name, rest in sorted(rests.items(), key=lambda r: -r[1]):
-            kept.append(
+        idle: deque[tuple[Any, float]] = deque()
+        for name, idle_seconds in sorted(idle_times.items(), key=lambda r: -r[1]):
+            idle.append(
                 (
                     mock.Mock(
                         name=name,
                         spec=["is_connected", "close", "transport", "label", "should_close"],
                         label=name,
-                        should_close=name in self.spoiled,
+                        should_close=name in self.unusable,
                     ),
-                    now - rest,
+                    now - idle_seconds,
                 )
             )
-        self.connector._conns["key"] = kept  # type: ignore[index]
+        self.connector._conns["key"] = idle  # type: ignore[index]
 
-    async def used(self) -> tuple[str | None, float | None]:
+    async def next_used(self) -> tuple[str | None, float | None]:
         connection: Any = await self.connector._get("key", [])  # type: ignore[arg-type]
-        rest = self.connector.pop_idle_seconds()
+        idle_seconds = self.connector.pop_idle_seconds()
         if connection is None:
-            return None, rest
+            return None, idle_seconds
         label = connection._protocol.label
-        connection._protocol = None  # not given back: its end is no part of the test
-        return label, rest
+        connection._protocol = None  # prevents its release, which is not under test
+        return label, idle_seconds
 
-    async def test_the_one_that_rested_least_is_used_first(self) -> None:
-        self.keep(a=1.5, b=0.2, c=0.9)
-        label, rest = await self.used()
+    async def test_the_shortest_idle_connection_is_used_first(self) -> None:
+        self.add_idle(a=1.5, b=0.2, c=0.9)
+        label, idle_seconds = await self.next_used()
         self.assertEqual(label, "b")
-        assert rest is not None
-        self.assertAlmostEqual(rest, 0.2, delta=0.1)
-        self.assertEqual((await self.used())[0], "c")
+        assert idle_seconds is not None
+        self.assertAlmostEqual(idle_seconds, 0.2, delta=0.1)
+        self.assertEqual((await self.next_used())[0], "c")
 
-    async def test_none_is_used_that_has_rested_beyond_the_limit(self) -> None:
+    async def test_a_connection_idle_beyond_the_limit_is_not_used(self) -> None:
         self.limit.record_reset(0.5)
-        self.keep(a=1.5, c=0.9)
-        self.assertEqual(await self.used(), (None, None))
+        self.add_idle(a=1.5, c=0.9)
+        self.assertEqual(await self.next_used(), (None, None))
 
-    async def test_after_a_break_no_kept_connection_is_used(self) -> None:
-        self.keep(a=0.1, b=0.2)
-        kept: list[Any] = [p for p, _ in self.connector._conns["key"]]  # type: ignore[index]
+    async def test_no_idle_connection_is_used_after_all_were_closed(self) -> None:
+        self.add_idle(a=0.1, b=0.2)
+        idle: list[Any] = [p for p, _ in self.connector._conns["key"]]  # type: ignore[index]
         self.connector.close_idle_connections()
-        self.assertEqual(await self.used(), (None, None))
-        self.assertTrue(all(protocol.close.called for protocol in kept))
-
-    async def test_one_on_which_bytes_came_meanwhile_is_ended(self) -> None:
-        self.spoiled = {"b"}
-        self.keep(a=1.0, b=0.2)
-        spoiled: Any = self.connector._conns["key"][-1][0]  # type: ignore[index]
-        self.assertEqual((await self.used())[0], "a")
-        spoiled.close.assert_called_once()
-        self.spoiled = {"c"}
-        self.keep(c=0.1)
-        self.assertEqual(await self.used(), (None, None))
-
-    async def test_another_task_is_told_nothing(self) -> None:
-        self.keep(a=0.1)
+        self.assertEqual(await self.next_used(), (None, None))
+        self.assertTrue(all(protocol.close.called for protocol in idle))
+
+    async def test_a_connection_with_unrequested_bytes_is_closed(self) -> None:
+        self.unusable = {"b"}
+        self.add_idle(a=1.0, b=0.2)
+        unusable: Any = self.connector._conns["key"][-1][0]  # type: ignore[index]
+        self.assertEqual((await self.next_used())[0], "a")
+        unusable.close.assert_called_once()
+        self.unusable = {"c"}
+        self.add_idle(c=0.1)
+        self.assertEqual(await self.next_used(), (None, None))
+
+    async def test_the_idle_time_belongs_to_one_task(self) -> None:
+        self.add_idle(a=0.1)
         connection: Any = await self.connector._get("key", [])  # type: ignore[arg-type]
         connection._protocol = None
 
@@ -115,9 +115,9 @@
         self.assertIsNotNone(self.connector.pop_idle_seconds())
 
 
-class Paces(unittest.TestCase):
-    def test_a_slow_worker_loses_weight_and_gets_it_back(self) -> None:
-        """One that takes eight times as long, among seven others."""
+class WorkerLatencies(unittest.TestCase):
+    def test_a_slow_worker_loses_weight_and_regains_it(self) -> None:
+        """The slow worker takes eight times as long as the seven others."""
         baseline, slow, fair = LatencyBaseline(), WorkerLatency(), WorkerLatency()
         for n in range(40):
             for _ in range(7):
@@ -127,7 +127,7 @@
         self.assertEqual(fair.weight(4.0), 1.0)
         self.assertEqual(slow.weight(4.0 + 5 * HALF_LIFE_S), 1.0)
 
-    def test_long_prompts_are_not_compared_with_short_ones(self) -> None:
+    def test_long_prompts_are_not_compared_with_short_prompts(self) -> None:
         baseline, worker = LatencyBaseline(), WorkerLatency()
         for n in range(40):
             baseline.record(worker, "s", 100, 0.01, n * 0.1)
--- a/tests/tier/test_item_slots.py
+++ b/tests/tier/test_item_slots.py
@@ -1,4 +1,4 @@
-"""How many batch items a dispatcher runs, and where."""
+"""Limits on the batch items of a dispatcher, and the workers that accept them."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from heronstall.dataplane.workers import WorkerPool
 from heronstall.transport.messages import Worker
 
-LONG_AFTER = 100.0  # seconds after a start
+LONG_AFTER = 100.0  # seconds, by which the limit after a start has fully grown
 
 
 class Clock:
@@ -24,8 +24,8 @@
         return self.now
 
 
-class PlacesCase(unittest.IsolatedAsyncioTestCase):
-    """One dispatcher or some before workers of ten places."""
+class ItemSlotsCase(unittest.IsolatedAsyncioTestCase):
+    """One or more dispatchers with workers of ten slots."""
 
     def dispatcher(
         self, position: DispatcherPosition, workers: int = 4, capacity: int = 10
@@ -41,95 +41,95 @@
         return pool, admission, clock
 
 
-class Bounds(PlacesCase):
-    async def test_items_stay_off_full_workers(self) -> None:
+class Limits(ItemSlotsCase):
+    async def test_full_workers_accept_no_items(self) -> None:
         pool, admission, _ = self.dispatcher(DispatcherPosition(1, 1))
         for worker in pool.by_id.values():
-            worker.peer_requests = 7  # of 10: less than the root of the places and a fifth is free
+            worker.peer_requests = 7  # of 10: fewer slots are free than 1.2 square roots of the capacity
         self.assertFalse(admission.can_start_item("s"))
         self.assertIsNone(admission.pick("s", NO_SHARED_PREFIX, set(), for_item=True))
 
-    async def test_the_bound_grows_from_the_start_on(self) -> None:
+    async def test_the_limit_grows_after_the_start(self) -> None:
         _, admission, clock = self.dispatcher(DispatcherPosition(1, 1))
         clock.now = 0.0
         self.assertEqual(admission.item_slots.max_running("s"), INITIAL_SLOTS)
         clock.now = 1.0
         self.assertEqual(admission.item_slots.max_running("s"), 7)
 
-    async def test_live_requests_leave_items_fewer_places(self) -> None:
+    async def test_live_requests_reduce_the_slots_for_items(self) -> None:
         pool, admission, _ = self.dispatcher(DispatcherPosition(1, 1))
         self.assertEqual(
             admission.item_slots.max_running("s"), 24
-        )  # of 40, a fifth more than a root of each ten free
+        )  # of 40, with 1.2 square roots of ten free at each
         for worker in pool.by_id.values():
             worker.peer_requests = 4
         self.assertEqual(admission.item_slots.max_running("s"), 8)
         for worker in pool.by_id.values():
             worker.peer_requests = 30
         self.assertEqual(
-            admission.item_slots.max_running("s"), 4, "one at each worker, as soon as it has room"
+            admission.item_slots.max_running("s"), 4, "one slot at each worker, usable as it gets capacity"
         )
 
-    async def test_urgent_items_get_places_that_are_kept_free_at_leisure(self) -> None:
+    async def test_urgent_items_get_slots_that_are_otherwise_reserved(self) -> None:
         _, admission, clock = self.dispatcher(DispatcherPosition(1, 1))
-        leisure = admission.item_slots.max_running("s")
-        found = []
-        for left in (0.9, 0.6, 0.4, 0.2, 0.05):
-            admission.item_slots.record_lease(left, backlog=False)
-            found.append(admission.item_slots.max_running("s"))
-        self.assertEqual(found[0], leisure)
-        self.assertEqual(found, sorted(found))
-        self.assertGreaterEqual(found[-1], leisure + 10)
+        relaxed = admission.item_slots.max_running("s")
+        limits = []
+        for time_left in (0.9, 0.6, 0.4, 0.2, 0.05):
+            admission.item_slots.record_lease(time_left, backlog=False)
+            limits.append(admission.item_slots.max_running("s"))
+        self.assertEqual(limits[0], relaxed)
+        self.assertEqual(limits, sorted(limits))
+        self.assertGreaterEqual(limits[-1], relaxed + 10)
         admission.item_slots.record_lease(0.9, backlog=True)
         backlog = admission.item_slots.max_running("s")
-        self.assertTrue(leisure + 6 <= backlog < found[-1], backlog)
+        self.assertTrue(relaxed + 6 <= backlog < limits[-1], backlog)
         admission.item_slots.record_lease(0.1, backlog=True)
-        self.assertEqual(admission.item_slots.max_running("s"), found[-1])
+        self.assertEqual(admission.item_slots.max_running("s"), limits[-1])
         clock.now += URGENCY_LIFETIME_S + 0.1
-        self.assertEqual(admission.item_slots.max_running("s"), leisure, "nothing was leased for a while")
+        self.assertEqual(admission.item_slots.max_running("s"), relaxed, "the latest lease has expired")
 
-    async def test_some_items_are_leased_ahead_and_none_without_places(self) -> None:
+    async def test_some_items_are_leased_ahead_but_none_without_slots(self) -> None:
         pool, admission, _ = self.dispatcher(DispatcherPosition(1, 1))
-        self.assertEqual(admission.max_leased_items("s"), 32)  # 24 places and three tenths
+        self.assertEqual(admission.max_leased_items("s"), 32)  # 24 slots and 30 % more
         for worker in pool.by_id.values():
             worker.avoid_until = LONG_AFTER + 1
         self.assertEqual(admission.max_leased_items("s"), 0)
 
-    async def test_a_worker_of_one_place_takes_an_item_when_it_is_free(self) -> None:
+    async def test_a_worker_with_one_slot_accepts_an_item_when_idle(self) -> None:
         pool, admission, _ = self.dispatcher(DispatcherPosition(1, 1), workers=1, capacity=1)
         self.assertTrue(admission.can_start_item("s"))
         pool.by_id["w0"].peer_requests = 1
         self.assertFalse(admission.can_start_item("s"))
 
-    async def test_a_dispatcher_without_a_share_runs_one_item_at_a_worker_that_is_nearly_idle(self) -> None:
-        pool, admission, _ = self.dispatcher(DispatcherPosition(1, 40), workers=1)  # a fortieth of six places
+    async def test_a_dispatcher_without_a_slot_runs_one_item_at_a_nearly_idle_worker(self) -> None:
+        pool, admission, _ = self.dispatcher(DispatcherPosition(1, 40), workers=1)  # a fortieth of six slots
         self.assertEqual(admission.item_slots.max_running("s"), 1)
         worker = admission.pick("s", NO_SHARED_PREFIX, set(), for_item=True)
         assert worker is not None
         worker.items, worker.inflight = 1, 1
-        self.assertFalse(admission.can_start_item("s"), "one at a time")
+        self.assertFalse(admission.can_start_item("s"), "one item at a time")
         worker.items, worker.inflight, worker.peer_requests = 0, 0, 5
         self.assertEqual(admission.item_slots.max_running("s"), 0)
 
-    async def test_what_was_leased_goes_elsewhere_while_a_shared_worker_is_out_of_reach(self) -> None:
+    async def test_leased_items_go_elsewhere_while_a_shared_worker_is_unreachable(self) -> None:
         pool, admission, _ = self.dispatcher(DispatcherPosition(1, 4))
-        (mine,) = pool.worker_shares("s")
-        places = admission.item_slots.max_running("s")
+        (own,) = pool.worker_shares("s")
+        running_before = admission.item_slots.max_running("s")
         for worker in pool.by_id.values():
             worker.peer_requests = 4
-        others = [w for name, w in pool.by_id.items() if name != mine]
+        others = [w for name, w in pool.by_id.items() if name != own]
         self.assertFalse(any(admission.item_slots.accepts(w) for w in others))
-        pool.by_id[mine].avoid_until = LONG_AFTER + 1
+        pool.by_id[own].avoid_until = LONG_AFTER + 1
         self.assertTrue(all(admission.item_slots.accepts(w) for w in others))
         others[0].items, others[0].inflight = 1, 1
-        self.assertFalse(admission.item_slots.accepts(others[0]), "one at each")
+        self.assertFalse(admission.item_slots.accepts(others[0]), "one item at each worker")
         self.assertLess(
-            admission.item_slots.max_running("s"), places, "nothing more is leased for its places"
+            admission.item_slots.max_running("s"), running_before, "no more items are leased for its slots"
         )
 
 
-class SharedOut(PlacesCase):
-    async def test_dispatchers_together_use_each_place_once(self) -> None:
+class Shares(ItemSlotsCase):
+    async def test_dispatchers_together_use_each_slot_once(self) -> None:
         for workers, count, capacity, live in (
             (45, 68, 12, 4.0),
             (6, 7, 32, 9.0),
@@ -138,7 +138,7 @@
             (7, 2, 10, 0.0),
         ):
             with self.subTest(workers=workers, dispatchers=count):
-                taken: Counter[str] = Counter()
+                running: Counter[str] = Counter()
                 for number in range(1, count + 1):
                     pool, admission, _ = self.dispatcher(DispatcherPosition(number, count), workers, capacity)
                     for worker in pool.by_id.values():
@@ -151,34 +151,34 @@
                             worker.items += 1
                             worker.inflight += 1
                         if pool.worker_shares("s").get(worker.entry.id):
-                            taken[worker.entry.id] += worker.items
+                            running[worker.entry.id] += worker.items
                 if live:
-                    self.assertEqual(len(taken), workers)
-                    self.assertLessEqual(max(taken.values()) - min(taken.values()), 1)
+                    self.assertEqual(len(running), workers)
+                    self.assertLessEqual(max(running.values()) - min(running.values()), 1)
 
-    def test_the_shares_of_all_dispatchers_are_the_whole_ring(self) -> None:
+    def test_the_shares_of_all_dispatchers_cover_the_whole_ring(self) -> None:
         for workers, dispatchers in ((45, 68), (6, 7), (600, 350), (1, 9), (9, 1), (36, 36)):
             names = hash_ring(f"i-{k}" for k in range(workers))
-            whole: defaultdict[str, float] = defaultdict(float)
-            places: Counter[str] = Counter()
+            covered: defaultdict[str, float] = defaultdict(float)
+            slots: Counter[str] = Counter()
             for number in range(1, dispatchers + 1):
                 for name, share in worker_shares(names, DispatcherPosition(number, dispatchers)).items():
-                    whole[name] += share.end - share.begin
-                    places[name] += share.slots(7.3)
+                    covered[name] += share.end - share.begin
+                    slots[name] += share.slots(7.3)
             with self.subTest(workers=workers, dispatchers=dispatchers):
-                self.assertEqual(set(whole), set(names))
+                self.assertEqual(set(covered), set(names))
                 for name in names:
-                    self.assertAlmostEqual(whole[name], 1.0)
-                    self.assertEqual(places[name], 7)
+                    self.assertAlmostEqual(covered[name], 1.0)
+                    self.assertEqual(slots[name], 7)
 
-    def test_an_unknown_seat_has_no_share(self) -> None:
+    def test_an_unknown_position_has_no_share(self) -> None:
         self.assertEqual(worker_shares(hash_ring(["a", "b"]), DispatcherPosition(0, 4)), {})
         self.assertEqual(worker_shares([], DispatcherPosition(1, 4)), {})
 
-    def test_a_whole_share_is_all_places(self) -> None:
+    def test_a_whole_share_has_all_slots(self) -> None:
         self.assertEqual(WorkerShare(0.0, 1.0).slots(11.6), 12)
 
-    async def test_a_new_seat_and_a_new_table_change_the_shares(self) -> None:
+    async def test_a_new_position_and_a_new_registry_change_the_shares(self) -> None:
         pool, _, _ = self.dispatcher(DispatcherPosition(1, 2))
         first = pool.worker_shares("s")
         pool.position = DispatcherPosition(2, 2)
--- a/tests/tier/test_names.py
+++ b/tests/tier/test_names.py
@@ -1,7 +1,7 @@
-"""Decisions hang on what is observed, not on what things are called.
+"""Decisions depend on observations, not on names.
 
-Workers and shared parts are placed by hashes of their names, so other names of these place otherwise, as
-evenly: that is tested beside the planner and the shares. Nothing else may depend on a name.
+Workers and shared segments are placed by hashes of their names, so other names give other, equally even
+placements; the tests of the planner and of the shares cover that. Nothing else may depend on a name.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 from heronstall.transport.messages import Worker
 from tests.tier.test_misses import attempt, ended
 
-WORKERS, PLACES = 12, 8
+WORKERS, CAPACITY = 12, 8
 Rename = Callable[[str], str]
 
 
@@ -55,7 +55,7 @@
 
 class Names(unittest.IsolatedAsyncioTestCase):
     def picked(self, rename: Rename) -> list[str]:
-        """The workers of a row of draws, by their own names, which are the same in both."""
+        """Returns the workers of a series of selections; their names are not changed."""
         pool = WorkerPool()
         pool.update(
             {
@@ -63,7 +63,7 @@
                     id=f"i-{k}",
                     service=rename("lm"),
                     state="ready",
-                    capacity=PLACES,
+                    capacity=CAPACITY,
                     zone=rename(f"z{k % 3}"),
                 )
                 for k in range(WORKERS)
@@ -79,22 +79,22 @@
             NO_SHARED_PREFIX,
             parse_shared_prefix("cc:300,dd:100"),
         )
-        found = []
+        selected = []
         for number in range(200):
             worker = admission.pick(rename("lm"), prompts[number % 4], set(), for_item=number % 4 == 2)
-            found.append(worker.entry.id if worker else "none")
+            selected.append(worker.entry.id if worker else "none")
             if worker is not None:
                 admission.record_sent(worker)
                 admission.record_first_event(worker, 500, 0.05 * (number % 7))
             if number % 3 == 0 and worker is not None:
                 admission.record_finished(worker, number % 9 != 0)
-        return [*found, str(admission.max_leased_items(rename("lm")))]
+        return [*selected, str(admission.max_leased_items(rename("lm")))]
 
-    async def test_draws_are_the_same_with_other_services_and_zones(self) -> None:
+    async def test_selections_are_the_same_with_other_names_of_services_and_zones(self) -> None:
         self.assertEqual(self.picked(unchanged), self.picked(replaced))
-        self.assertGreater(len(set(self.picked(unchanged))), 6, "the draws say something")
+        self.assertGreater(len(set(self.picked(unchanged))), 6, "the selections differ")
 
-    def test_routes_are_read_alike(self) -> None:
+    def test_routes_with_other_names_are_equivalent(self) -> None:
         plain, other = read_routes(configuration(unchanged)), read_routes(configuration(replaced))
         for name in ("quick", "slow", "lots"):
             one = plain.find(f"{name}.example", f"/{name}/x")
@@ -105,7 +105,7 @@
                 if name != "lots":
                     self.assertEqual(plain.deferrable(one), other.deferrable(two))
 
-    def test_a_miss_is_judged_alike(self) -> None:
+    def test_the_reason_of_a_miss_is_independent_of_names(self) -> None:
         for request in (ended(attempt(0.1, 0.5)), ended(status=503), ended(attempt(0.0, 0.1, gap=0.9))):
             named = EndedRequest(**{**request.__dict__, "request": "another"})
             self.assertIs(miss_reason(request, 1001.0), miss_reason(named, 1001.0))
--- a/tests/tier/test_prefill_planning.py
+++ b/tests/tier/test_prefill_planning.py
@@ -1,4 +1,4 @@
-"""Where large prompts are read: the planner, its answers at a core node, and the dispatcher's question."""
+"""Placement of large prompts: the planner, its replies at a core node, and the dispatcher's client."""
 
 from __future__ import annotations
 
@@ -38,51 +38,51 @@
     return Load(0, 12)
 
 
-class Planner(unittest.TestCase):
+class Planning(unittest.TestCase):
     def setUp(self) -> None:
         self.planner = PrefillPlanner()
 
-    def place(self, now: float, part: str, shared: int = 20_000, own: int = 1_000) -> str:
-        placed = self.planner.place(now, Prompt(part, shared, own), WORKERS, idle)
+    def place(self, now: float, segment: str, segment_tokens: int = 20_000, other_tokens: int = 1_000) -> str:
+        placed = self.planner.place(now, Prompt(segment, segment_tokens, other_tokens), WORKERS, idle)
         assert placed is not None
         return placed.worker
 
-    def test_prompts_that_come_together_are_read_apart(self) -> None:
+    def test_concurrent_prompts_go_to_different_workers(self) -> None:
         placed = [self.place(0.0, f"p{k}") for k in range(8)]
         self.assertEqual(set(placed), set(WORKERS))
 
-    def test_a_prompt_goes_where_its_shared_part_was_read(self) -> None:
+    def test_a_prompt_goes_to_the_worker_that_cached_its_segment(self) -> None:
         first = self.place(0.0, "a")
         for now in (5.0, 10.0, 15.0):
             for other in range(4):
                 self.place(now, f"{now}-{other}")
             self.assertEqual(self.place(now + 1.0, "a"), first)
 
-    def test_it_goes_elsewhere_while_that_worker_reads_for_longer_than_the_part_takes(self) -> None:
+    def test_it_goes_elsewhere_while_that_worker_is_busy_for_longer_than_the_prefill_takes(self) -> None:
         first = self.place(0.0, "a")
         self.planner._busy_until[first] = 2.0
         self.assertNotEqual(self.place(0.5, "a"), first)
 
-    def test_a_planner_that_has_just_begun_sends_a_part_to_its_home_unless_that_reads(self) -> None:
+    def test_a_planner_without_history_uses_the_home_worker_unless_it_is_busy(self) -> None:
         homes = {}
         for number in range(40):
-            part = f"p{number}"
-            homes[part] = max(WORKERS, key=lambda worker: affinity(part, worker))
-            placed = PrefillPlanner().place(0.0, Prompt(part, 9_000, 90), WORKERS, idle)
+            segment = f"p{number}"
+            homes[segment] = max(WORKERS, key=lambda worker: affinity(segment, worker))
+            placed = PrefillPlanner().place(0.0, Prompt(segment, 9_000, 90), WORKERS, idle)
             assert placed is not None
-            self.assertEqual(placed.worker, homes[part])
+            self.assertEqual(placed.worker, homes[segment])
         self.assertGreater(len(set(homes.values())), 5)
         self.planner._busy_until[homes["p1"]] = 1.0
         self.assertNotEqual(self.place(0.0, "p1"), homes["p1"])
 
-    def test_a_part_that_nobody_asked_for_is_taken_for_forgotten(self) -> None:
+    def test_an_unused_segment_is_assumed_to_be_evicted(self) -> None:
         placed = self.planner.place(0.0, Prompt("a", 20_000, 1_000), WORKERS, idle)
         again = self.planner.place(1.0, Prompt("a", 20_000, 1_000), WORKERS, idle)
         later = self.planner.place(1.0 + CACHE_LIFETIME_S, Prompt("a", 20_000, 1_000), WORKERS, idle)
         assert placed and again and later
         self.assertEqual((placed.tokens, again.tokens, later.tokens), (21_000, 1_000, 21_000))
 
-    def test_a_full_worker_gets_a_prompt_only_where_others_cost_more(self) -> None:
+    def test_a_worker_with_capacity_is_preferred_to_full_workers(self) -> None:
         def load(worker: str) -> Load:
             return Load(30 if worker != "w5" else 3, 12)
 
@@ -90,10 +90,10 @@
         assert placed is not None
         self.assertEqual(placed.worker, "w5")
 
-    def test_without_workers_there_is_no_place(self) -> None:
+    def test_without_workers_there_is_no_placement(self) -> None:
         self.assertIsNone(self.planner.place(0.0, Prompt("a", 1, 1), [], idle))
 
-    def test_the_speed_follows_the_faster_answers(self) -> None:
+    def test_the_rate_follows_the_faster_measurements(self) -> None:
         rng = random.Random(5)
         for _ in range(600):
             waited = rng.choice((0.0, 0.0, 0.02, 0.1, 0.3))
@@ -103,31 +103,31 @@
         self.planner.record_prefill(0, 0.1)
         self.planner.record_prefill(10, 0.0)
 
-    def test_what_is_remembered_is_bounded(self) -> None:
+    def test_the_remembered_segments_are_bounded(self) -> None:
         for number in range(MAX_SEGMENTS + 500):
             self.place(number * 0.5, f"p{number}")
         self.assertEqual(len(self.planner._cached_at), MAX_SEGMENTS)
         self.assertIn(f"p{MAX_SEGMENTS + 499}", self.planner._cached_at)
 
-    def test_of_many_workers_some_are_looked_at_and_all_are_used(self) -> None:
+    def test_of_many_workers_some_are_compared_and_all_are_used(self) -> None:
         many = [f"i-{k}" for k in range(600)]
         used: Counter[str] = Counter()
-        looked = 0
+        compared = 0
 
         def load(worker: str) -> Load:
-            nonlocal looked
-            looked += 1
+            nonlocal compared
+            compared += 1
             return Load(0, 12)
 
         for number in range(600):
             placed = self.planner.place(0.0, Prompt(f"p{number}", 9_000, 100), many, load)
             assert placed is not None
             used[placed.worker] += 1
-        self.assertLessEqual(looked, 600 * (MAX_COMPARED_WORKERS + 1))  # and the home
+        self.assertLessEqual(compared, 600 * (MAX_COMPARED_WORKERS + 1))  # and the home worker
         self.assertLessEqual(max(used.values()), 2)
 
 
-class Answers(unittest.TestCase):
+class PlannerReplies(unittest.TestCase):
     def setUp(self) -> None:
         self.sessions = Sessions()
         self.plans = ReadingPlans(self.sessions, lambda: 10.0)
@@ -138,7 +138,7 @@
             "w4": Worker(id="w4", service="other", state="ready", capacity=4),
         }
 
-    def test_only_ready_workers_of_the_service_are_named(self) -> None:
+    def test_only_ready_workers_of_the_service_are_chosen(self) -> None:
         named = set()
         for number in range(20):
             reply = self.plans.answer(PlaceRequest("lm", f"p{number}", 9000, 100), self.workers)
@@ -149,7 +149,7 @@
             self.plans.answer(PlaceRequest("none", "p", 9000, 1), self.workers).status, Status.UNKNOWN
         )
 
-    def test_the_dispatchers_words_on_loads_count(self) -> None:
+    def test_loads_reported_by_dispatchers_count(self) -> None:
         for edge in ("e1", "e2"):
             loads = pack([WorkerLoad("w1", 3, 2)])
             self.sessions.renew(10.0, Session(name=edge, machine_class="edge", loads=loads))
@@ -163,7 +163,7 @@
 
 
 class FakeLinks:
-    """Answers of core nodes by address."""
+    """Replies of core nodes, by address."""
 
     def __init__(self, replies: dict[str, Reply]) -> None:
         self.replies = replies
@@ -178,18 +178,18 @@
         return mock.Mock(call=call)
 
 
-class Placer(unittest.IsolatedAsyncioTestCase):
+class Placing(unittest.IsolatedAsyncioTestCase):
     PREFIX = parse_shared_prefix("aa:13000,bb:200,own:3000")
 
     def setUp(self) -> None:
         self.now = 100.0
         self.view = View()
         self.view.control = ("c1", "c2", "c3")
-        good = Reply(Status.OK, bytes(PlaceReply("w7", 16_200)))
-        self.links = FakeLinks(dict.fromkeys(self.view.control, good))
+        reply = Reply(Status.OK, bytes(PlaceReply("w7", 16_200)))
+        self.links = FakeLinks(dict.fromkeys(self.view.control, reply))
         self.placer = PromptPlacer(self.links, self.view, lambda: self.now)  # type: ignore[arg-type]
 
-    async def test_the_question_and_its_answer(self) -> None:
+    async def test_the_request_and_its_reply(self) -> None:
         placed = await self.placer.place("lm", self.PREFIX, 16_200)
         self.assertEqual(placed, PlacedPrompt("w7", 16_200))
         ((_, asked),) = self.links.asked
@@ -202,16 +202,16 @@
             (self.links.asked[-1][1].read_tokens, self.links.asked[-1][1].read_ms), (16_200, 250)
         )
 
-    async def test_all_dispatchers_ask_one_node_and_another_where_it_gives_no_answer(self) -> None:
+    async def test_all_dispatchers_ask_one_node_and_another_if_it_does_not_reply(self) -> None:
         await self.placer.place("lm", self.PREFIX, 16_200)
         first = self.links.asked[0][0]
         other = PromptPlacer(self.links, self.view, lambda: self.now)  # type: ignore[arg-type]
         await other.place("lm", self.PREFIX, 16_200)
         self.assertEqual(self.links.asked[1][0], first)
-        for lost in (LOST, Reply(Status.UNSURE), Reply(Status.REFUSED)):
-            with self.subTest(status=lost.status):
+        for failure in (LOST, Reply(Status.UNSURE), Reply(Status.REFUSED)):
+            with self.subTest(status=failure.status):
                 self.now += NODE_RETRY_DELAY_S
-                self.links.replies[first] = lost
+                self.links.replies[first] = failure
                 self.assertIsNone(await self.placer.place("lm", self.PREFIX, 16_200))
                 self.assertIsNotNone(await self.placer.place("lm", self.PREFIX, 16_200))
                 self.assertNotEqual(self.links.asked[-1][0], first)
@@ -220,21 +220,21 @@
         asked = len(self.links.asked)
         for _ in range(10):
             self.assertIsNone(await self.placer.place("lm", self.PREFIX, 16_200))
-        self.assertEqual(len(self.links.asked) - asked, 3, "each once, then nobody for a while")
+        self.assertEqual(len(self.links.asked) - asked, 3, "each node once, then none for a while")
 
-    async def test_no_control_node_is_known(self) -> None:
+    async def test_without_control_nodes_there_is_no_placement(self) -> None:
         self.view.control = ()
         self.assertIsNone(await self.placer.place("lm", self.PREFIX, 16_200))
 
-    async def test_a_long_name_is_cut(self) -> None:
+    async def test_a_long_segment_name_is_truncated(self) -> None:
         await self.placer.place("lm", parse_shared_prefix("f" * 5000 + ":9000,own:1"), 9_001)
         self.assertEqual(len(self.links.asked[0][1].part), MAX_SEGMENT_NAME_LENGTH)
 
-    def test_small_prompts_are_not_asked_for(self) -> None:
+    def test_only_large_prompts_need_a_placement(self) -> None:
         self.assertTrue(self.PREFIX.is_large)
         self.assertFalse(parse_shared_prefix("aa:170,own:543").is_large)
 
-    def test_a_count_of_tokens_beyond_reason_shares_nothing(self) -> None:
+    def test_an_implausible_number_of_tokens_gives_no_shared_prefix(self) -> None:
         self.assertEqual(parse_shared_prefix("aa:" + "9" * 5000 + ",own:1"), NO_SHARED_PREFIX)
 
 
--- a/tests/tier/test_serving_model.py
+++ b/tests/tier/test_serving_model.py
@@ -1,4 +1,4 @@
-"""The model of engines and of dispatchers before them."""
+"""The simulation of engines and of the dispatchers that use them."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Request:
-    """A request at an engine, and when its first event and its end came, in seconds."""
+    """A request at an engine, with the times of its first event and its end in seconds."""
 
     def __init__(self, time: VirtualTime, tokens: int, output: int = 1, part: str = "p") -> None:
         self.first = self.end = -1.0
@@ -45,7 +45,7 @@
             self.assertTrue(self.engine.submit(request.at_engine))
         self.time.run(int(seconds * MICROSECONDS))
 
-    def test_a_prompt_alone_is_read_at_the_engines_speed(self) -> None:
+    def test_a_single_prompt_is_prefilled_at_the_rate_of_the_engine(self) -> None:
         request = Request(self.time, 20 * SPEC.chunk)
         self.play(request)
         reading = 20 * SPEC.chunk / SPEC.tokens_per_second
@@ -53,34 +53,34 @@
         self.assertAlmostEqual(request.first, reading + pairs + 20 * SPEC.step, delta=0.01)
         self.assertEqual(request.end, request.first)
 
-    def test_a_stream_alone_gets_a_token_a_step_in_events_of_a_stride(self) -> None:
+    def test_a_single_stream_gets_one_token_per_step_in_events_of_one_stride(self) -> None:
         request = Request(self.time, 10, output=1 + 5 * SPEC.stride)
         self.play(request)
         self.assertAlmostEqual(request.end - request.first, 5 * SPEC.stride * SPEC.step, delta=0.02)
         self.assertAlmostEqual(request.at_engine.longest_gap, SPEC.stride * SPEC.step, delta=0.005)
 
-    def test_a_long_prompt_holds_up_the_streams_beside_it_and_the_prompts_behind_it(self) -> None:
-        stream, long, behind = (
+    def test_a_long_prompt_delays_concurrent_streams_and_later_prompts(self) -> None:
+        stream, long, later = (
             Request(self.time, 10, output=2000, part="a"),
             Request(self.time, 60_000, part="b"),
             Request(self.time, 100, part="c"),
         )
         self.play(stream, seconds=0.2)
-        self.play(long, behind)
+        self.play(long, later)
         self.assertGreater(stream.at_engine.longest_gap, 0.4)
-        self.assertGreater(behind.first, 0.2 + 60_000 / SPEC.tokens_per_second)
-        self.assertLessEqual(long.first, behind.first)
+        self.assertGreater(later.first, 0.2 + 60_000 / SPEC.tokens_per_second)
+        self.assertLessEqual(long.first, later.first)
 
-    def test_what_was_read_is_not_read_again(self) -> None:
+    def test_a_cached_prompt_is_not_prefilled_again(self) -> None:
         self.play(Request(self.time, 20_000))
         read = self.engine.read
         again = Request(self.time, 20_000)
-        began = self.time.now / MICROSECONDS
+        started_at = self.time.now / MICROSECONDS
         self.play(again)
         self.assertEqual(self.engine.read, read + 1)
-        self.assertLess(again.first - began, 0.01)
+        self.assertLess(again.first - started_at, 0.01)
 
-    def test_beyond_its_places_requests_wait_and_beyond_its_queue_they_are_refused(self) -> None:
+    def test_requests_beyond_the_slots_wait_and_beyond_the_queue_are_refused(self) -> None:
         requests = [Request(self.time, 10, output=50, part=f"p{k}") for k in range(SPEC.places + SPEC.queue)]
         for request in requests:
             self.assertTrue(self.engine.submit(request.at_engine))
@@ -92,7 +92,7 @@
 
 
 class Cache(unittest.TestCase):
-    def test_the_parts_unused_the_longest_give_way_and_a_part_needs_its_parents(self) -> None:
+    def test_the_least_recently_used_parts_are_evicted_and_a_part_needs_its_parents(self) -> None:
         cache = PartCache(100)
         a, b, c = PromptPart("a", 40), PromptPart("b", 40), PromptPart("c", 40)
         cache.keep((a, b), running=0)
@@ -108,7 +108,7 @@
 class Fleet(unittest.TestCase):
     SMALL = replace(trading_desk(0.2, 3.0, (Burst(1.0, 1.0, 3.0, "check"),)), workers=6, dispatchers=9)
 
-    def test_every_request_ends_and_a_seed_plays_the_same_again(self) -> None:
+    def test_every_request_ends_and_a_seed_reproduces_its_results(self) -> None:
         fleet = ModelFleet(self.SMALL, 4)
         figures = fleet.play()
         ended = sum(result.requests for result in fleet.results.values())
@@ -120,7 +120,7 @@
         self.assertEqual(figures, ModelFleet(self.SMALL, 4).play())
         self.assertNotEqual(figures, ModelFleet(self.SMALL, 5).play())
 
-    def test_a_burst_multiplies_one_kind(self) -> None:
+    def test_a_burst_multiplies_the_rate_of_one_kind(self) -> None:
         check = next(kind for kind in self.SMALL.kinds if kind.name == "check")
         note = next(kind for kind in self.SMALL.kinds if kind.name == "note")
         calm = replace(self.SMALL, bursts=())
@@ -128,7 +128,7 @@
         self.assertEqual(self.SMALL.rate(check, 2.1), calm.rate(check, 2.1))
         self.assertEqual(self.SMALL.rate(note, 1.5), calm.rate(note, 1.5))
 
-    def test_amounts_have_their_mean(self) -> None:
+    def test_drawn_amounts_have_the_configured_mean(self) -> None:
         kind = self.SMALL.kinds[0]
         draws = Draws(3)
         found = [kind.own.draw(draws.sizes) for _ in range(4000)]
--- a/tests/tier/test_worker_selection.py
+++ b/tests/tier/test_worker_selection.py
@@ -1,4 +1,4 @@
-"""Draws among many workers compare a part of them, and prefer as a draw among all does."""
+"""Selections among many workers compare some of them, with the same preferences as among all."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 from heronstall.transport.messages import Worker
 
 SERVICE = "s"
-PLACES = 12
+CAPACITY = 12
 MANY = 200
-DRAWS = 4000
-SPREAD = 5  # standard deviations of a share of so many draws
+SELECTIONS = 4000
+TOLERANCE = 5  # standard deviations of a share of the selections
 
 
-class Draws(unittest.TestCase):
+class WorkerSelection(unittest.TestCase):
     def setUp(self) -> None:
         self.pool = WorkerPool()
         self.now = 100.0
@@ -29,10 +29,10 @@
 
     def workers(self, count: int, position: DispatcherPosition | None = None) -> None:
         names = [f"i-{k:05d}" for k in range(count)]
-        self.pool.update({n: Worker(id=n, service=SERVICE, state="ready", capacity=PLACES) for n in names})
+        self.pool.update({n: Worker(id=n, service=SERVICE, state="ready", capacity=CAPACITY) for n in names})
         self.pool.position = position or DispatcherPosition()
 
-    def drawn(self, prefix: SharedPrefix = NO_SHARED_PREFIX, times: int = DRAWS) -> Counter[str]:
+    def select_often(self, prefix: SharedPrefix = NO_SHARED_PREFIX, times: int = SELECTIONS) -> Counter[str]:
         found: Counter[str] = Counter()
         for _ in range(times):
             worker = self.admission.pick(SERVICE, prefix, set())
@@ -46,46 +46,47 @@
             shares[self.pool.by_id[name].peer_requests] += count
         return {load: count / found.total() for load, count in shares.items()}
 
-    def test_workers_are_drawn_by_their_load_as_among_all(self) -> None:
+    def test_a_partial_set_is_weighted_by_load_like_the_whole_set(self) -> None:
         self.workers(MANY)
         for number, worker in enumerate(self.pool.by_id.values()):
             worker.peer_requests = (0.0, 4.0, 8.0, 11.0)[number % 4]
-        of_a_part = self.shares_by_load(self.drawn())
-        former, worker_selection.MAX_COMPARED_WORKERS = worker_selection.MAX_COMPARED_WORKERS, MANY
-        self.addCleanup(setattr, worker_selection, "MAX_COMPARED_WORKERS", former)
-        of_all = self.shares_by_load(self.drawn())
-        worker_selection.MAX_COMPARED_WORKERS = former
-        deviation = (0.25 / DRAWS) ** 0.5  # of a share, at the most
-        for load, share in of_all.items():
-            self.assertLess(abs(of_a_part[load] - share), 2**0.5 * SPREAD * deviation, (of_all, of_a_part))
-
-    def test_every_worker_may_be_drawn(self) -> None:
+        partial = self.shares_by_load(self.select_often())
+        original, worker_selection.MAX_COMPARED_WORKERS = worker_selection.MAX_COMPARED_WORKERS, MANY
+        self.addCleanup(setattr, worker_selection, "MAX_COMPARED_WORKERS", original)
+        complete = self.shares_by_load(self.select_often())
+        worker_selection.MAX_COMPARED_WORKERS = original
+        deviation = (0.25 / SELECTIONS) ** 0.5  # of a share, upper bound
+        for load, share in complete.items():
+            self.assertLess(abs(partial[load] - share), 2**0.5 * TOLERANCE * deviation, (complete, partial))
+
+    def test_every_worker_may_be_selected(self) -> None:
         self.workers(MANY)
-        self.assertEqual(len(self.drawn(times=60 * MANY)), MANY)
+        self.assertEqual(len(self.select_often(times=60 * MANY)), MANY)
 
-    def test_a_dispatchers_own_workers_are_always_among_the_compared(self) -> None:
+    def test_the_subset_of_a_dispatcher_is_always_compared(self) -> None:
         self.workers(MANY, DispatcherPosition(3, 100))
-        found = self.drawn(times=600)
-        own = [name for name, _ in found.most_common(MIN_SUBSET_SIZE)]
+        found = self.select_often(times=600)
+        subset = [name for name, _ in found.most_common(MIN_SUBSET_SIZE)]
+        # The share of the subset, whose weight is relative to that of all workers together.
         weight = (
             MIN_SUBSET_SIZE
             * worker_selection.SUBSET_WEIGHT
             / (MIN_SUBSET_SIZE * worker_selection.SUBSET_WEIGHT + 1)
-        )  # relative to the weight of all workers
+        )
         deviation = (weight * (1 - weight) / 600) ** 0.5
-        self.assertGreater(sum(found[name] for name in own) / 600, weight - SPREAD * deviation)
+        self.assertGreater(sum(found[name] for name in subset) / 600, weight - TOLERANCE * deviation)
 
-    def test_a_large_prompt_finds_its_home(self) -> None:
+    def test_a_large_prompt_goes_to_its_home_worker(self) -> None:
         self.workers(MANY)
         prefix = parse_shared_prefix("5c1e07a2:13000,e4402b7d:250")
         home = max(self.pool.by_id, key=lambda name: affinity(prefix.segment, name))
-        self.assertGreater(self.drawn(prefix, 300)[home], 240)
+        self.assertGreater(self.select_often(prefix, 300)[home], 240)
         self.assertEqual(self.admission.home_rank(self.pool.by_id[home], prefix), 0)
         last = min(self.pool.by_id, key=lambda name: affinity(prefix.segment, name))
         self.assertEqual(self.admission.home_rank(self.pool.by_id[last], prefix), MAX_HOME_WORKERS)
         self.assertIsNone(self.admission.home_rank(self.pool.by_id[home], NO_SHARED_PREFIX))
 
-    def test_homes_follow_the_registry(self) -> None:
+    def test_home_workers_follow_the_registry(self) -> None:
         self.workers(MANY)
         prefix = parse_shared_prefix("5c1e07a2:13000,e4402b7d:250")
         first = self.pool.home_workers(SERVICE, prefix.segment)[0]
@@ -93,24 +94,24 @@
         self.pool.update(entries)
         self.assertNotIn(first, self.pool.home_workers(SERVICE, prefix.segment))
 
-    def test_the_one_sound_worker_is_found_however_many_there_are(self) -> None:
+    def test_the_only_healthy_worker_is_found_among_many(self) -> None:
         self.workers(MANY)
         for worker in self.pool.by_id.values():
             worker.avoid_until = self.now + 1
-        sound = self.pool.by_id["i-00123"]
-        sound.avoid_until = 0.0
-        self.assertEqual(set(self.drawn(times=20)), {"i-00123"})
+        healthy = self.pool.by_id["i-00123"]
+        healthy.avoid_until = 0.0
+        self.assertEqual(set(self.select_often(times=20)), {"i-00123"})
 
-    def test_an_item_finds_the_worker_that_takes_one(self) -> None:
+    def test_an_item_finds_the_worker_that_accepts_it(self) -> None:
         self.workers(MANY, DispatcherPosition(1, 1))
         for worker in self.pool.by_id.values():
-            worker.peer_requests = 2.0 * PLACES
+            worker.peer_requests = 2.0 * CAPACITY
         self.pool.by_id["i-00077"].peer_requests = 0.0
         picked = self.admission.pick(SERVICE, NO_SHARED_PREFIX, set(), for_item=True)
         assert picked is not None
         self.assertEqual(picked.entry.id, "i-00077")
 
-    def test_a_worker_that_is_named_is_usable_only_where_it_is_sound(self) -> None:
+    def test_a_worker_is_usable_by_name_only_if_it_is_healthy(self) -> None:
         self.workers(MANY)
         self.assertIsNotNone(self.admission.usable_worker("i-00010", SERVICE))
         self.assertIsNone(self.admission.usable_worker("i-00010", "other"))
