--- a/heronstall/dataplane/deferred.py
+++ b/heronstall/dataplane/deferred.py
@@ -54,21 +54,21 @@
             self._switch_updated_at = now
             self.switch.update(int(now * MICROSECONDS), self._utilisation())
         # Work that is not due, or finds no capacity, does not block work behind it.
-        kept: list[tuple[tuple[int, int], DeferredWork]] = []
+        still_queued: list[tuple[tuple[int, int], DeferredWork]] = []
         blocked_groups: set[Hashable] = set()
         while self._queue:
             key, work = self._queue.first()
             self._queue.pop()
             if work.released.done():
                 continue
-            held = self.switch.busy and work.due > now
-            if not held and work.group not in blocked_groups and work.can_start():
+            postponed = self.switch.busy and work.due > now
+            if not postponed and work.group not in blocked_groups and work.can_start():
                 work.released.set_result(None)
                 continue
-            if not held and work.group is not None:
+            if not postponed and work.group is not None:
                 blocked_groups.add(work.group)
-            kept.append((key, work))
-        for key, work in kept:
+            still_queued.append((key, work))
+        for key, work in still_queued:
             self._queue.push(key, work)
 
     async def run(self) -> None:
--- a/heronstall/dataplane/workers.py
+++ b/heronstall/dataplane/workers.py
@@ -173,7 +173,7 @@
         self.changed = asyncio.Event()
 
     def update(self, entries: dict[str, Entry]) -> None:
-        """Replaces the workers by those of the registry."""
+        """Updates the workers from the registry; the state of known workers is retained."""
         for worker in [w for name, w in self.by_id.items() if name not in entries]:
             del self.by_id[worker.entry.id]
             worker.entry.state = "gone"
