--- a/heronstall/cli/ctl.py
+++ b/heronstall/cli/ctl.py
@@ -48,14 +48,14 @@
     """
     import asyncio
 
-    from heronstall.overview.ask import NoNode, overview
+    from heronstall.overview.ask import NoCoreNodeError, collect_overview
 
     for address in addresses:
         if not _is_address(address):
             raise BadInput(f"--node {address}: IP:PORT is wanted")
     try:
-        found = asyncio.run(overview(addresses))
-    except NoNode as error:
+        found = asyncio.run(collect_overview(addresses))
+    except NoCoreNodeError as error:
         raise Missed(f"no core node in touch answers at {error}") from None
     if as_json:
         click.echo(json.dumps(found.record()))
--- a/heronstall/overview/ask.py
+++ b/heronstall/overview/ask.py
@@ -13,34 +13,34 @@
     NodeState,
     Overview,
     ReplicaView,
-    services_of,
+    service_views,
 )
 from heronstall.replication.protocol import address_of
 from heronstall.transport.frames import Kind, Status
 from heronstall.transport.links import Links
 from heronstall.transport.messages import Placement, ReadRequest, Session, SyncReply, SyncRequest
 
-ANSWER_WITHIN = 1.5  # seconds for one node
-ROUNDS = 3  # in which silent nodes are asked again before they count as silent
-PAUSE = 0.3  # seconds between rounds
-ASKER = "heronstall-ctl"  # its session counts as no node of the tier
-NO_JOB = ""  # a name that no batch job has
+REPLY_TIMEOUT_S = 1.5  # seconds for one node
+MAX_ROUNDS = 3  # in which silent nodes are asked again before they count as silent
+ROUND_DELAY_S = 0.3  # seconds between rounds
+CLIENT_NAME = "heronstall-ctl"  # its session counts as no node of the tier
+UNUSED_JOB_NAME = ""  # a name that no batch job has
 
 
-class NoNode(Exception):
+class NoCoreNodeError(Exception):
     """No core node answered; the message says which were asked."""
 
 
-async def overview(addresses: Sequence[str]) -> Overview:
+async def collect_overview(addresses: Sequence[str]) -> Overview:
     """The state of the tier to which some core nodes belong, by their internal addresses. Raises NoNode."""
     links = Links()
-    first = await _first_view(links, addresses)
-    if first is None:
-        raise NoNode(", ".join(addresses))
-    view, members = first
+    fetched = await _fetch_view(links, addresses)
+    if fetched is None:
+        raise NoCoreNodeError(", ".join(addresses))
+    view, members = fetched
     control, batch = await asyncio.gather(
-        asyncio.gather(*(_control_node(links, address) for address in members)),
-        asyncio.gather(*(_batch_shard(links, placed) for placed in view.placements.values())),
+        asyncio.gather(*(_query_core_node(links, address) for address in members)),
+        asyncio.gather(*(_query_batch_shard(links, placement) for placement in view.placements.values())),
     )
     workers = [(w.service, w.state, w.capacity) for w in view.all_workers().values()]
     document = json.loads(view.document) if view.document else {}
@@ -49,23 +49,23 @@
         dispatchers=view.edges,
         control=list(control),
         batch=sorted(batch, key=lambda shard: shard.shard),
-        services=services_of(document, workers),
+        services=service_views(document, workers),
     )
 
 
-async def _rounds() -> AsyncIterator[int]:
+async def _query_rounds() -> AsyncIterator[int]:
     """The rounds in which a node is asked, with a pause before each but the first."""
-    for turn in range(ROUNDS):
-        if turn:
-            await asyncio.sleep(PAUSE)
-        yield turn
+    for round_number in range(MAX_ROUNDS):
+        if round_number:
+            await asyncio.sleep(ROUND_DELAY_S)
+        yield round_number
 
 
-async def _first_view(links: Links, addresses: Sequence[str]) -> tuple[View, list[str]] | None:
+async def _fetch_view(links: Links, addresses: Sequence[str]) -> tuple[View, list[str]] | None:
     """All that one node tells, and the core nodes that it names; asked in rounds until one is in touch."""
-    async for _ in _rounds():
+    async for _ in _query_rounds():
         for address in addresses:
-            reply = await _sync(links, address)
+            reply = await _query_state(links, address)
             if isinstance(reply, SyncReply):
                 view = View()
                 view.take(reply)
@@ -74,40 +74,42 @@
     return None
 
 
-async def _sync(links: Links, address: str) -> SyncReply | NodeState:
-    request = SyncRequest(session=Session(name=ASKER, machine_class="operator"))
-    reply = await links.to(address).call(Kind.SYNC, bytes(request), ANSWER_WITHIN)
+async def _query_state(links: Links, address: str) -> SyncReply | NodeState:
+    request = SyncRequest(session=Session(name=CLIENT_NAME, machine_class="operator"))
+    reply = await links.to(address).call(Kind.SYNC, bytes(request), REPLY_TIMEOUT_S)
     if reply.status == Status.OK:
         return SyncReply().parse(reply.body)
     return NodeState.SILENT if reply.status == Status.FAILED else NodeState.OUT_OF_TOUCH
 
 
-async def _control_node(links: Links, address: str) -> ControlNode:
+async def _query_core_node(links: Links, address: str) -> ControlNode:
     state = NodeState.SILENT
-    async for _ in _rounds():
-        answer = await _sync(links, address)
-        if isinstance(answer, SyncReply):
-            versions = {"config": answer.config_version, "placement": answer.placement_version}
-            versions.update({delta.shard: delta.version for delta in answer.workers})
+    async for _ in _query_rounds():
+        result = await _query_state(links, address)
+        if isinstance(result, SyncReply):
+            versions = {"config": result.config_version, "placement": result.placement_version}
+            versions.update({delta.shard: delta.version for delta in result.workers})
             return ControlNode(address, NodeState.FINE, versions)
-        state = answer
+        state = result
     return ControlNode(address, state)
 
 
-async def _batch_shard(links: Links, placed: Placement) -> BatchShardView:
+async def _query_batch_shard(links: Links, placement: Placement) -> BatchShardView:
     """A shard's replicas, asked again where one is silent, or none is the owner: that may just change."""
     replicas: list[ReplicaView] = []
-    async for _ in _rounds():
-        replicas = await asyncio.gather(*(_replica(links, placed.shard, name) for name in placed.replicas))
+    async for _ in _query_rounds():
+        replicas = await asyncio.gather(
+            *(_query_replica(links, placement.shard, name) for name in placement.replicas)
+        )
         silent = any(replica.state is NodeState.SILENT for replica in replicas)
         if not silent and any(replica.owner for replica in replicas):
             break
-    return BatchShardView(placed.shard, replicas)
+    return BatchShardView(placement.shard, replicas)
 
 
-async def _replica(links: Links, shard: str, replica: str) -> ReplicaView:
+async def _query_replica(links: Links, shard: str, replica: str) -> ReplicaView:
     """A replica: the owner alone knows that there is no job without a name, all others name the owner."""
-    request = bytes(ReadRequest(job=NO_JOB, shard=shard))
-    reply = await links.to(address_of(replica)).call(Kind.READ, request, ANSWER_WITHIN)
+    request = bytes(ReadRequest(job=UNUSED_JOB_NAME, shard=shard))
+    reply = await links.to(address_of(replica)).call(Kind.READ, request, REPLY_TIMEOUT_S)
     state = NodeState.SILENT if reply.status == Status.FAILED else NodeState.FINE
     return ReplicaView(replica, state, owner=reply.status == Status.UNKNOWN)
--- a/heronstall/overview/state.py
+++ b/heronstall/overview/state.py
@@ -90,7 +90,7 @@
 
     def record(self) -> dict[str, Any]:
         """For machines."""
-        plain: dict[str, Any] = _plain(asdict(self))
+        plain: dict[str, Any] = _enum_values(asdict(self))
         return {**plain, "problems": self.problems()}
 
 
@@ -117,10 +117,10 @@
     return []
 
 
-def services_of(document: dict[str, Any], workers: Iterable[tuple[str, str, int]]) -> list[ServiceView]:
+def service_views(document: dict[str, Any], workers: Iterable[tuple[str, str, int]]) -> list[ServiceView]:
     """The services that routes name or workers tell: of each worker its service, state and capacity."""
     found: dict[str, ServiceView] = {}
-    for name, count in _routes_of(document).items():
+    for name, count in _route_counts(document).items():
         found[name] = ServiceView(name, routes=count)
     for service, state, capacity in workers:
         view = found.setdefault(service, ServiceView(service))
@@ -132,18 +132,18 @@
     return sorted(found.values(), key=lambda view: view.service)
 
 
-def _routes_of(document: dict[str, Any]) -> Counter[str]:
-    counted: Counter[str] = Counter()
+def _route_counts(document: dict[str, Any]) -> Counter[str]:
+    counts: Counter[str] = Counter()
     for route in document.get("routes", []):
         parts = route.get("traffic_split") or [{"service": route.get("service"), "weight": 1}]
-        counted.update({str(part["service"]) for part in parts if part.get("service")})
-    return counted
+        counts.update({str(part["service"]) for part in parts if part.get("service")})
+    return counts
 
 
-def _plain(value: Any) -> Any:
+def _enum_values(value: Any) -> Any:
     """Enums as their values, all through a value."""
     if isinstance(value, dict):
-        return {key: _plain(inner) for key, inner in value.items()}
+        return {key: _enum_values(inner) for key, inner in value.items()}
     if isinstance(value, list):
-        return [_plain(inner) for inner in value]
+        return [_enum_values(inner) for inner in value]
     return value.value if isinstance(value, Enum) else value
--- a/tests/tier/test_processes.py
+++ b/tests/tier/test_processes.py
@@ -12,7 +12,7 @@
 from heronstall.lab.tier.plan import INTERNAL, drawn
 from heronstall.lab.tier.tier import LocalTier
 from heronstall.lab.tier.worker import text_of
-from heronstall.overview.ask import overview
+from heronstall.overview.ask import collect_overview
 
 ITEMS = 6
 
@@ -47,7 +47,7 @@
         self.assert_whole("job", results)
         self.assertEqual(await self.tier.client.results(first, "job", ITEMS), results)
         self.assertEqual(await self.tier.client.read_once(first, "none"), 404)
-        seen = await overview([f"{self.tier.plan.cores[0]}:{INTERNAL}"])
+        seen = await collect_overview([f"{self.tier.plan.cores[0]}:{INTERNAL}"])
         self.assertEqual(seen.problems(), [])
         self.assertEqual((seen.revision, seen.dispatchers, len(seen.control)), (2, 2, 3))
         self.assertEqual([len(shard.replicas) for shard in seen.batch], [3, 3])
