--- a/benchmarks/tier_capacity.py
+++ b/benchmarks/tier_capacity.py
@@ -31,7 +31,7 @@
 from heronstall.batch.jobs import BatchShard
 from heronstall.batch.leases import Leases
 from heronstall.controlplane.state.worker_shard import WorkerShard, put
-from heronstall.dataplane.routing import read_routes
+from heronstall.dataplane.routing import parse_routes
 from heronstall.distribution.view import View
 from heronstall.sessions.loads import WorkerLoad, pack
 from heronstall.sessions.table import Sessions
@@ -195,7 +195,7 @@
     ]
     document = ujson.dumps({"revision": 3, "routes": entries, "services": [{"name": "lm"}]}).encode()
     return [
-        ("dispatcher: a new configuration", cpu_us(lambda: read_routes(document), seconds), len(document))
+        ("dispatcher: a new configuration", cpu_us(lambda: parse_routes(document), seconds), len(document))
     ]
 
 
--- a/heronstall/dataplane/__main__.py
+++ b/heronstall/dataplane/__main__.py
@@ -15,10 +15,10 @@
 
 
 async def _run(settings: NodeSettings) -> None:
-    from heronstall.dataplane.node import EdgeNode
+    from heronstall.dataplane.node import DispatcherNode
 
     ended = ending()
-    node = EdgeNode(settings)
+    node = DispatcherNode(settings)
     await node.start()
     tell_started("dispatcher", heronstall.early_signals.BEGAN)
     await ended.wait()
--- a/heronstall/dataplane/admission.py
+++ b/heronstall/dataplane/admission.py
@@ -86,7 +86,7 @@
 
     def service_of(self, route: Route) -> str:
         """A service of a route, drawn by its weights."""
-        return route.service(self._random)
+        return route.draw_service(self._random)
 
     def first_event(self, worker: WorkerState, tokens: int, seconds: float) -> None:
         """A worker's first event has come so long after a request with such a prompt was sent."""
--- a/heronstall/dataplane/batch_front.py
+++ b/heronstall/dataplane/batch_front.py
@@ -12,7 +12,7 @@
 from aiohttp import web
 
 from heronstall.batch.items import put_items
-from heronstall.dataplane.forwarding import REQUEST_ID, failure, refusal
+from heronstall.dataplane.forwarding import REQUEST_ID_HEADER, empty_response, service_unavailable
 from heronstall.dataplane.misses import MissLog
 from heronstall.dataplane.routing import Route
 from heronstall.dataplane.shard_client import ShardClient
@@ -20,118 +20,118 @@
 from heronstall.transport.frames import Kind, Status
 from heronstall.transport.messages import BatchItem, BatchJob, Header, ReadReply, ReadRequest, SubmitRequest
 
-SUBMIT_WITHIN = 3.5  # seconds
-READ_WITHIN = 2.5
-ITEMS_MOST = 200
-WAIT_MOST = 2.0  # seconds that a read is held
+SUBMIT_TIMEOUT_S = 3.5  # seconds
+READ_TIMEOUT_S = 2.5
+MAX_ITEMS = 200
+MAX_WAIT_S = 2.0  # seconds that a read is held
 
 
-class Malformed(ValueError):
+class InvalidSubmission(ValueError):
     """A submission that can't be read; the message names the field."""
 
 
-def read_items(body: bytes) -> list[BatchItem]:
+def parse_items(body: bytes) -> list[BatchItem]:
     """The items of a submission."""
     try:
         raw = ujson.loads(body)
     except ValueError as error:
-        raise Malformed(f"body: {error}") from error
+        raise InvalidSubmission(f"body: {error}") from error
     entries = raw.get("requests") if isinstance(raw, dict) else None
-    if not isinstance(entries, list) or not 0 < len(entries) <= ITEMS_MOST:
-        raise Malformed(f"requests: a list of 1 to {ITEMS_MOST} is wanted")
-    items = [_item(n, entry) for n, entry in enumerate(entries)]
+    if not isinstance(entries, list) or not 0 < len(entries) <= MAX_ITEMS:
+        raise InvalidSubmission(f"requests: a list of 1 to {MAX_ITEMS} is wanted")
+    items = [_parse_item(n, entry) for n, entry in enumerate(entries)]
     if len({item.id for item in items}) < len(items):
-        raise Malformed("requests: an id stands twice")
+        raise InvalidSubmission("requests: an id stands twice")
     return items
 
 
-def _item(number: int, raw: Any) -> BatchItem:
+def _parse_item(number: int, raw: Any) -> BatchItem:
     if not isinstance(raw, dict):
-        raise Malformed(f"requests[{number}]: an object is wanted")
+        raise InvalidSubmission(f"requests[{number}]: an object is wanted")
     for key in ("id", "path", "body"):
         if not isinstance(raw.get(key), str):
-            raise Malformed(f"requests[{number}].{key}: a text is wanted")
+            raise InvalidSubmission(f"requests[{number}].{key}: a text is wanted")
     if not raw["path"].startswith("/") or "#" in raw["path"] or raw["path"].endswith("?"):
-        raise Malformed(f"requests[{number}].path: a path that can be sent as it is is wanted")
+        raise InvalidSubmission(f"requests[{number}].path: a path that can be sent as it is is wanted")
     headers = raw.get("headers", {})
     if not isinstance(headers, dict) or not all(isinstance(v, str) for v in headers.values()):
-        raise Malformed(f"requests[{number}].headers: texts by name are wanted")
+        raise InvalidSubmission(f"requests[{number}].headers: texts by name are wanted")
     tokens = raw.get("tokens", 0)
     if isinstance(tokens, bool) or not isinstance(tokens, (int, float)) or tokens < 0:
-        raise Malformed(f"requests[{number}].tokens: a number is wanted")
+        raise InvalidSubmission(f"requests[{number}].tokens: a number is wanted")
     try:
         body = base64.b64decode(raw["body"], validate=True)
     except binascii.Error as error:
-        raise Malformed(f"requests[{number}].body: {error}") from error
+        raise InvalidSubmission(f"requests[{number}].body: {error}") from error
     pairs = [Header(name, value) for name, value in headers.items()]
     return BatchItem(raw["id"], raw["path"], pairs, body, int(tokens))
 
 
-class BatchFront:
+class BatchApi:
     """Answers the calls of batch jobs, by the shard's owner. `ending`: whether this process ends."""
 
     def __init__(
         self,
         shards: ShardClient,
         misses: MissLog | None = None,
-        ending: Callable[[], bool] = lambda: False,
+        is_stopping: Callable[[], bool] = lambda: False,
     ) -> None:
         self._shards = shards
         self._misses = misses or MissLog()
-        self._ending = ending
+        self._is_stopping = is_stopping
 
     async def submit(self, request: web.BaseRequest, route: Route, body: bytes) -> web.Response:
         """Take a batch job: 202 once it is kept, 429 or 503 where none of it will run."""
         began = time.monotonic()
         response = await self._submit(request, route, body)
-        self._misses.job_answered(
-            request.headers.get(REQUEST_ID, ""), route, response.status, time.monotonic() - began
+        self._misses.record_job_response(
+            request.headers.get(REQUEST_ID_HEADER, ""), route, response.status, time.monotonic() - began
         )
         return response
 
     async def _submit(self, request: web.BaseRequest, route: Route, body: bytes) -> web.Response:
-        name = request.headers.get(REQUEST_ID)
+        name = request.headers.get(REQUEST_ID_HEADER)
         if not name:
-            return web.json_response({"error": f"{REQUEST_ID}: missing"}, status=400)
+            return web.json_response({"error": f"{REQUEST_ID_HEADER}: missing"}, status=400)
         try:
-            items = read_items(body)
-        except Malformed as error:
+            items = parse_items(body)
+        except InvalidSubmission as error:
             return web.json_response({"error": str(error)}, status=400)
         job = BatchJob(
             id=name,
             route=route.name,
             host=route.host,
-            completion_ms=int(route.completion * 1000),
+            completion_ms=int(route.completion_target * 1000),
             retention_ms=int(route.retention * 1000),
             max_attempts=route.max_attempts,
         )
         shard = batch_shard(route.host)
         call = SubmitRequest(put_items(job, items), route.max_queued_tokens, shard)
-        reply = await self._shards.call(shard, Kind.SUBMIT, bytes(call), SUBMIT_WITHIN, hold=0.8)
+        reply = await self._shards.call(shard, Kind.SUBMIT, bytes(call), SUBMIT_TIMEOUT_S, owner_wait=0.8)
         if reply.status == Status.OK:
             return web.Response(status=202)
         if reply.status == Status.OVER_QUOTA:
             return web.Response(status=429, headers={"Retry-After": "0.5"})
         if reply.status in (Status.NOT_OWNER, Status.REFUSED):
-            return refusal()
-        return failure(504)
+            return service_unavailable()
+        return empty_response(504)
 
-    async def read(self, request: web.BaseRequest, host: str, job: str) -> web.Response:
+    async def read_results(self, request: web.BaseRequest, host: str, job: str) -> web.Response:
         """Results from a position on."""
         start_text = request.query.get("start_after", "0")
         wait_text = request.headers.get("Heronstall-Wait-Ms", "0")
         if not start_text.isdigit() or not wait_text.isdigit():
             return web.json_response({"error": "start_after, Heronstall-Wait-Ms: whole numbers"}, status=400)
-        start, wait = int(start_text), min(WAIT_MOST, int(wait_text) / 1000)
-        if self._ending():
+        start, wait = int(start_text), min(MAX_WAIT_S, int(wait_text) / 1000)
+        if self._is_stopping():
             wait = 0.0  # a reader that waits would hold the end up
         shard = batch_shard(host)
         call = ReadRequest(job=job, start=start, wait_ms=int(wait * 1000), shard=shard)
-        reply = await self._shards.call(shard, Kind.READ, bytes(call), READ_WITHIN, hold=wait)
+        reply = await self._shards.call(shard, Kind.READ, bytes(call), READ_TIMEOUT_S, owner_wait=wait)
         if reply.status == Status.UNKNOWN:
             return web.Response(status=404)
         if reply.status != Status.OK:
-            return refusal()
+            return service_unavailable()
         found = ReadReply().parse(reply.body)
         results = [
             {
@@ -144,25 +144,25 @@
         page = {"total": found.total, "next_page_token": start + len(results), "results": results}
         return web.json_response(page, dumps=_dumps)
 
-    async def body(self, request: web.BaseRequest, host: str, job: str) -> web.Response:
+    async def read_item_body(self, request: web.BaseRequest, host: str, job: str) -> web.Response:
         """The body of an item that is not listed yet."""
         shard = batch_shard(host)
         call = ReadRequest(job=job, item=request.query.get("id", ""), shard=shard)
-        reply = await self._shards.call(shard, Kind.BODY, bytes(call), READ_WITHIN)
+        reply = await self._shards.call(shard, Kind.BODY, bytes(call), READ_TIMEOUT_S)
         if reply.status == Status.UNKNOWN:
             return web.Response(status=404)
         if reply.status != Status.OK:
-            return refusal()
+            return service_unavailable()
         return web.Response(body=ReadReply().parse(reply.body).body, content_type="application/octet-stream")
 
-    async def end(self, host: str, job: str) -> web.Response:
+    async def cancel(self, host: str, job: str) -> web.Response:
         """End a batch job."""
         shard = batch_shard(host)
         call = ReadRequest(job=job, shard=shard)
-        reply = await self._shards.call(shard, Kind.END, bytes(call), SUBMIT_WITHIN, hold=0.8)
+        reply = await self._shards.call(shard, Kind.END, bytes(call), SUBMIT_TIMEOUT_S, owner_wait=0.8)
         if reply.status == Status.UNKNOWN:
             return web.Response(status=404)
-        return web.Response(status=200) if reply.status == Status.OK else failure(504)
+        return web.Response(status=200) if reply.status == Status.OK else empty_response(504)
 
 
 def _dumps(value: object) -> str:
--- a/heronstall/dataplane/batch_runner.py
+++ b/heronstall/dataplane/batch_runner.py
@@ -18,7 +18,12 @@
 from heronstall.dataplane.attempts import ITEM_SILENT, Attempt
 from heronstall.dataplane.deferred import DeferredLane
 from heronstall.dataplane.events import EventReader
-from heronstall.dataplane.forwarding import LAST_EVENT, PREFIX, REQUEST_ID, TARGET
+from heronstall.dataplane.forwarding import (
+    LAST_EVENT_HEADER,
+    PROMPT_PREFIX_HEADER,
+    REQUEST_ID_HEADER,
+    TARGET_HEADER,
+)
 from heronstall.dataplane.framing import is_framed
 from heronstall.dataplane.misses import EndedItem, MissLog
 from heronstall.dataplane.prefixes import SharedPrefix, shared_prefix
@@ -41,31 +46,32 @@
 
 log = structlog.get_logger()
 
-POLL_HOLD = 0.45  # seconds that the owner may hold a call for items
-POLL_PAUSE = 0.05
-POLL_WITHIN = 2.0  # seconds for a call for items
-GATHER = 0.45  # seconds from a free place to the call for items: live requests come first, calls are fewer
-STALE_AFTER = 1.5  # seconds without an answer of the owner after which nothing new is started
-RUN_TIME = 1.5  # seconds that an item needs, about
-UNKNOWN_ROUTE = 0.2  # seconds before an item of a route that was never known here is given back
-IN_TIME, LATE = 0, 1  # ranks in the deferred lane
-FINISH_WITHIN = 2.0  # seconds for one report
-END_LOOK = 0.02  # seconds between looks whether all is done, at the end
-REPORTED_WITHIN = 1.0  # seconds for the last reports
-REPORT_PAUSE = 0.1  # seconds before a report that was not acknowledged is sent again
+POLL_HOLD_S = 0.45  # seconds that the owner may hold a call for items
+POLL_RETRY_DELAY_S = 0.05
+POLL_TIMEOUT_S = 2.0  # seconds for a call for items
+# Delay from a freed slot to the lease call: live requests go first, and one call covers several slots.
+SLOT_GATHER_S = 0.45
+OWNER_STALE_S = 1.5  # seconds without an answer of the owner after which nothing new is started
+EXPECTED_RUN_TIME_S = 1.5  # seconds that an item needs, about
+UNKNOWN_ROUTE_DELAY_S = 0.2  # seconds before an item of a route that was never known here is given back
+RANK_IN_TIME, RANK_LATE = 0, 1  # ranks in the deferred lane
+REPORT_TIMEOUT_S = 2.0  # seconds for one report
+FINISH_POLL_INTERVAL_S = 0.02  # seconds between looks whether all is done, at the end
+FINAL_REPORT_TIMEOUT_S = 1.0  # seconds for the last reports
+REPORT_RETRY_DELAY_S = 0.1  # seconds before a report that was not acknowledged is sent again
 
 
 @dataclass
-class Running:
+class RunningItem:
     """An item at this dispatcher."""
 
     leased: LeasedItem
     request: BatchItem
     shard: str
-    texts: list[bytes] = field(default_factory=list)
+    event_data: list[bytes] = field(default_factory=list)
     last_event: int | None = None
     leased_at: float = field(default_factory=time.monotonic)
-    began_at: float = 0.0  # steady time at which it left the lane
+    started_at: float = 0.0  # steady time at which it left the lane
     attempts: list[Attempt] = field(default_factory=list)
     task: asyncio.Task[None] | None = None
 
@@ -87,28 +93,28 @@
         self._shards, self._admission, self._routes = shards, admission, routes
         self._deferred = deferred
         self._misses = misses or MissLog()
-        self._running: dict[tuple[str, str], Running] = {}
+        self._running: dict[tuple[str, str], RunningItem] = {}
         self._reports: dict[str, list[ItemReport]] = {}
         self._sent_reports: dict[str, list[ItemReport]] = {}  # that an owner has not acknowledged
         self._calls = 0  # calls for items
-        self._report_news = asyncio.Event()
+        self._reports_added = asyncio.Event()
         self._pollers: dict[str, asyncio.Task[None]] = {}
         self._polled_at: dict[str, float] = {}
-        self._most: dict[str, int] = {}  # items asked for in one call, by shard
-        self._place_free = asyncio.Event()  # another one after each place that has become free
+        self._lease_limits: dict[str, int] = {}  # items asked for in one call, by shard
+        self._slot_freed = asyncio.Event()  # another one after each place that has become free
         self._known_routes: set[str] = set()  # by name, of all configurations that this process has had
 
     @property
-    def running(self) -> int:
+    def running_count(self) -> int:
         """Items in hand."""
         return len(self._running)
 
     @property
-    def unreported(self) -> bool:
+    def has_unreported_items(self) -> bool:
         """Whether an owner has yet to acknowledge the end of an item."""
         return bool(self._reports or self._sent_reports)
 
-    def routes_changed(self) -> None:
+    def update_pollers(self) -> None:
         """Poll the shards of all hosts that have batch routes."""
         routes = self._routes()
         self._known_routes |= {r.name for h in routes.batch_hosts() for r in routes.by_host[h]}
@@ -116,100 +122,100 @@
         for shard in wanted - set(self._pollers):
             self._pollers[shard] = asyncio.create_task(self._poll(shard))
 
-    async def report(self) -> None:
+    async def send_reports(self) -> None:
         """Send reports until cancelled."""
         while True:
-            await self._report_news.wait()
-            self._report_news.clear()
+            await self._reports_added.wait()
+            self._reports_added.clear()
             for shard in list(self._reports):
                 await self._send_reports(shard)
 
     async def _send_reports(self, shard: str) -> None:
         reports = self._sent_reports[shard] = self._reports.pop(shard)
         call = bytes(FinishRequest(self.holder, reports, shard))
-        reply = await self._shards.call(shard, Kind.FINISH, call, FINISH_WITHIN, hold=0.8)
+        reply = await self._shards.call(shard, Kind.FINISH, call, REPORT_TIMEOUT_S, owner_wait=0.8)
         del self._sent_reports[shard]
         if reply.status != Status.OK:
             self._reports[shard] = reports + self._reports.get(shard, [])
-            self._report_news.set()
-            await asyncio.sleep(REPORT_PAUSE)
+            self._reports_added.set()
+            await asyncio.sleep(REPORT_RETRY_DELAY_S)
 
     async def stop(self) -> None:
         """Give back what has not begun, and start nothing more."""
         self.stopping = True
         for item in list(self._running.values()):
-            if not item.texts and item.task is not None:
+            if not item.event_data and item.task is not None:
                 item.task.cancel()
 
-    async def finish(self, until: float) -> None:
+    async def finish(self, deadline: float) -> None:
         """Return when all items have ended and are reported, or at a steady time.
 
         Reports that no owner takes are waited for a while only: leases end with this dispatcher's session.
         """
-        while time.monotonic() < until and self._running:
-            await asyncio.sleep(END_LOOK)
-        until = min(until, time.monotonic() + REPORTED_WITHIN)
-        while time.monotonic() < until and self.unreported:
-            await asyncio.sleep(END_LOOK)
+        while time.monotonic() < deadline and self._running:
+            await asyncio.sleep(FINISH_POLL_INTERVAL_S)
+        deadline = min(deadline, time.monotonic() + FINAL_REPORT_TIMEOUT_S)
+        while time.monotonic() < deadline and self.has_unreported_items:
+            await asyncio.sleep(FINISH_POLL_INTERVAL_S)
 
     # ------------------------------------------------------------------ leasing
 
     async def _poll(self, shard: str) -> None:
         while not self.stopping:
-            freed = self._place_free
-            most = self._most.get(shard, ITEM_LIMIT)
-            want = min(most, self._want(shard))
+            slot_freed = self._slot_freed
+            limit = self._lease_limits.get(shard, ITEM_LIMIT)
+            want = min(limit, self._wanted_count(shard))
             began = time.monotonic()
-            reply = await self._call_for_items(shard, want, freed)
+            reply = await self._request_leases(shard, want, slot_freed)
             if reply is None:
-                await asyncio.sleep(GATHER)
+                await asyncio.sleep(SLOT_GATHER_S)
                 continue
             if reply.status != Status.OK:
-                self._most[shard] = max(1, most // 2)  # what was lost is sent again: less at a time
-                await asyncio.sleep(POLL_PAUSE)
+                self._lease_limits[shard] = max(1, limit // 2)  # what was lost is sent again: less at a time
+                await asyncio.sleep(POLL_RETRY_DELAY_S)
                 continue
-            self._most[shard] = min(ITEM_LIMIT, 2 * most)
+            self._lease_limits[shard] = min(ITEM_LIMIT, 2 * limit)
             self._polled_at[shard] = began
             leases = LeaseReply().parse(reply.body)
             for job in leases.ended:
-                self._end(job)
+                self._cancel_job(job)
             if want:
-                self._note_time_left(leases, backlog=len(leases.items) >= want)
+                self._update_time_left(leases, backlog=len(leases.items) >= want)
             for leased in leases.items:
                 self._start(shard, leased)
             if leases.ended:
-                await at_most(freed, POLL_HOLD)  # until their runs have ended
+                await at_most(slot_freed, POLL_HOLD_S)  # until their runs have ended
 
-    def _note_time_left(self, leases: LeaseReply, backlog: bool) -> None:
+    def _update_time_left(self, leases: LeaseReply, backlog: bool) -> None:
         """Tell the bounds how soon what was leased is due; what is late already is not urgent any more."""
-        left = []
+        remaining_shares = []
         for leased in leases.items:
             route = self._batch_route(leased)
-            if route is not None and leased.due_in_ms > RUN_TIME * 1000:
-                left.append(leased.due_in_ms / 1000 / route.completion)
-        self._admission.items.leased(min(left, default=1.0), backlog)
+            if route is not None and leased.due_in_ms > EXPECTED_RUN_TIME_S * 1000:
+                remaining_shares.append(leased.due_in_ms / 1000 / route.completion_target)
+        self._admission.items.leased(min(remaining_shares, default=1.0), backlog)
 
     def _batch_route(self, leased: LeasedItem) -> Route | None:
         """The route of a leased item's job, if this dispatcher's configuration has it."""
         routes = self._routes().by_host.get(leased.host, ())
         return next((route for route in routes if route.name == leased.route), None)
 
-    async def _call_for_items(self, shard: str, want: int, freed: asyncio.Event) -> Reply | None:
+    async def _request_leases(self, shard: str, want: int, slot_freed: asyncio.Event) -> Reply | None:
         """The owner's answer; None where nothing was wanted and a place has become free meanwhile.
 
         The owner ends the call that it holds when the next one comes.
         """
         body = bytes(self._lease_request(shard, want))
         call = asyncio.create_task(
-            self._shards.call(shard, Kind.LEASE, body, POLL_WITHIN, POLL_HOLD, POLL_HOLD)
+            self._shards.call(shard, Kind.LEASE, body, POLL_TIMEOUT_S, POLL_HOLD_S, POLL_HOLD_S)
         )
-        place = asyncio.create_task(freed.wait())
+        slot_wait = asyncio.create_task(slot_freed.wait())
         try:
-            watched = (call,) if want else (call, place)
-            await asyncio.wait(watched, return_when=asyncio.FIRST_COMPLETED)
+            awaited = (call,) if want else (call, slot_wait)
+            await asyncio.wait(awaited, return_when=asyncio.FIRST_COMPLETED)
             return call.result() if call.done() else None
         finally:
-            place.cancel()
+            slot_wait.cancel()
             call.cancel()
 
     def _lease_request(self, shard: str, want: int) -> LeaseRequest:
@@ -220,7 +226,7 @@
         return LeaseRequest(
             holder=self.holder,
             want=want,
-            wait_ms=int(POLL_HOLD * 1000),
+            wait_ms=int(POLL_HOLD_S * 1000),
             jobs=sorted({r.leased.job for r in held}),
             shard=shard,
             held=[ItemName(r.leased.job, r.request.id, r.leased.lease) for r in held],
@@ -228,13 +234,13 @@
             reported=[ItemName(r.job, r.item, r.lease) for r in reports],
         )
 
-    def _want(self, shard: str) -> int:
-        places = 0
+    def _wanted_count(self, shard: str) -> int:
+        slots = 0
         for service in {
             t[0] for h in self._routes().by_host.values() for r in h for t in self._targets(r, shard)
         }:
-            places += self._admission.items_to_lease(service)
-        return max(0, places - len(self._running))
+            slots += self._admission.items_to_lease(service)
+        return max(0, slots - len(self._running))
 
     @staticmethod
     def _targets(route: Route, shard: str) -> tuple[tuple[str, float], ...]:
@@ -248,74 +254,76 @@
         if known is not None:
             known.leased.lease = leased.lease
             return
-        item = self._running[key] = Running(leased, request, shard)
+        item = self._running[key] = RunningItem(leased, request, shard)
         item.task = asyncio.create_task(self._run(key, item))
         # a task that is cancelled before its first turn runs nothing of its own
-        item.task.add_done_callback(lambda _: self._ended(key, item, Outcome.RETURNED))
+        item.task.add_done_callback(lambda _: self._report_end(key, item, Outcome.RETURNED))
         if self.stopping:
             item.task.cancel()  # the call for it was under way when the end began
 
-    def _end(self, job: str) -> None:
+    def _cancel_job(self, job: str) -> None:
         for key, item in list(self._running.items()):
             if key[0] == job and item.task is not None:
                 item.task.cancel()
 
     # ------------------------------------------------------------------ running
 
-    async def _run(self, key: tuple[str, str], item: Running) -> None:
+    async def _run(self, key: tuple[str, str], item: RunningItem) -> None:
         outcome = Outcome.RETURNED
         try:
-            await self._wait(item)
-            item.began_at = time.monotonic()
-            outcome = await self._attempts(item)
+            await self._wait_for_start(item)
+            item.started_at = time.monotonic()
+            outcome = await self._run_attempts(item)
         except asyncio.CancelledError:
             pass
         finally:
-            self._ended(key, item, outcome)
+            self._report_end(key, item, outcome)
 
-    def _ended(self, key: tuple[str, str], item: Running, outcome: Outcome) -> None:
+    def _report_end(self, key: tuple[str, str], item: RunningItem, outcome: Outcome) -> None:
         """Report the end of an item's run, once."""
         if self._running.get(key) is not item:
             return
         del self._running[key]
-        text = b"\n".join(item.texts) if outcome == Outcome.DONE else b""
+        text = b"\n".join(item.event_data) if outcome == Outcome.DONE else b""
         report = ItemReport(key[0], key[1], outcome, text, item.leased.lease)
-        self._misses.item_ended(_ended_item(item, outcome))
+        self._misses.record_item(_summary(item, outcome))
         self._reports.setdefault(item.shard, []).append(report)
-        self._report_news.set()
-        self._free_place()
+        self._reports_added.set()
+        self._announce_free_slot()
 
-    def _free_place(self) -> None:
+    def _announce_free_slot(self) -> None:
         """Wake whoever has seen no free place before."""
-        self._place_free.set()
-        self._place_free = asyncio.Event()
+        self._slot_freed.set()
+        self._slot_freed = asyncio.Event()
 
-    async def _wait(self, item: Running) -> None:
+    async def _wait_for_start(self, item: RunningItem) -> None:
         """Wait in the deferred lane until a worker has room."""
         now = time.monotonic()
         deadline = now + item.leased.due_in_ms / 1000
-        rank = LATE if deadline < now + RUN_TIME else IN_TIME
-        due = deadline - RUN_TIME
+        rank = RANK_LATE if deadline < now + EXPECTED_RUN_TIME_S else RANK_IN_TIME
+        due = deadline - EXPECTED_RUN_TIME_S
         await self._deferred.wait(rank, deadline, due, lambda: self._may_start(item), item.leased.route)
 
-    def _may_start(self, item: Running) -> bool:
+    def _may_start(self, item: RunningItem) -> bool:
         route = self._routes().find(item.leased.host, item.request.path)
         return route is None or any(self._admission.room_for_item(target) for target, _ in route.targets)
 
-    async def _attempts(self, item: Running) -> Outcome:
+    async def _run_attempts(self, item: RunningItem) -> Outcome:
         tried: set[str] = set()
         pause = 0.05
-        while not self.stopping or item.texts:
+        while not self.stopping or item.event_data:
             route = self._routes().find(item.leased.host, item.request.path)
             if route is None or route.type is not RouteType.BATCH:
                 if item.leased.route in self._known_routes:
                     return Outcome.ROUTE_GONE
-                await asyncio.sleep(UNKNOWN_ROUTE)  # maybe newer than this dispatcher's configuration
+                await asyncio.sleep(UNKNOWN_ROUTE_DELAY_S)  # maybe newer than this dispatcher's configuration
                 return Outcome.RETURNED
-            fresh = time.monotonic() - self._polled_at.get(item.shard, 0.0) < STALE_AFTER
+            owner_is_reachable = time.monotonic() - self._polled_at.get(item.shard, 0.0) < OWNER_STALE_S
             service = self._admission.service_of(route)
             prefix = _prefix(item.request)
-            worker = self._admission.pick(service, prefix, tried, for_item=True) if fresh else None
+            worker = (
+                self._admission.pick(service, prefix, tried, for_item=True) if owner_is_reachable else None
+            )
             if worker is None:
                 tried.clear()
                 await asyncio.sleep(pause)
@@ -327,24 +335,24 @@
             tried.add(worker.entry.id)
         return Outcome.RETURNED
 
-    async def _attempt(self, item: Running, worker: WorkerState) -> Outcome | None:
+    async def _attempt(self, item: RunningItem, worker: WorkerState) -> Outcome | None:
         """One run at one worker; None where another may go on from what has come."""
         admission = self._admission
         admission.sent(worker)
         worker.items += 1
-        well = False
-        answer: aiohttp.ClientResponse | None = None
+        succeeded = False
+        upstream: aiohttp.ClientResponse | None = None
         attempt: Attempt | None = None
         try:
             async with asyncio.timeout(None) as limit:
                 attempt = worker.attempts.begin(limit, ITEM_SILENT)
                 note_attempt(attempt, worker)
                 item.attempts.append(attempt)
-                answer = await worker.request(
+                upstream = await worker.request(
                     "POST", item.request.path, _headers(item, worker), item.request.body
                 )
-                outcome = await self._read(item, worker, attempt, answer)
-            well = True
+                outcome = await self._read_response(item, worker, attempt, upstream)
+            succeeded = True
             return outcome
         except UnsendablePath:
             return Outcome.UNDOABLE
@@ -352,79 +360,79 @@
             admission.failed(worker)
             return None
         finally:
-            if answer is not None and not well:
-                answer.close()
+            if upstream is not None and not succeeded:
+                upstream.close()
             if attempt is not None:
                 worker.attempts.end(attempt)
             worker.items -= 1
-            admission.done(worker, well)
+            admission.done(worker, succeeded)
 
-    async def _read(
-        self, item: Running, worker: WorkerState, attempt: Attempt, answer: aiohttp.ClientResponse
+    async def _read_response(
+        self, item: RunningItem, worker: WorkerState, attempt: Attempt, upstream: aiohttp.ClientResponse
     ) -> Outcome | None:
-        worker.learn_idle(answer.headers.get("Keep-Alive"))
-        if answer.headers.get(REQUEST_ID) != item.request.id:
+        worker.learn_idle(upstream.headers.get("Keep-Alive"))
+        if upstream.headers.get(REQUEST_ID_HEADER) != item.request.id:
             raise aiohttp.ClientPayloadError("answer to another request")
-        if answer.status in (200, 500):
-            self._admission.answered(worker, answer.status)
-        if answer.status != 200:
-            await answer.read()
-            if answer.status == 422:
+        if upstream.status in (200, 500):
+            self._admission.answered(worker, upstream.status)
+        if upstream.status != 200:
+            await upstream.read()
+            if upstream.status == 422:
                 return Outcome.UNDOABLE
-            if answer.status == 500:
+            if upstream.status == 500:
                 return Outcome.FAILED
-            if answer.status == 503:
+            if upstream.status == 503:
                 self._admission.full(worker)
             return None
-        if not is_framed(answer):
+        if not is_framed(upstream):
             raise aiohttp.ClientPayloadError("an answer that does not say where it ends")
         reader = EventReader()
         while True:
-            piece = await answer.content.readany()
-            if not piece:
+            chunk = await upstream.content.readany()
+            if not chunk:
                 break
             if attempt.first_at:
                 worker.attempts.heard(attempt)
             else:
                 worker.attempts.first_heard(attempt)
-            for event in reader.feed(piece):
-                self._take(item, event.id, event.data)
+            for event in reader.feed(chunk):
+                self._record_event(item, event.id, event.data)
         if reader.partial:
             raise aiohttp.ClientPayloadError("an event is cut short")
         return Outcome.DONE
 
     @staticmethod
-    def _take(item: Running, number: int | None, data: bytes) -> None:
-        if number is not None:
-            if item.last_event is not None and number <= item.last_event:
+    def _record_event(item: RunningItem, event_id: int | None, data: bytes) -> None:
+        if event_id is not None:
+            if item.last_event is not None and event_id <= item.last_event:
                 return
-            item.last_event = number
-        item.texts.append(data)
+            item.last_event = event_id
+        item.event_data.append(data)
 
 
-def _ended_item(item: Running, outcome: Outcome) -> EndedItem:
+def _summary(item: RunningItem, outcome: Outcome) -> EndedItem:
     return EndedItem(
         job=item.leased.job,
         item=item.request.id,
         route=item.leased.route,
         outcome=outcome,
         leased_at=item.leased_at,
-        due=item.leased_at + item.leased.due_in_ms / 1000,
-        began_at=item.began_at,
+        due_at=item.leased_at + item.leased.due_in_ms / 1000,
+        started_at=item.started_at,
         attempts=item.attempts,
     )
 
 
 def _prefix(request: BatchItem) -> SharedPrefix:
-    value = next((h.value for h in request.headers if h.name.lower() == PREFIX.lower()), "")
+    value = next((h.value for h in request.headers if h.name.lower() == PROMPT_PREFIX_HEADER.lower()), "")
     return shared_prefix(value)
 
 
-def _headers(item: Running, worker: WorkerState) -> CIMultiDict[str]:
+def _headers(item: RunningItem, worker: WorkerState) -> CIMultiDict[str]:
     headers: CIMultiDict[str] = CIMultiDict((h.name, h.value) for h in item.request.headers)
     headers["Host"] = item.leased.host
-    headers[REQUEST_ID] = item.request.id
-    headers[TARGET] = worker.entry.id
+    headers[REQUEST_ID_HEADER] = item.request.id
+    headers[TARGET_HEADER] = worker.entry.id
     if item.last_event is not None:
-        headers[LAST_EVENT] = str(item.last_event)
+        headers[LAST_EVENT_HEADER] = str(item.last_event)
     return headers
--- a/heronstall/dataplane/events.py
+++ b/heronstall/dataplane/events.py
@@ -4,7 +4,7 @@
 
 from typing import NamedTuple
 
-ENDS = (b"\n\n", b"\r\n\r\n")
+EVENT_DELIMITERS = (b"\n\n", b"\r\n\r\n")
 
 
 class StreamEvent(NamedTuple):
@@ -26,23 +26,23 @@
         """What has come of an event that is not whole."""
         return self._buffer
 
-    def feed(self, piece: bytes) -> list[StreamEvent]:
+    def feed(self, chunk: bytes) -> list[StreamEvent]:
         """Take a piece; the events that it completes."""
-        self._buffer += piece
+        self._buffer += chunk
         events: list[StreamEvent] = []
         while True:
-            found = [(at, end) for end in ENDS if (at := self._buffer.find(end)) >= 0]
+            found = [(position, end) for end in EVENT_DELIMITERS if (position := self._buffer.find(end)) >= 0]
             if not found:
                 return events
-            at, end = min(found)
-            raw = self._buffer[: at + len(end)]
-            self._buffer = self._buffer[at + len(end) :]
+            position, end = min(found)
+            raw = self._buffer[: position + len(end)]
+            self._buffer = self._buffer[position + len(end) :]
             events.append(parse_event(raw))
 
 
 def parse_event(raw: bytes) -> StreamEvent:
     """Read the fields of one event."""
-    number: int | None = None
+    event_id: int | None = None
     data: list[bytes] = []
     for line in raw.splitlines():
         name, _, value = line.partition(b":")
@@ -50,5 +50,5 @@
         if name == b"data":
             data.append(value)
         elif name == b"id" and value.strip().isdigit():
-            number = int(value)
-    return StreamEvent(raw, number, b"\n".join(data))
+            event_id = int(value)
+    return StreamEvent(raw, event_id, b"\n".join(data))
--- a/heronstall/dataplane/forwarding.py
+++ b/heronstall/dataplane/forwarding.py
@@ -26,14 +26,14 @@
 
 log = structlog.get_logger()
 
-REQUEST_ID = "Heronstall-Request-Id"
-DEADLINE = "Heronstall-Deadline-Ms"
-TARGET = "Heronstall-Target-Instance"
-PREFIX = "Heronstall-Prompt-Prefix"
-USAGE = "Heronstall-Token-Usage"
-NOT_EXECUTED = "Heronstall-Not-Executed"
-SIGNATURE = "Heronstall-Response-Signature"
-LAST_EVENT = "Last-Event-Id"
+REQUEST_ID_HEADER = "Heronstall-Request-Id"
+DEADLINE_HEADER = "Heronstall-Deadline-Ms"
+TARGET_HEADER = "Heronstall-Target-Instance"
+PROMPT_PREFIX_HEADER = "Heronstall-Prompt-Prefix"
+TOKEN_USAGE_HEADER = "Heronstall-Token-Usage"
+NOT_EXECUTED_HEADER = "Heronstall-Not-Executed"
+SIGNATURE_HEADER = "Heronstall-Response-Signature"
+LAST_EVENT_HEADER = "Last-Event-Id"
 HOP_HEADERS = frozenset(
     {
         "connection",
@@ -46,13 +46,13 @@
         "content-length",
     }
 )
-OWN_HEADERS = frozenset({DEADLINE.lower(), TARGET.lower()})
-SENDS = 5  # times that a request is offered at the most, refusals included
-RETRY_AFTER = 0.25  # seconds
-HOLD_SHARE = 0.2  # part of its aim that a request waits here for a worker
+REPLACED_HEADERS = frozenset({DEADLINE_HEADER.lower(), TARGET_HEADER.lower()})
+MAX_SENDS = 5  # times that a request is offered at the most, refusals included
+RETRY_AFTER_S = 0.25  # seconds
+WORKER_WAIT_SHARE = 0.2  # part of its aim that a request waits here for a worker
 
 
-class Broken(Exception):
+class ForwardingError(Exception):
     """The worker's answer cannot be passed on as a whole one."""
 
     def __init__(self, end: AttemptEnd = AttemptEnd.CUT_SHORT) -> None:
@@ -61,7 +61,7 @@
 
 
 @dataclass
-class Passage:
+class RequestContext:
     """A client's request on its way."""
 
     request: web.BaseRequest
@@ -69,7 +69,7 @@
     service: str
     body: bytes
     deadline: float  # steady time
-    arrived: float
+    arrived_at: float
     response: web.StreamResponse | None = None  # once its head has been sent
     last_event: int | None = None
     runs: int = 0
@@ -77,8 +77,8 @@
     attempt: Attempt | None = None  # the latest, once it may have reached a worker
     attempts: list[Attempt] = field(default_factory=list)
     deferred: float = 0.0  # seconds behind urgent requests
-    held: float = 0.0  # seconds without a worker to send it to
-    placed: PlacedPrompt | None = None  # by a planner, for its first attempt
+    worker_wait: float = 0.0  # seconds without a worker to send it to
+    placement: PlacedPrompt | None = None  # by a planner, for its first attempt
 
     @property
     def may_have_run(self) -> bool:
@@ -93,63 +93,65 @@
     @cached_property
     def prefix(self) -> SharedPrefix:
         """The shared parts of its prompt."""
-        return shared_prefix(self.request.headers.get(PREFIX, ""))
+        return shared_prefix(self.request.headers.get(PROMPT_PREFIX_HEADER, ""))
 
     @cached_property
     def prompt_tokens(self) -> int:
         """Tokens of its prompt; 0 where it does not tell."""
-        return _tokens(self.request.headers.get(USAGE, "").partition(",")[0])
+        return _parse_token_count(self.request.headers.get(TOKEN_USAGE_HEADER, "").partition(",")[0])
 
     @property
     def output_tokens(self) -> int:
         """Tokens of the longest answer that it allows; 0 where it does not tell."""
-        return _tokens(self.request.headers.get(USAGE, "").partition(",")[2])
+        return _parse_token_count(self.request.headers.get(TOKEN_USAGE_HEADER, "").partition(",")[2])
 
-    def ended(self, status: int) -> EndedRequest:
+    def summary(self, status: int) -> EndedRequest:
         """What is known of it now that it has ended, by an answer of this status; 0: by none."""
         return EndedRequest(
-            request=self.request.headers.get(REQUEST_ID, ""),
+            request_id=self.request.headers.get(REQUEST_ID_HEADER, ""),
             route=self.route,
             prefix=self.prefix,
             prompt_tokens=self.prompt_tokens,
             output_tokens=self.output_tokens,
-            times=RequestTimes(self.arrived, self.deferred, self.held),
+            times=RequestTimes(self.arrived_at, self.deferred, self.worker_wait),
             attempts=self.attempts,
-            planned=self.placed is not None,
+            planned=self.placement is not None,
             status=status,
             deadline=self.deadline,
         )
 
 
-def _tokens(text: str) -> int:
+def _parse_token_count(text: str) -> int:
     """A count of tokens; 0 for what is none."""
     digits = text.strip()
     return int(digits) if digits.isdecimal() and len(digits) <= TOKEN_DIGITS else 0
 
 
-class PassedResponse(web.StreamResponse):
+class ForwardedResponse(web.StreamResponse):
     """A worker's answer, without the headers that the library would add."""
 
     def __init__(self, status: int, reason: str | None, headers: CIMultiDict[str]) -> None:
         super().__init__(status=status, reason=reason, headers=headers)
-        self._given = {name.lower() for name in headers}
+        self._forwarded_names = {name.lower() for name in headers}
 
     async def _prepare_headers(self) -> None:
         await super()._prepare_headers()
         for name in ("Server", "Date", "Content-Type"):
-            if name.lower() not in self._given:
+            if name.lower() not in self._forwarded_names:
                 self._headers.pop(name, None)
 
 
-STARTING = 0.9  # seconds until a node that has just started, or a service without workers, may serve
+STARTING_RETRY_AFTER_S = (
+    0.9  # seconds until a node that has just started, or a service without workers, may serve
+)
 
 
-def refusal(after: float = RETRY_AFTER) -> web.Response:
+def service_unavailable(retry_after: float = RETRY_AFTER_S) -> web.Response:
     """The request has not run and never will; come back later."""
-    return web.Response(status=503, headers={"Retry-After": f"{after:.3f}"})
+    return web.Response(status=503, headers={"Retry-After": f"{retry_after:.3f}"})
 
 
-def failure(status: int) -> web.Response:
+def empty_response(status: int) -> web.Response:
     """Nothing is promised."""
     return web.Response(status=status)
 
@@ -170,53 +172,53 @@
         self._misses = misses or MissLog()
         self._closes_after = closes_after  # whether an answer is to be its connection's last
 
-    async def carry(self, passage: Passage) -> web.StreamResponse:
+    async def forward(self, context: RequestContext) -> web.StreamResponse:
         """Serve a request: the worker's answer, or one of our own."""
         status = 0
         try:
-            response = await self._carry(passage)
+            response = await self._forward(context)
             status = response.status
             return response
         finally:
-            self._misses.ended(passage.ended(status))
+            self._misses.record_request(context.summary(status))
 
-    async def _carry(self, passage: Passage) -> web.StreamResponse:
-        route = passage.route
-        for _ in range(SENDS):
-            worker = await self._pick(passage)
-            if worker is None or passage.deadline - time.monotonic() < 0.01:
+    async def _forward(self, context: RequestContext) -> web.StreamResponse:
+        route = context.route
+        for _ in range(MAX_SENDS):
+            worker = await self._pick_worker(context)
+            if worker is None or context.deadline - time.monotonic() < 0.01:
                 break
-            outcome = await self._attempt(passage, worker)
+            outcome = await self._attempt(context, worker)
             if isinstance(outcome, web.StreamResponse):
                 return outcome
-            passage.tried.add(worker.entry.id)
-            passage.runs += not RULES[outcome].not_run
-            if not another_may_follow(outcome, route.repeatable, passage.runs, route.max_attempts):
+            context.tried.add(worker.entry.id)
+            context.runs += not RULES[outcome].not_run
+            if not another_may_follow(outcome, route.repeatable, context.runs, route.max_attempts):
                 break
-        return self._give_up(passage)
+        return self._final_failure(context)
 
-    async def _pick(self, passage: Passage) -> WorkerState | None:
+    async def _pick_worker(self, context: RequestContext) -> WorkerState | None:
         """A worker; one that was not tried yet waits a moment where there is none."""
-        if self._placer is not None and not passage.tried and passage.prefix.is_large:
-            placed = await self._place(self._placer, passage)
-            if placed is not None:
-                return placed
-        worker = self._admission.pick(passage.service, passage.prefix, passage.tried)
-        if worker is not None or passage.tried:
+        if self._placer is not None and not context.tried and context.prefix.is_large:
+            placement = await self._pick_planned_worker(self._placer, context)
+            if placement is not None:
+                return placement
+        worker = self._admission.pick(context.service, context.prefix, context.tried)
+        if worker is not None or context.tried:
             return worker
-        held_until = passage.arrived + HOLD_SHARE * passage.route.target_latency
+        wait_until = context.arrived_at + WORKER_WAIT_SHARE * context.route.target_latency
         began = time.monotonic()
-        while worker is None and time.monotonic() < held_until:
-            await self._wait_for_worker(held_until)
-            worker = self._admission.pick(passage.service, passage.prefix, passage.tried)
-        passage.held += time.monotonic() - began
+        while worker is None and time.monotonic() < wait_until:
+            await self._wait_for_worker(wait_until)
+            worker = self._admission.pick(context.service, context.prefix, context.tried)
+        context.worker_wait += time.monotonic() - began
         return worker
 
-    async def _place(self, placer: PromptPlacer, passage: Passage) -> WorkerState | None:
+    async def _pick_planned_worker(self, placer: PromptPlacer, context: RequestContext) -> WorkerState | None:
         """The worker that a planner names for a large prompt, if it can be used from here."""
-        placed = await placer.place(passage.service, passage.prefix, passage.prompt_tokens)
-        worker = self._admission.usable(placed.worker, passage.service) if placed is not None else None
-        passage.placed = placed if worker is not None else None
+        placement = await placer.place(context.service, context.prefix, context.prompt_tokens)
+        worker = self._admission.usable(placement.worker, context.service) if placement is not None else None
+        context.placement = placement if worker is not None else None
         return worker
 
     async def _wait_for_worker(self, until: float) -> None:
@@ -226,21 +228,25 @@
         except TimeoutError:
             return
 
-    def _give_up(self, passage: Passage) -> web.StreamResponse:
-        if passage.response is not None:
-            raise Broken
-        if passage.runs and not passage.route.repeatable:
-            return failure(504 if time.monotonic() >= passage.deadline else 502)
-        if passage.runs:
-            return failure(502)
-        return refusal() if self._pool.of(passage.service) else refusal(STARTING)
+    def _final_failure(self, context: RequestContext) -> web.StreamResponse:
+        if context.response is not None:
+            raise ForwardingError
+        if context.runs and not context.route.repeatable:
+            return empty_response(504 if time.monotonic() >= context.deadline else 502)
+        if context.runs:
+            return empty_response(502)
+        return (
+            service_unavailable()
+            if self._pool.of(context.service)
+            else service_unavailable(STARTING_RETRY_AFTER_S)
+        )
 
-    async def _attempt(self, passage: Passage, worker: WorkerState) -> web.StreamResponse | AttemptEnd:
+    async def _attempt(self, context: RequestContext, worker: WorkerState) -> web.StreamResponse | AttemptEnd:
         """One attempt at one worker, and what its end says of the worker."""
-        began = len(passage.attempts)
-        outcome = await self._send(passage, worker)
+        earlier_attempts = len(context.attempts)
+        outcome = await self._send(context, worker)
         if isinstance(outcome, AttemptEnd):
-            for attempt in passage.attempts[began:]:
+            for attempt in context.attempts[earlier_attempts:]:
                 attempt.end = outcome
             if RULES[outcome].worker_failed:
                 self._admission.failed(worker)
@@ -248,147 +254,151 @@
                 self._admission.full(worker)
         return outcome
 
-    async def _send(self, passage: Passage, worker: WorkerState) -> web.StreamResponse | AttemptEnd:
+    async def _send(self, context: RequestContext, worker: WorkerState) -> web.StreamResponse | AttemptEnd:
         admission = self._admission
         admission.sent(worker)
-        passage.attempt = None
-        well = head_came = False
+        context.attempt = None
+        succeeded = headers_received = False
         try:
-            async with asyncio.timeout(passage.deadline - time.monotonic()) as limit:
-                patience = REQUEST_SILENT if passage.may_repeat else None
-                passage.attempt = worker.attempts.begin(limit, patience, passage.prompt_tokens)
-                note_attempt(passage.attempt, worker, self._admission.home_rank(worker, passage.prefix))
-                passage.attempts.append(passage.attempt)
-                answer = await worker.request(
-                    passage.request.method,
-                    passage.request.raw_path,
-                    self._headers(passage, worker),
-                    passage.body,
+            async with asyncio.timeout(context.deadline - time.monotonic()) as limit:
+                silence_limit = REQUEST_SILENT if context.may_repeat else None
+                context.attempt = worker.attempts.begin(limit, silence_limit, context.prompt_tokens)
+                note_attempt(context.attempt, worker, self._admission.home_rank(worker, context.prefix))
+                context.attempts.append(context.attempt)
+                upstream = await worker.request(
+                    context.request.method,
+                    context.request.raw_path,
+                    self._headers(context, worker),
+                    context.body,
                 )
-                head_came = True
+                headers_received = True
                 try:
-                    result = await self._relay(passage, worker, answer)
-                    well = True
+                    result = await self._relay(context, worker, upstream)
+                    succeeded = True
                     return result
                 finally:
-                    if not well:
-                        answer.close()
+                    if not succeeded:
+                        upstream.close()
         except UnsendablePath:
-            return failure(400)
+            return empty_response(400)
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError):
             return AttemptEnd.NO_CONNECTION
-        except Broken as broken:
+        except ForwardingError as broken:
             return broken.end
         except (aiohttp.ClientError, ConnectionError):
-            return AttemptEnd.CUT_SHORT if head_came else AttemptEnd.NO_ANSWER
+            return AttemptEnd.CUT_SHORT if headers_received else AttemptEnd.NO_ANSWER
         except TimeoutError:
             return AttemptEnd.TIMED_OUT
         finally:
-            if passage.attempt is not None:
-                worker.attempts.end(passage.attempt)
-            admission.done(worker, well)
-
-    def _headers(self, passage: Passage, worker: WorkerState) -> CIMultiDict[str]:
-        headers = request_headers(passage.request.headers)
-        left = passage.deadline - time.monotonic()
-        headers[DEADLINE] = str(max(1, int(left * 1000)))
-        headers[TARGET] = worker.entry.id
-        if passage.last_event is not None:
-            headers[LAST_EVENT] = str(passage.last_event)
+            if context.attempt is not None:
+                worker.attempts.end(context.attempt)
+            admission.done(worker, succeeded)
+
+    def _headers(self, context: RequestContext, worker: WorkerState) -> CIMultiDict[str]:
+        headers = request_headers(context.request.headers)
+        remaining = context.deadline - time.monotonic()
+        headers[DEADLINE_HEADER] = str(max(1, int(remaining * 1000)))
+        headers[TARGET_HEADER] = worker.entry.id
+        if context.last_event is not None:
+            headers[LAST_EVENT_HEADER] = str(context.last_event)
         return headers
 
     async def _relay(
-        self, passage: Passage, worker: WorkerState, answer: aiohttp.ClientResponse
+        self, context: RequestContext, worker: WorkerState, upstream: aiohttp.ClientResponse
     ) -> web.StreamResponse | AttemptEnd:
         """Pass an answer on. Raises Broken where it is not whole, or not the request's own."""
-        worker.learn_idle(answer.headers.get("Keep-Alive"))
-        assert passage.attempt is not None
-        worker.attempts.heard(passage.attempt)
-        if answer.headers.get(REQUEST_ID) != passage.request.headers.get(REQUEST_ID):
-            raise Broken(AttemptEnd.OTHER_ID)  # whatever it says, it says nothing of this request
-        refusal_end = Refusal(answer.status, NOT_EXECUTED in answer.headers).end
-        if refusal_end is not None:
-            await answer.read()
-            return refusal_end
-        if not is_framed(answer):
-            raise Broken(AttemptEnd.NO_LENGTH)
-        self._admission.answered(worker, answer.status)
-        resumes = (
-            passage.route.type is RouteType.STREAMING and passage.route.resumable and answer.status == 200
+        worker.learn_idle(upstream.headers.get("Keep-Alive"))
+        assert context.attempt is not None
+        worker.attempts.heard(context.attempt)
+        if upstream.headers.get(REQUEST_ID_HEADER) != context.request.headers.get(REQUEST_ID_HEADER):
+            raise ForwardingError(AttemptEnd.OTHER_ID)  # whatever it says, it says nothing of this request
+        rejection = Refusal(upstream.status, NOT_EXECUTED_HEADER in upstream.headers).end
+        if rejection is not None:
+            await upstream.read()
+            return rejection
+        if not is_framed(upstream):
+            raise ForwardingError(AttemptEnd.NO_LENGTH)
+        self._admission.answered(worker, upstream.status)
+        forwards_events = (
+            context.route.type is RouteType.STREAMING and context.route.resumable and upstream.status == 200
+        )
+        if context.response is not None and upstream.status != 200:
+            raise ForwardingError(AttemptEnd.FAILED_RESUMPTION)
+        if forwards_events:
+            return await self._relay_events(context, worker, upstream)
+        if context.route.type is RouteType.STREAMING and upstream.status == 200:
+            return await self._relay_chunks(context, worker, upstream)
+        body = await upstream.read()
+        worker.attempts.first_heard(context.attempt)
+        if context.response is not None:
+            raise ForwardingError(AttemptEnd.FAILED_RESUMPTION)
+        response = context.response = ForwardedResponse(
+            upstream.status, upstream.reason, response_headers(upstream)
         )
-        if passage.response is not None and answer.status != 200:
-            raise Broken(AttemptEnd.FAILED_RESUMPTION)
-        if resumes:
-            return await self._relay_events(passage, worker, answer)
-        if passage.route.type is RouteType.STREAMING and answer.status == 200:
-            return await self._relay_pieces(passage, worker, answer)
-        body = await answer.read()
-        worker.attempts.first_heard(passage.attempt)
-        if passage.response is not None:
-            raise Broken(AttemptEnd.FAILED_RESUMPTION)
-        response = passage.response = PassedResponse(answer.status, answer.reason, answer_headers(answer))
         response.content_length = len(body)
-        if self._closes_after(passage.request):
+        if self._closes_after(context.request):
             response.force_close()
-        await response.prepare(passage.request)
+        await response.prepare(context.request)
         await response.write(body)
         await response.write_eof()
         return response
 
-    async def _open(self, passage: Passage, answer: aiohttp.ClientResponse) -> web.StreamResponse:
-        if passage.response is None:
-            passage.response = PassedResponse(answer.status, answer.reason, answer_headers(answer))
-            if answer.content_length is not None and not passage.route.resumable:
-                passage.response.content_length = answer.content_length
+    async def _prepare_response(
+        self, context: RequestContext, upstream: aiohttp.ClientResponse
+    ) -> web.StreamResponse:
+        if context.response is None:
+            context.response = ForwardedResponse(upstream.status, upstream.reason, response_headers(upstream))
+            if upstream.content_length is not None and not context.route.resumable:
+                context.response.content_length = upstream.content_length
             else:
-                passage.response.enable_chunked_encoding()
-            if self._closes_after(passage.request):
-                passage.response.force_close()
-            await passage.response.prepare(passage.request)
-        return passage.response
-
-    def _heard(self, passage: Passage, worker: WorkerState, first: bool) -> None:
-        assert passage.attempt is not None
+                context.response.enable_chunked_encoding()
+            if self._closes_after(context.request):
+                context.response.force_close()
+            await context.response.prepare(context.request)
+        return context.response
+
+    def _record_data(self, context: RequestContext, worker: WorkerState, first: bool) -> None:
+        assert context.attempt is not None
         if first:
-            seconds = worker.attempts.first_heard(passage.attempt)
-            self._admission.first_event(worker, passage.prefix.tokens, seconds)
-            if self._placer is not None and passage.placed is not None and not passage.tried:
-                self._placer.first_event(passage.service, passage.placed, seconds)
+            seconds = worker.attempts.first_heard(context.attempt)
+            self._admission.first_event(worker, context.prefix.tokens, seconds)
+            if self._placer is not None and context.placement is not None and not context.tried:
+                self._placer.first_event(context.service, context.placement, seconds)
         else:
-            worker.attempts.heard(passage.attempt)
+            worker.attempts.heard(context.attempt)
 
-    async def _relay_pieces(
-        self, passage: Passage, worker: WorkerState, answer: aiohttp.ClientResponse
+    async def _relay_chunks(
+        self, context: RequestContext, worker: WorkerState, upstream: aiohttp.ClientResponse
     ) -> web.StreamResponse:
         first = True
-        async for piece in answer.content.iter_any():
-            self._heard(passage, worker, first)
+        async for chunk in upstream.content.iter_any():
+            self._record_data(context, worker, first)
             first = False
-            response = await self._open(passage, answer)
-            await response.write(piece)
-        response = await self._open(passage, answer)
+            response = await self._prepare_response(context, upstream)
+            await response.write(chunk)
+        response = await self._prepare_response(context, upstream)
         await response.write_eof()
         return response
 
     async def _relay_events(
-        self, passage: Passage, worker: WorkerState, answer: aiohttp.ClientResponse
+        self, context: RequestContext, worker: WorkerState, upstream: aiohttp.ClientResponse
     ) -> web.StreamResponse:
         reader = EventReader()
         first = True
-        async for piece in answer.content.iter_any():
-            self._heard(passage, worker, first)
+        async for chunk in upstream.content.iter_any():
+            self._record_data(context, worker, first)
             first = False
-            whole = b""
-            for event in reader.feed(piece):
+            new_events = b""
+            for event in reader.feed(chunk):
                 if event.id is not None:
-                    if passage.last_event is not None and event.id <= passage.last_event:
+                    if context.last_event is not None and event.id <= context.last_event:
                         continue
-                    passage.last_event = event.id
-                whole += event.raw
-            if whole:
-                response = await self._open(passage, answer)
-                await response.write(whole)
-        response = await self._open(passage, answer)
+                    context.last_event = event.id
+                new_events += event.raw
+            if new_events:
+                response = await self._prepare_response(context, upstream)
+                await response.write(new_events)
+        response = await self._prepare_response(context, upstream)
         if reader.partial:
             await response.write(reader.partial)
         await response.write_eof()
@@ -397,18 +407,22 @@
 
 def request_headers(headers: Mapping[str, str]) -> CIMultiDict[str]:
     """A request's headers as they are passed on."""
-    named = {n.strip().lower() for n in headers.get("Connection", "").split(",")}
-    passed: CIMultiDict[str] = CIMultiDict()
+    connection_options = {n.strip().lower() for n in headers.get("Connection", "").split(",")}
+    forwarded: CIMultiDict[str] = CIMultiDict()
     for name, value in headers.items():
-        if name.lower() not in HOP_HEADERS and name.lower() not in named and name.lower() not in OWN_HEADERS:
-            passed.add(name, value)
-    return passed
+        if (
+            name.lower() not in HOP_HEADERS
+            and name.lower() not in connection_options
+            and name.lower() not in REPLACED_HEADERS
+        ):
+            forwarded.add(name, value)
+    return forwarded
 
 
-def answer_headers(answer: aiohttp.ClientResponse) -> CIMultiDict[str]:
+def response_headers(upstream: aiohttp.ClientResponse) -> CIMultiDict[str]:
     """An answer's headers as they are passed on."""
-    passed: CIMultiDict[str] = CIMultiDict()
-    for name, value in answer.headers.items():
+    forwarded: CIMultiDict[str] = CIMultiDict()
+    for name, value in upstream.headers.items():
         if name.lower() not in HOP_HEADERS:
-            passed.add(name, value)
-    return passed
+            forwarded.add(name, value)
+    return forwarded
--- a/heronstall/dataplane/ingress.py
+++ b/heronstall/dataplane/ingress.py
@@ -13,29 +13,37 @@
 import structlog
 from aiohttp import web
 
-from heronstall.dataplane.batch_front import BatchFront
+from heronstall.dataplane.batch_front import BatchApi
 from heronstall.dataplane.deferred import DeferredLane
-from heronstall.dataplane.forwarding import DEADLINE, STARTING, Broken, Forwarder, Passage, failure, refusal
+from heronstall.dataplane.forwarding import (
+    DEADLINE_HEADER,
+    STARTING_RETRY_AFTER_S,
+    ForwardingError,
+    Forwarder,
+    RequestContext,
+    empty_response,
+    service_unavailable,
+)
 from heronstall.dataplane.routing import Routes, RouteType
 from heronstall.distribution.freshness import KnowledgeLimits
 
 log = structlog.get_logger()
 
-LOTS = "/-/lots/"
-ITEMS = "/-/items/"
-BODY_WITHIN = 10.0  # seconds for a request's body
-DUE_SHARE = 0.2  # part of its aim after which a deferrable request is due; held longer it is priced
-START_HOLD = 0.5  # seconds that a request waits for the first configuration after a process's start
-PATIENCE = 60.0  # seconds, where a client names no deadline
+JOBS_PATH = "/-/lots/"
+ITEMS_PATH = "/-/items/"
+BODY_TIMEOUT_S = 10.0  # seconds for a request's body
+DEFERRAL_SHARE = 0.2  # part of its aim after which a deferrable request is due; held longer it is priced
+CONFIGURATION_WAIT_S = 0.5  # seconds that a request waits for the first configuration after a process's start
+DEFAULT_TIME_LIMIT_S = 60.0  # seconds, where a client names no deadline
 
 
 @dataclass(eq=False)
-class InHand:
+class ActiveRequest:
     """A request that is being handled."""
 
-    limit: asyncio.Timeout = field(init=False)
-    begun: bool = False  # something beyond this process may know of it
-    passage: Passage | None = None  # on a live route
+    timeout: asyncio.Timeout = field(init=False)
+    dispatched: bool = False  # something beyond this process may know of it
+    forwarded: RequestContext | None = None  # on a live route
 
 
 class Ingress:
@@ -44,18 +52,18 @@
     def __init__(
         self,
         forwarder: Forwarder,
-        batch: BatchFront,
+        batch: BatchApi,
         deferred: DeferredLane,
         rng: random.Random,
-        knowledge_age: Callable[[], float],
+        state_age: Callable[[], float],
         limits: KnowledgeLimits,
     ) -> None:
         self._routes = Routes()
         self._configured = asyncio.Event()
-        self._in_hand: set[InHand] = set()
+        self._active_requests: set[ActiveRequest] = set()
         self._forwarder, self._batch, self._random = forwarder, batch, rng
         self._deferred = deferred
-        self._knowledge_age, self._limits = knowledge_age, limits
+        self._state_age, self._limits = state_age, limits
 
     @property
     def routes(self) -> Routes:
@@ -73,40 +81,44 @@
     @property
     def may_serve(self) -> bool:
         """Whether a configuration is known, and none that is much newer can be in force."""
-        return bool(self.routes.revision) and self._knowledge_age() < self._limits.serve
+        return bool(self.routes.revision) and self._state_age() < self._limits.serve
 
     @property
-    def active(self) -> int:
+    def active_count(self) -> int:
         """Requests that are being handled."""
-        return len(self._in_hand)
+        return len(self._active_requests)
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
         """Answer one request."""
-        in_hand = InHand()
+        active_request = ActiveRequest()
         try:
-            async with asyncio.timeout(None) as in_hand.limit:
-                self._in_hand.add(in_hand)
-                return await self._answer(request, in_hand)
-        except Broken:
+            async with asyncio.timeout(None) as active_request.timeout:
+                self._active_requests.add(active_request)
+                return await self._respond(request, active_request)
+        except ForwardingError:
             return self._abort(request)
         except TimeoutError:
-            return self._given_up(request, in_hand)
+            return self._abandoned_response(request, active_request)
         finally:
-            self._in_hand.discard(in_hand)
+            self._active_requests.discard(active_request)
 
-    def give_up(self) -> None:
+    def abandon_requests(self) -> None:
         """End what is being handled: the process ends in a moment, and a cut connection tells nothing."""
         now = asyncio.get_running_loop().time()
-        for in_hand in self._in_hand:
-            in_hand.limit.reschedule(now)
+        for active_request in self._active_requests:
+            active_request.timeout.reschedule(now)
 
-    def _given_up(self, request: web.BaseRequest, in_hand: InHand) -> web.StreamResponse:
+    def _abandoned_response(
+        self, request: web.BaseRequest, active_request: ActiveRequest
+    ) -> web.StreamResponse:
         """The last answer to a request that was given up. What may have run gets no promise."""
-        if not in_hand.begun or (in_hand.passage is not None and not in_hand.passage.may_have_run):
-            return refusal()
-        if in_hand.passage is not None and in_hand.passage.response is not None:
+        if not active_request.dispatched or (
+            active_request.forwarded is not None and not active_request.forwarded.may_have_run
+        ):
+            return service_unavailable()
+        if active_request.forwarded is not None and active_request.forwarded.response is not None:
             return self._abort(request)
-        return failure(504)
+        return empty_response(504)
 
     @staticmethod
     def _abort(request: web.BaseRequest) -> NoReturn:
@@ -115,43 +127,45 @@
             request.transport.abort()
         raise asyncio.CancelledError from None
 
-    async def _answer(self, request: web.BaseRequest, in_hand: InHand) -> web.StreamResponse:
-        arrived = time.monotonic()
+    async def _respond(self, request: web.BaseRequest, active_request: ActiveRequest) -> web.StreamResponse:
+        arrived_at = time.monotonic()
         if not self._configured.is_set():
             await self._wait_for_configuration(request)
         if not self.may_serve:
-            return refusal(STARTING)
+            return service_unavailable(STARTING_RETRY_AFTER_S)
         try:
-            async with asyncio.timeout(BODY_WITHIN):
+            async with asyncio.timeout(BODY_TIMEOUT_S):
                 body = await request.read()
         except TimeoutError:
-            return failure(408)
+            return empty_response(408)
         except web.HTTPRequestEntityTooLarge:
-            return failure(413)
-        if _head_bytes(request) > self.routes.limits.header_bytes:
-            return failure(431)
+            return empty_response(413)
+        if _header_bytes(request) > self.routes.limits.header_bytes:
+            return empty_response(431)
         host = request.headers.get("Host", "")
         path = request.raw_path.partition("?")[0]
         if path.startswith("/-/"):
-            in_hand.begun = True
+            active_request.dispatched = True
             return await self._batch_call(request, host, path)
         route = self.routes.find(host, path)
         if route is None:
-            newest = self._knowledge_age() < self._limits.refuse
-            return failure(404) if newest else refusal(STARTING)
+            is_current = self._state_age() < self._limits.refuse
+            return empty_response(404) if is_current else service_unavailable(STARTING_RETRY_AFTER_S)
         if route.type is RouteType.BATCH:
-            in_hand.begun = True
+            active_request.dispatched = True
             return await self._batch.submit(request, route, body)
-        patience = min(_deadline(request), route.timeout)
-        received = time.monotonic()
-        if self._deferred.switch.busy and self.routes.deferrable(route):
-            aim = arrived + route.target_latency
-            await self._deferred.wait(0, aim, arrived + DUE_SHARE * route.target_latency, lambda: True)
-        service = route.service(self._random)
-        passage = Passage(request, route, service, body, arrived + patience, arrived)
-        passage.deferred = time.monotonic() - received
-        in_hand.begun, in_hand.passage = True, passage
-        return await self._forwarder.carry(passage)
+        time_limit = min(_requested_time_limit(request), route.timeout)
+        body_received_at = time.monotonic()
+        if self._deferred.switch.busy and self.routes.is_deferrable(route):
+            target_at = arrived_at + route.target_latency
+            await self._deferred.wait(
+                0, target_at, arrived_at + DEFERRAL_SHARE * route.target_latency, lambda: True
+            )
+        service = route.draw_service(self._random)
+        context = RequestContext(request, route, service, body, arrived_at + time_limit, arrived_at)
+        context.deferred = time.monotonic() - body_received_at
+        active_request.dispatched, active_request.forwarded = True, context
+        return await self._forwarder.forward(context)
 
     async def _wait_for_configuration(self, request: web.BaseRequest) -> None:
         """Wait a moment in a process that has just started.
@@ -159,23 +173,23 @@
         After a loss of power clients come before it is told anything, and a refused one comes back late.
         """
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(min(START_HOLD, _deadline(request) / 2)):
+            async with asyncio.timeout(min(CONFIGURATION_WAIT_S, _requested_time_limit(request) / 2)):
                 await self._configured.wait()
 
     async def _batch_call(self, request: web.BaseRequest, host: str, path: str) -> web.StreamResponse:
-        if path.startswith(LOTS) and request.method == "GET":
-            return await self._batch.read(request, host, path.removeprefix(LOTS))
-        if path.startswith(LOTS) and request.method == "DELETE":
-            return await self._batch.end(host, path.removeprefix(LOTS))
-        if path.startswith(ITEMS) and request.method == "GET":
-            return await self._batch.body(request, host, path.removeprefix(ITEMS))
-        return failure(404)
+        if path.startswith(JOBS_PATH) and request.method == "GET":
+            return await self._batch.read_results(request, host, path.removeprefix(JOBS_PATH))
+        if path.startswith(JOBS_PATH) and request.method == "DELETE":
+            return await self._batch.cancel(host, path.removeprefix(JOBS_PATH))
+        if path.startswith(ITEMS_PATH) and request.method == "GET":
+            return await self._batch.read_item_body(request, host, path.removeprefix(ITEMS_PATH))
+        return empty_response(404)
 
 
-def _head_bytes(request: web.BaseRequest) -> int:
+def _header_bytes(request: web.BaseRequest) -> int:
     return sum(len(name) + len(value) + 4 for name, value in request.raw_headers)
 
 
-def _deadline(request: web.BaseRequest) -> float:
-    text = request.headers.get(DEADLINE, "")
-    return int(text) / 1000 if text.isdigit() and int(text) > 0 else PATIENCE
+def _requested_time_limit(request: web.BaseRequest) -> float:
+    text = request.headers.get(DEADLINE_HEADER, "")
+    return int(text) / 1000 if text.isdigit() and int(text) > 0 else DEFAULT_TIME_LIMIT_S
--- a/heronstall/dataplane/misses.py
+++ b/heronstall/dataplane/misses.py
@@ -22,11 +22,11 @@
 
 log = structlog.get_logger()
 
-TALLY_EVERY = 5.0  # seconds between tallies
-EVENTS_MOST = 200  # misses that are logged between two tallies; the tally counts them all
+TALLY_INTERVAL_S = 5.0  # seconds between tallies
+MAX_LOGGED_MISSES = 200  # misses that are logged between two tallies; the tally counts them all
 OUTPUT_WEIGHT = 10  # prompt tokens that one token of output counts for, in a request's size
-MILLISECONDS = 1000
-ACCEPTED = 202  # status of the answer to a batch job that is kept
+MILLISECONDS_PER_SECOND = 1000
+STATUS_ACCEPTED = 202  # status of the answer to a batch job that is kept
 
 
 class MissReason(Enum):
@@ -47,9 +47,9 @@
 class RequestTimes:
     """Waits of a request at its dispatcher, in seconds."""
 
-    arrived: float  # steady time
+    arrived_at: float  # steady time
     deferred: float  # behind urgent requests
-    held: float  # for a worker with room
+    worker_wait: float  # for a worker with room
 
 
 @dataclass
@@ -71,7 +71,7 @@
 class EndedRequest:
     """What is known of a request when it has ended."""
 
-    request: str
+    request_id: str
     route: Route
     prefix: SharedPrefix
     prompt_tokens: int
@@ -88,10 +88,10 @@
         return self.prompt_tokens + OUTPUT_WEIGHT * self.output_tokens
 
     @property
-    def first_event_after(self) -> float | None:
+    def time_to_first_event(self) -> float | None:
         """Seconds from its arrival to the first event; None where there was none."""
-        heard = [a.first_at for a in self.attempts if a.first_at]
-        return min(heard) - self.times.arrived if heard else None
+        first_events = [a.first_at for a in self.attempts if a.first_at]
+        return min(first_events) - self.times.arrived_at if first_events else None
 
     @property
     def longest_gap(self) -> float:
@@ -113,24 +113,24 @@
     route: str
     outcome: Outcome
     leased_at: float  # steady time
-    due: float  # steady time by which its job is to be whole
-    began_at: float  # steady time at which it left the dispatcher's lane; 0 where it did not
+    due_at: float  # steady time by which its job is to be whole
+    started_at: float  # steady time at which it left the dispatcher's lane; 0 where it did not
     attempts: Sequence[Attempt]
 
     @property
     def late(self) -> bool:
         """Whether it was done too late to be of full worth, or was late when it was leased."""
-        return self.outcome is Outcome.DONE and time.monotonic() > self.due
+        return self.outcome is Outcome.DONE and time.monotonic() > self.due_at
 
 
 def miss_reason(ended: EndedRequest, now: float) -> MissReason | None:
     """Why a request that has just ended missed its objective; None where it did not."""
     if ended.status != 200:
         return _failure_reason(ended, now)
-    first = ended.first_event_after
+    first = ended.time_to_first_event
     if first is None or first > ended.route.target_latency:
         return MissReason.LATE_FIRST_EVENT
-    if ended.longest_gap > ended.route.gap_aim:
+    if ended.longest_gap > ended.route.target_event_gap:
         return MissReason.LONG_GAP
     if sum(attempt.ran for attempt in ended.attempts) > 1:
         return MissReason.RAN_AGAIN
@@ -157,9 +157,9 @@
         self._tallies: dict[str, RouteTally] = {}
         self._logged = 0
 
-    def ended(self, ended: EndedRequest) -> None:
+    def record_request(self, ended: EndedRequest) -> None:
         """A request has ended, in whatever way."""
-        tally = self._counted(ended.route.name, ended.attempts)
+        tally = self._count(ended.route.name, ended.attempts)
         tally.size += ended.size
         tally.planned += ended.planned
         if ended.attempts and ended.attempts[0].home is not None:
@@ -169,42 +169,42 @@
         if reason is None:
             return
         tally.missed_size += ended.size
-        if self._missed(tally):
-            _tell(ended, reason, now)
+        if self._count_miss(tally):
+            _log_request(ended, reason, now)
 
-    def item_ended(self, ended: EndedItem) -> None:
+    def record_item(self, ended: EndedItem) -> None:
         """A batch item's run has ended, in whatever way."""
-        tally = self._counted(ended.route, ended.attempts)
+        tally = self._count(ended.route, ended.attempts)
         missed = ended.late or ended.outcome is Outcome.FAILED
-        if missed and self._missed(tally):
-            _tell_item(ended)
+        if missed and self._count_miss(tally):
+            _log_item(ended)
 
-    def _counted(self, route: str, attempts: Sequence[Attempt]) -> RouteTally:
+    def _count(self, route: str, attempts: Sequence[Attempt]) -> RouteTally:
         """The tally of a route, with one more request or item."""
         tally = self._tallies.setdefault(route, RouteTally())
         tally.requests += 1
         tally.connections += sum(attempt.new_connection for attempt in attempts)
         return tally
 
-    def _missed(self, tally: RouteTally) -> bool:
+    def _count_miss(self, tally: RouteTally) -> bool:
         """Count a miss; whether it is to be logged."""
         tally.missed += 1
         self._logged += 1
-        return self._logged <= EVENTS_MOST
+        return self._logged <= MAX_LOGGED_MISSES
 
-    def job_answered(self, job: str, route: Route, status: int, seconds: float) -> None:
+    def record_job_response(self, job: str, route: Route, status: int, seconds: float) -> None:
         """A submission of a batch job has been answered after so many seconds."""
-        if status == ACCEPTED and seconds <= route.target_latency:
+        if status == STATUS_ACCEPTED and seconds <= route.target_latency:
             return
-        log.info("job missed", job=job, route=route.name, status=status, took_ms=_ms(seconds))
+        log.info("job missed", job=job, route=route.name, status=status, took_ms=_milliseconds(seconds))
 
     async def run(self) -> None:
         """Log the tallies until cancelled."""
         while True:
-            await asyncio.sleep(TALLY_EVERY)
-            self.tell()
+            await asyncio.sleep(TALLY_INTERVAL_S)
+            self.log_tallies()
 
-    def tell(self) -> None:
+    def log_tallies(self) -> None:
         """Log what has ended since the latest tally."""
         for route, tally in self._tallies.items():
             log.info(
@@ -230,30 +230,30 @@
     tally.elsewhere += home > 1
 
 
-def _tell(ended: EndedRequest, reason: MissReason, now: float) -> None:
-    first = ended.first_event_after
+def _log_request(ended: EndedRequest, reason: MissReason, now: float) -> None:
+    first = ended.time_to_first_event
     last = ended.attempts[-1] if ended.attempts else None
-    arrived = ended.times.arrived
+    arrived_at = ended.times.arrived_at
     log.info(
         "request missed",
-        request=ended.request,
+        request=ended.request_id,
         route=ended.route.name,
         reason=reason.value,
         status=ended.status,
         prompt=ended.prompt_tokens,
         output=ended.output_tokens,
         shared=ended.prefix.tokens,
-        age_ms=_ms(now - arrived),
-        deferred_ms=_ms(ended.times.deferred),
-        held_ms=_ms(ended.times.held),
-        sent_ms=_ms(last.sent_at - arrived) if last else None,
-        first_ms=_ms(first) if first is not None else None,
-        gap_ms=_ms(ended.longest_gap),
-        attempts=" ".join(_attempt_text(attempt) for attempt in ended.attempts),
+        age_ms=_milliseconds(now - arrived_at),
+        deferred_ms=_milliseconds(ended.times.deferred),
+        held_ms=_milliseconds(ended.times.worker_wait),
+        sent_ms=_milliseconds(last.sent_at - arrived_at) if last else None,
+        first_ms=_milliseconds(first) if first is not None else None,
+        gap_ms=_milliseconds(ended.longest_gap),
+        attempts=" ".join(_format_attempt(attempt) for attempt in ended.attempts),
     )
 
 
-def _tell_item(ended: EndedItem) -> None:
+def _log_item(ended: EndedItem) -> None:
     now = time.monotonic()
     log.info(
         "item missed",
@@ -261,23 +261,23 @@
         item=ended.item,
         route=ended.route,
         outcome=ended.outcome.name.lower(),
-        slack_ms=_ms(ended.due - ended.leased_at),
-        waited_ms=_ms((ended.began_at or now) - ended.leased_at),
-        ran_ms=_ms(now - ended.began_at) if ended.began_at else None,
-        attempts=" ".join(_attempt_text(attempt) for attempt in ended.attempts),
+        slack_ms=_milliseconds(ended.due_at - ended.leased_at),
+        waited_ms=_milliseconds((ended.started_at or now) - ended.leased_at),
+        ran_ms=_milliseconds(now - ended.started_at) if ended.started_at else None,
+        attempts=" ".join(_format_attempt(attempt) for attempt in ended.attempts),
     )
 
 
-def _attempt_text(attempt: Attempt) -> str:
+def _format_attempt(attempt: Attempt) -> str:
     """One attempt: its worker, how it ended, its load as it was known, home, connection, milliseconds."""
     end = attempt.end.name.lower() if attempt.end is not None else "answered"
     home = "-" if attempt.home is None else str(attempt.home)
     view = attempt.view
     load = f"{view.own}+{view.others:.1f}/{view.capacity}" if view is not None else "?"
     connection = "new" if attempt.new_connection else "kept"
-    first = _ms(attempt.first_at - attempt.sent_at) if attempt.first_at else "-"
+    first = _milliseconds(attempt.first_at - attempt.sent_at) if attempt.first_at else "-"
     return f"{attempt.worker}:{end}:{load}:{home}:{connection}:{first}"
 
 
-def _ms(seconds: float) -> int:
-    return round(seconds * MILLISECONDS)
+def _milliseconds(seconds: float) -> int:
+    return round(seconds * MILLISECONDS_PER_SECOND)
--- a/heronstall/dataplane/node.py
+++ b/heronstall/dataplane/node.py
@@ -11,14 +11,14 @@
 
 from heronstall.config import NodeSettings
 from heronstall.dataplane.admission import Admission
-from heronstall.dataplane.batch_front import BatchFront
+from heronstall.dataplane.batch_front import BatchApi
 from heronstall.dataplane.batch_runner import BatchRunner
 from heronstall.dataplane.deferred import DeferredLane
 from heronstall.dataplane.forwarding import Forwarder
 from heronstall.dataplane.ingress import Ingress
 from heronstall.dataplane.misses import MissLog
 from heronstall.dataplane.placing import PromptPlacer
-from heronstall.dataplane.routing import read_routes
+from heronstall.dataplane.routing import parse_routes
 from heronstall.dataplane.shard_client import ShardClient
 from heronstall.dataplane.subset import Seat
 from heronstall.dataplane.workers import WorkerPool
@@ -32,14 +32,14 @@
 
 log = structlog.get_logger()
 
-LEAVE_AFTER = 2.3  # seconds of not being ready until clients have gone elsewhere
-SWEEP = 1.0  # seconds between looks for connections that rest too long
-LAST_MOMENT = 0.6  # seconds of the grace time that are kept for the end
-GIVEN_UP_WITHIN = 0.3  # seconds of these in which clients are told of what has been given up
-CLOSED_WITHIN = 0.05  # seconds in which connections to workers are closed
+UNREADY_PERIOD_S = 2.3  # seconds of not being ready until clients have gone elsewhere
+IDLE_SWEEP_INTERVAL_S = 1.0  # seconds between looks for connections that rest too long
+SHUTDOWN_RESERVE_S = 0.6  # seconds of the grace time that are kept for the end
+ABANDON_TIMEOUT_S = 0.3  # seconds of these in which clients are told of what has been given up
+CLOSE_TIMEOUT_S = 0.05  # seconds in which connections to workers are closed
 
 
-class EdgeNode:
+class DispatcherNode:
     """One dispatcher."""
 
     def __init__(self, settings: NodeSettings) -> None:
@@ -65,7 +65,7 @@
         bounds = settings.bounds
         self.ingress = Ingress(
             forwarder,
-            BatchFront(shards, self.misses, lambda: self.front.ending),
+            BatchApi(shards, self.misses, lambda: self.front.ending),
             self.deferred,
             rng,
             lambda: time.monotonic() - self.puller.known_at,
@@ -75,7 +75,9 @@
         def seeds() -> list[str]:
             return settings.read_again().seed_addresses
 
-        self.puller = Puller(self.links, self.view, self._session, seeds, self._news, self._answered)
+        self.puller = Puller(
+            self.links, self.view, self._session, seeds, self._apply_changes, self._apply_reply
+        )
         self._tasks: list[asyncio.Task[None]] = []
         self.front = HttpServer(
             self.ingress.handle,
@@ -84,13 +86,13 @@
             lingering_time=1.0,
             handler_cancellation=True,
         )
-        self._readiness = HttpServer(self._ready, lambda: 0)
+        self._readiness = HttpServer(self._handle_readiness, lambda: 0)
 
     async def start(self) -> None:
         """Begin to pull the control state and to listen."""
         runs = (
             self.puller.run(),
-            self.runner.report(),
+            self.runner.send_reports(),
             self.deferred.run(),
             self.pool.watch(),
             self.misses.run(),
@@ -102,42 +104,42 @@
 
     async def stop(self) -> None:
         """Leave without a cut answer: out of the platform's list, then no more connections, then the end."""
-        began = time.monotonic()
-        until = began + self.settings.bounds.grace - LAST_MOMENT
+        started_at = time.monotonic()
+        deadline = started_at + self.settings.bounds.grace - SHUTDOWN_RESERVE_S
         self.front.ending = True
-        self._tell_drain("begun", began)
+        self._log_drain("begun", started_at)
         await self.runner.stop()
-        await asyncio.sleep(LEAVE_AFTER)
-        self._tell_drain("front closes", began)
-        await self.front.finish(until)
-        await self.runner.finish(until)
+        await asyncio.sleep(UNREADY_PERIOD_S)
+        self._log_drain("front closes", started_at)
+        await self.front.finish(deadline)
+        await self.runner.finish(deadline)
         if self.front.connections:
-            self._tell_drain("gives up", began)
-            self.ingress.give_up()
-            await self.front.finish(time.monotonic() + GIVEN_UP_WITHIN)
+            self._log_drain("gives up", started_at)
+            self.ingress.abandon_requests()
+            await self.front.finish(time.monotonic() + ABANDON_TIMEOUT_S)
         self.pool.close()
-        await asyncio.sleep(CLOSED_WITHIN)
-        self.misses.tell()
-        self._tell_drain("ended", began)
+        await asyncio.sleep(CLOSE_TIMEOUT_S)
+        self.misses.log_tallies()
+        self._log_drain("ended", started_at)
         for task in self._tasks:
             task.cancel()
 
-    def _tell_drain(self, step: str, began: float) -> None:
+    def _log_drain(self, step: str, started_at: float) -> None:
         connections = self.front.connections
         log.info(
             "drain",
             step=step,
-            seconds=round(time.monotonic() - began, 3),
+            seconds=round(time.monotonic() - started_at, 3),
             connections=len(connections),
             resting=sum(connection.rests for connection in connections),
-            requests=self.ingress.active,
+            requests=self.ingress.active_count,
         )
 
     async def _sweep(self) -> None:
         """Close connections on which no whole head has come for the configured time."""
         while True:
-            await asyncio.sleep(SWEEP)
-            self.front.close_idle(self.ingress.routes.limits.idle_timeout + SWEEP)
+            await asyncio.sleep(IDLE_SWEEP_INTERVAL_S)
+            self.front.close_idle(self.ingress.routes.limits.idle_timeout + IDLE_SWEEP_INTERVAL_S)
 
     def _session(self) -> Session:
         address = f"{self.settings.ip}:{self.settings.port}"
@@ -149,18 +151,18 @@
             loads=pack(self.pool.loads()),
         )
 
-    def _answered(self) -> None:
+    def _apply_reply(self) -> None:
         self.pool.seat = Seat(self.view.edge_number, self.view.edges)
         self.pool.take_loads(self.view.loads)
 
-    def _news(self, changed: set[str]) -> None:
+    def _apply_changes(self, changed: set[str]) -> None:
         if "config" in changed:
-            self.ingress.routes = read_routes(self.view.document)
+            self.ingress.routes = parse_routes(self.view.document)
             log.info("configuration", revision=self.ingress.routes.revision)
-            self.runner.routes_changed()
+            self.runner.update_pollers()
         if "workers" in changed:
             self.pool.update(self.view.all_workers())
 
-    async def _ready(self, request: web.BaseRequest) -> web.StreamResponse:
+    async def _handle_readiness(self, request: web.BaseRequest) -> web.StreamResponse:
         ready = self.ingress.may_serve and not self.front.ending
         return web.Response(status=200 if ready else 503)
--- a/heronstall/dataplane/routing.py
+++ b/heronstall/dataplane/routing.py
@@ -10,7 +10,7 @@
 
 import ujson
 
-WELL_ABOVE = 2.0  # times the shortest aim
+DEFERRABLE_LATENCY_RATIO = 2.0  # times the shortest aim
 
 
 class RouteType(Enum):
@@ -28,7 +28,7 @@
 
     name: str
     host: str
-    prefix: str
+    path_prefix: str
     type: RouteType
     targets: tuple[tuple[str, float], ...]  # service, weight
     timeout: float
@@ -36,8 +36,8 @@
     priority: int
     max_attempts: int
     resumable: bool
-    gap_aim: float
-    completion: float
+    target_event_gap: float
+    completion_target: float
     retention: float
     max_queued_tokens: int
 
@@ -46,7 +46,7 @@
         """Whether a request may run more than once."""
         return self.type is RouteType.IDEMPOTENT or self.resumable
 
-    def service(self, rng: random.Random) -> str:
+    def draw_service(self, rng: random.Random) -> str:
         """A service, drawn by the route's weights."""
         if len(self.targets) == 1:
             return self.targets[0][0]
@@ -65,7 +65,7 @@
 
 
 @dataclass(frozen=True)
-class Limits:
+class RequestLimits:
     """What a client may send, in bytes and seconds."""
 
     header_bytes: int = 16384
@@ -81,37 +81,37 @@
     revision: int = 0
     by_host: dict[str, list[Route]] = field(default_factory=dict)
     services: dict[str, Service] = field(default_factory=dict)
-    limits: Limits = Limits()
+    limits: RequestLimits = RequestLimits()
 
     def find(self, host: str, path: str) -> Route | None:
         """The route of a host with the longest prefix that begins a path."""
-        for route in self.by_host.get(host_name(host), ()):
-            if path.startswith(route.prefix):
+        for route in self.by_host.get(normalize_host(host), ()):
+            if path.startswith(route.path_prefix):
                 return route
         return None
 
-    def deferrable(self, route: Route) -> bool:
+    def is_deferrable(self, route: Route) -> bool:
         """Whether a live route has a low priority, or an aim well above the shortest."""
         live = [r for routes in self.by_host.values() for r in routes if r.type is not RouteType.BATCH]
         top = min(r.priority for r in live)
         shortest = min(r.target_latency for r in live)
-        return route.priority > top or route.target_latency >= WELL_ABOVE * shortest
+        return route.priority > top or route.target_latency >= DEFERRABLE_LATENCY_RATIO * shortest
 
     def batch_hosts(self) -> set[str]:
         """Hosts that have a route for batch jobs."""
         return {h for h, routes in self.by_host.items() if any(r.type is RouteType.BATCH for r in routes)}
 
 
-def host_name(host: str) -> str:
+def normalize_host(host: str) -> str:
     """A Host header's name without its port, in lower case."""
     name, colon, port = host.rpartition(":")
     return (name if colon and port.isdigit() else host).lower()
 
 
-def read_routes(document: bytes) -> Routes:
+def parse_routes(document: bytes) -> Routes:
     """Routes of a configuration that the control plane has checked."""
     raw = ujson.loads(document)
-    routes = Routes(revision=raw["revision"], limits=_limits(raw.get("limits") or {}))
+    routes = Routes(revision=raw["revision"], limits=_parse_limits(raw.get("limits") or {}))
     for service in raw.get("services", []):
         engine = service.get("engine") or {}
         routes.services[service["name"]] = Service(
@@ -122,14 +122,14 @@
             cache_tokens=int(engine.get("kv_cache_tokens") or 0),
         )
     for entry in raw.get("routes", []):
-        route = _route(entry)
+        route = _parse_route(entry)
         routes.by_host.setdefault(route.host, []).append(route)
     for host_routes in routes.by_host.values():
-        host_routes.sort(key=lambda r: -len(r.prefix))
+        host_routes.sort(key=lambda r: -len(r.path_prefix))
     return routes
 
 
-def _route(raw: Mapping[str, Any]) -> Route:
+def _parse_route(raw: Mapping[str, Any]) -> Route:
     split = tuple((s["service"], float(s["weight"])) for s in raw.get("traffic_split") or ())
     try:
         kind = RouteType(raw.get("route_type") or "non_idempotent")
@@ -137,8 +137,8 @@
         kind = RouteType.NON_IDEMPOTENT
     return Route(
         name=raw["name"],
-        host=host_name(raw["hostname"]),
-        prefix=raw["path_prefix"],
+        host=normalize_host(raw["hostname"]),
+        path_prefix=raw["path_prefix"],
         type=kind,
         targets=split or ((raw["service"], 1.0),),
         timeout=float(raw["timeout_ms"]) / 1000,
@@ -146,18 +146,18 @@
         priority=int(raw.get("priority") or 0),
         max_attempts=max(1, int(raw.get("max_attempts") or 1)),
         resumable=bool(raw.get("resumable")),
-        gap_aim=float(raw.get("gap_aim_ms") or 250) / 1000,
-        completion=float(raw.get("completion_target_ms") or 10_000) / 1000,
+        target_event_gap=float(raw.get("gap_aim_ms") or 250) / 1000,
+        completion_target=float(raw.get("completion_target_ms") or 10_000) / 1000,
         retention=float(raw.get("retention_s") or 60),
         max_queued_tokens=int(raw.get("max_queued_tokens") or 0),
     )
 
 
-def _limits(raw: Mapping[str, Any]) -> Limits:
-    plain = Limits()
-    return Limits(
-        header_bytes=int(raw.get("max_header_bytes") or plain.header_bytes),
-        body_bytes=int(raw.get("max_body_bytes") or plain.body_bytes),
+def _parse_limits(raw: Mapping[str, Any]) -> RequestLimits:
+    defaults = RequestLimits()
+    return RequestLimits(
+        header_bytes=int(raw.get("max_header_bytes") or defaults.header_bytes),
+        body_bytes=int(raw.get("max_body_bytes") or defaults.body_bytes),
         header_timeout=float(raw.get("header_timeout_ms") or 3000) / 1000,
         idle_timeout=float(raw.get("idle_timeout_ms") or 15_000) / 1000,
     )
--- a/tests/tier/lease_model.py
+++ b/tests/tier/lease_model.py
@@ -20,7 +20,7 @@
 from heronstall.batch.leases import FAILED_PAUSE_MOST, SETTLE, Leases
 from heronstall.batch.outcomes import Outcome
 from heronstall.controlplane.store import OwnedShard, Store
-from heronstall.dataplane.batch_runner import BatchRunner, Running
+from heronstall.dataplane.batch_runner import BatchRunner, RunningItem
 from heronstall.transport.messages import BatchItem, BatchJob, ItemReport, LeasedItem, LeaseRequest
 
 SHARD, JOB, EDGE = "batch-0", "job", "edge"
@@ -182,7 +182,7 @@
     runner.holder, runner._calls = EDGE, edge.calls
     for item, lease in edge.running:
         leased = LeasedItem(job=JOB, lease=lease)
-        runner._running[JOB, item] = Running(leased, BatchItem(id=item), SHARD)
+        runner._running[JOB, item] = RunningItem(leased, BatchItem(id=item), SHARD)
     runner._reports[SHARD] = [ItemReport(JOB, i, o, b"", n) for i, o, n in edge.unsent]
     runner._sent_reports[SHARD] = [ItemReport(JOB, i, o, b"", n) for i, o, n in edge.sent]
     return bytes(runner._lease_request(SHARD, WANT))
--- a/tests/tier/store_simulation.py
+++ b/tests/tier/store_simulation.py
@@ -309,7 +309,7 @@
     async def submit(self, job: BatchJob, shard: str) -> Status:
         """One try of a submission, as the batch API makes it."""
         call = SubmitRequest(job, QUOTA, shard)
-        reply = await self.shards.call(shard, Kind.SUBMIT, bytes(call), SUBMIT_WITHIN, hold=0.8)
+        reply = await self.shards.call(shard, Kind.SUBMIT, bytes(call), SUBMIT_WITHIN, owner_wait=0.8)
         return reply.status
 
     async def read(self, job: str, shard: str, start: int) -> None:
@@ -355,7 +355,7 @@
             reported=[ItemName(report.job, report.item) for report in self._done],
         )
         reply = await self._dispatcher.shards.call(
-            self._shard, Kind.LEASE, bytes(request), LEASE_WITHIN, hold=HELD, least=HELD
+            self._shard, Kind.LEASE, bytes(request), LEASE_WITHIN, owner_wait=HELD, min_remaining=HELD
         )
         if reply.status != Status.OK:
             return
--- a/tests/tier/test_attempt_ends.py
+++ b/tests/tier/test_attempt_ends.py
@@ -16,8 +16,8 @@
 from heronstall.batch.outcomes import Outcome
 from heronstall.dataplane.admission import Admission
 from heronstall.dataplane.attempt_ends import RULES, AttemptEnd, EndRule, Refusal, another_may_follow
-from heronstall.dataplane.batch_runner import BatchRunner, Running
-from heronstall.dataplane.forwarding import REQUEST_ID, Forwarder, Passage
+from heronstall.dataplane.batch_runner import BatchRunner, RunningItem
+from heronstall.dataplane.forwarding import REQUEST_ID_HEADER, Forwarder, RequestContext
 from heronstall.dataplane.routing import Route, RouteType
 from heronstall.dataplane.workers import WorkerPool, WorkerState
 from heronstall.transport.messages import BatchItem, LeasedItem, Worker
@@ -35,7 +35,7 @@
 
 def answer(status: int, headers: str = "", name: str | None = ID, body: bytes = b"x") -> bytes:
     """The bytes of a worker's answer."""
-    id_header = f"{REQUEST_ID}: {name}\r\n" if name else ""
+    id_header = f"{REQUEST_ID_HEADER}: {name}\r\n" if name else ""
     head = f"HTTP/1.1 {status} S\r\n{id_header}{headers}Content-Length: {len(body)}\r\n\r\n"
     return head.encode() + body
 
@@ -146,7 +146,7 @@
     Row(
         AttemptEnd.NO_LENGTH,
         "no length",
-        Behaviour(f"HTTP/1.1 200 OK\r\n{REQUEST_ID}: {ID}\r\n{SIGNED}\r\nall".encode()),
+        Behaviour(f"HTTP/1.1 200 OK\r\n{REQUEST_ID_HEADER}: {ID}\r\n{SIGNED}\r\nall".encode()),
         502,
     ),
     Row(AttemptEnd.CUT_SHORT, "closed within the answer", Behaviour(CUT), 502),
@@ -192,19 +192,21 @@
     def pick(self, service: str, prefix: object, tried: set[str]) -> WorkerState | None:
         return next((w for name, w in sorted(self.pool.by_id.items()) if name not in tried), None)
 
-    def passage(self, kind: RouteType, deadline: float = DEADLINE, attempts: int = 2) -> Passage:
+    def context(self, kind: RouteType, deadline: float = DEADLINE, attempts: int = 2) -> RequestContext:
         resumable = kind is RouteType.STREAMING
         route = Route(
             "r", "h", "/", kind, (("lm", 1.0),), 5.0, 0.5, 1, attempts, resumable, 0.25, 8.0, 60.0, 0
         )
-        request = mock.Mock(method="POST", raw_path="/p", headers=CIMultiDict({REQUEST_ID: ID, "Host": "h"}))
+        request = mock.Mock(
+            method="POST", raw_path="/p", headers=CIMultiDict({REQUEST_ID_HEADER: ID, "Host": "h"})
+        )
         now = time.monotonic()
-        return Passage(request, route, "lm", BODY, now + deadline, now)
+        return RequestContext(request, route, "lm", BODY, now + deadline, now)
 
-    async def carried(self, passage: Passage) -> int:
+    async def carried(self, context: RequestContext) -> int:
         """The status that the client gets."""
-        with mock.patch("heronstall.dataplane.forwarding.PassedResponse", Written):
-            return (await Forwarder(self.pool, self.admission).carry(passage)).status
+        with mock.patch("heronstall.dataplane.forwarding.ForwardedResponse", Written):
+            return (await Forwarder(self.pool, self.admission).forward(context)).status
 
 
 class Written(web.StreamResponse):
@@ -228,7 +230,7 @@
     async def row_status(self, row: Row, kind: RouteType) -> tuple[int, int]:
         """The client's status, and the requests that reached the second worker."""
         _, second = await self.workers(row.behaviour, Behaviour(GOOD, stay=True))
-        status = await self.carried(self.passage(kind, row.deadline))
+        status = await self.carried(self.context(kind, row.deadline))
         return status, second.requests
 
     async def test_on_a_route_without_repeats_another_attempt_follows_a_proof_alone(self) -> None:
@@ -249,12 +251,12 @@
     async def test_each_row_ends_as_it_says(self) -> None:
         for row in ROWS:
             await self.workers(row.behaviour, Behaviour(GOOD, stay=True))
-            passage = self.passage(RouteType.STREAMING if row.resumed else RouteType.IDEMPOTENT, row.deadline)
+            context = self.context(RouteType.STREAMING if row.resumed else RouteType.IDEMPOTENT, row.deadline)
             if row.resumed:
-                passage.response, passage.last_event = mock.Mock(), 1
+                context.response, context.last_event = mock.Mock(), 1
             with self.subTest(row.name):
                 forwarder = Forwarder(self.pool, self.admission)
-                self.assertIs(await forwarder._attempt(passage, self.pool.by_id["w1"]), row.end)
+                self.assertIs(await forwarder._attempt(context, self.pool.by_id["w1"]), row.end)
 
     def test_every_end_has_a_row_and_a_rule(self) -> None:
         self.assertEqual({row.end for row in ROWS}, set(AttemptEnd))
@@ -262,7 +264,7 @@
 
     async def test_a_cancelled_request_is_not_sent_again(self) -> None:
         first, second = await self.workers(Behaviour(stay=True), Behaviour(GOOD, stay=True))
-        task = asyncio.create_task(self.carried(self.passage(RouteType.IDEMPOTENT)))
+        task = asyncio.create_task(self.carried(self.context(RouteType.IDEMPOTENT)))
         async with asyncio.timeout(DEADLINE):
             while not first.requests:
                 await asyncio.sleep(0)
@@ -277,10 +279,10 @@
         for cut in (whole[:-1], whole[: -len(WHOLE_EVENTS)], whole[:-20]):
             _, second = await self.workers(Behaviour(cut), Behaviour(whole, stay=True))
             with self.subTest(len(cut)):
-                passage = self.passage(RouteType.STREAMING)
-                self.assertEqual(await self.carried(passage), 200)
-                assert isinstance(passage.response, Written)
-                self.assertEqual((passage.response.data, second.requests), (WHOLE_EVENTS, 1))
+                context = self.context(RouteType.STREAMING)
+                self.assertEqual(await self.carried(context), 200)
+                assert isinstance(context.response, Written)
+                self.assertEqual((context.response.data, second.requests), (WHOLE_EVENTS, 1))
 
     def test_runs_are_bounded_by_the_route(self) -> None:
         for end, rule in RULES.items():
@@ -300,7 +302,7 @@
         with mock.patch.dict(RULES, {end: EndRule(not_run=True, worker_failed=True)}):
             for row in (r for r in ROWS if r.end is end):
                 _, second = await self.workers(row.behaviour, Behaviour(GOOD, stay=True))
-                await self.carried(self.passage(RouteType.NON_IDEMPOTENT, row.deadline))
+                await self.carried(self.context(RouteType.NON_IDEMPOTENT, row.deadline))
                 self.assertEqual(second.requests, 1, row.name)
 
     async def test_belief_in_anothers_answer_is_found(self) -> None:
@@ -322,10 +324,10 @@
         self.worker = self.pool.by_id["w1"]
 
     async def send(self, name: str) -> web.StreamResponse | AttemptEnd:
-        passage = self.passage(RouteType.NON_IDEMPOTENT)
-        passage.request.headers[REQUEST_ID] = name  # type: ignore[index]
-        with mock.patch("heronstall.dataplane.forwarding.PassedResponse", Written):
-            return await Forwarder(self.pool, self.admission)._attempt(passage, self.worker)
+        context = self.context(RouteType.NON_IDEMPOTENT)
+        context.request.headers[REQUEST_ID_HEADER] = name  # type: ignore[index]
+        with mock.patch("heronstall.dataplane.forwarding.ForwardedResponse", Written):
+            return await Forwarder(self.pool, self.admission)._attempt(context, self.worker)
 
     async def test_one_that_comes_at_once_spoils_the_connection(self) -> None:
         self.first.behave = lambda _: Behaviour(GOOD + answer(503, PROOF), stay=True)
@@ -360,7 +362,7 @@
     async def outcome(self, reply: bytes) -> Outcome | None:
         await self.workers(Behaviour(reply), Behaviour())
         runner = BatchRunner("edge", mock.Mock(), self.admission, mock.Mock(), mock.Mock())
-        item = Running(LeasedItem(job="j", host="h"), BatchItem(id=ID, path="/p", body=BODY), "batch-0")
+        item = RunningItem(LeasedItem(job="j", host="h"), BatchItem(id=ID, path="/p", body=BODY), "batch-0")
         return await runner._attempt(item, self.pool.by_id["w1"])
 
     async def test_anothers_answer_says_nothing_of_an_item(self) -> None:
--- a/tests/tier/test_batch_front.py
+++ b/tests/tier/test_batch_front.py
@@ -7,7 +7,7 @@
 
 from aiohttp.test_utils import make_mocked_request
 
-from heronstall.dataplane.batch_front import WAIT_MOST, BatchFront
+from heronstall.dataplane.batch_front import MAX_WAIT_S, BatchApi
 from heronstall.transport.frames import Kind, Status
 from heronstall.transport.links import Reply
 from heronstall.transport.messages import ReadReply, ReadRequest
@@ -24,24 +24,24 @@
         self.holds: list[float] = []
         shards = mock.Mock()
 
-        async def call(shard: str, kind: Kind, body: bytes, within: float, hold: float) -> Reply:
+        async def call(shard: str, kind: Kind, body: bytes, timeout: float, owner_wait: float) -> Reply:
             self.asked.append(ReadRequest().parse(body))
-            self.holds.append(hold)
+            self.holds.append(owner_wait)
             return Reply(Status.OK, bytes(ReadReply(total=1)))
 
         shards.call = call
-        self.front = BatchFront(shards, ending=lambda: self.ending)
+        self.front = BatchApi(shards, is_stopping=lambda: self.ending)
 
     async def read(self, wait_ms: int) -> None:
         request = make_mocked_request("GET", "/-/lots/job", headers={"Heronstall-Wait-Ms": str(wait_ms)})
-        response = await self.front.read(request, HOST, "job")
+        response = await self.front.read_results(request, HOST, "job")
         self.assertEqual(response.status, 200)
 
     async def test_a_reader_may_wait_for_results(self) -> None:
         await self.read(1000)
         await self.read(60_000)
-        self.assertEqual([asked.wait_ms for asked in self.asked], [1000, int(WAIT_MOST * 1000)])
-        self.assertEqual(self.holds, [1.0, WAIT_MOST])
+        self.assertEqual([asked.wait_ms for asked in self.asked], [1000, int(MAX_WAIT_S * 1000)])
+        self.assertEqual(self.holds, [1.0, MAX_WAIT_S])
 
     async def test_a_reader_that_comes_while_the_process_ends_does_not_wait(self) -> None:
         self.ending = True
--- a/tests/tier/test_dataplane.py
+++ b/tests/tier/test_dataplane.py
@@ -18,13 +18,13 @@
 from heronstall.dataplane import attempts as silence
 from heronstall.dataplane.admission import Admission
 from heronstall.dataplane.attempts import Attempts
-from heronstall.dataplane.batch_front import Malformed, read_items
-from heronstall.dataplane.batch_runner import BatchRunner, Running
+from heronstall.dataplane.batch_front import InvalidSubmission, parse_items
+from heronstall.dataplane.batch_runner import BatchRunner, RunningItem
 from heronstall.dataplane.deferred import DeferredLane
 from heronstall.dataplane.events import EventReader
-from heronstall.dataplane.forwarding import USAGE, Passage
+from heronstall.dataplane.forwarding import TOKEN_USAGE_HEADER, RequestContext
 from heronstall.dataplane.prefixes import NOTHING, shared_prefix
-from heronstall.dataplane.routing import Routes, RouteType, read_routes
+from heronstall.dataplane.routing import Routes, RouteType, parse_routes
 from heronstall.dataplane.subset import IDLE, LEAST, Seat, preferred, ring
 from heronstall.dataplane.workers import UnsendablePath, WorkerPool, WorkerState
 from heronstall.placement.reading import affinity
@@ -56,7 +56,7 @@
     ]
     common: dict[str, object] = {"timeout_ms": 1000, "service": "s", "target_latency_ms": 200}
     document = {"revision": 3, "routes": [{**common, **e} for e in entries], "services": [{"name": "s"}]}
-    return read_routes(ujson.dumps(document).encode())
+    return parse_routes(ujson.dumps(document).encode())
 
 
 class Routing(unittest.TestCase):
@@ -83,8 +83,8 @@
     def test_an_aim_well_above_the_shortest_is_deferrable(self) -> None:
         found = routes()
         by_name = {r.name: r for r in found.by_host["h.example"]}
-        self.assertFalse(found.deferrable(by_name["a"]))
-        self.assertTrue(found.deferrable(by_name["slow"]))
+        self.assertFalse(found.is_deferrable(by_name["a"]))
+        self.assertTrue(found.is_deferrable(by_name["slow"]))
         self.assertEqual(found.batch_hosts(), {"h.example"})
 
 
@@ -486,8 +486,8 @@
             ("9" * 5000, 0),
         ):
             with self.subTest(told[:8]):
-                request = mock.Mock(headers={USAGE: told})
-                self.assertEqual(Passage(request, route, "s", b"", 1.0, 0.0).prompt_tokens, tokens)
+                request = mock.Mock(headers={TOKEN_USAGE_HEADER: told})
+                self.assertEqual(RequestContext(request, route, "s", b"", 1.0, 0.0).prompt_tokens, tokens)
 
 
 class Paths(unittest.IsolatedAsyncioTestCase):
@@ -510,10 +510,12 @@
         runner._poll = mock.AsyncMock()  # type: ignore[method-assign]
         for configuration in configurations:
             current.return_value = configuration
-            runner.routes_changed()
+            runner.update_pollers()
         leased = LeasedItem(job="j", host="h.example", route="lots")
-        with mock.patch("heronstall.dataplane.batch_runner.UNKNOWN_ROUTE", 0):
-            return await runner._attempts(Running(leased, BatchItem(id="i", path="/lots/1"), "batch-0"))
+        with mock.patch("heronstall.dataplane.batch_runner.UNKNOWN_ROUTE_DELAY_S", 0):
+            return await runner._run_attempts(
+                RunningItem(leased, BatchItem(id="i", path="/lots/1"), "batch-0")
+            )
 
     async def test_an_item_of_a_route_that_is_gone_is_dead(self) -> None:
         self.assertEqual(await self.outcome([routes(), Routes(revision=4)]), Outcome.ROUTE_GONE)
@@ -531,7 +533,7 @@
 
     def hold(self, name: str, lease: int) -> None:
         leased = LeasedItem(job="j", lease=lease)
-        self.runner._running["j", name] = Running(leased, BatchItem(id=name), "batch-0")
+        self.runner._running["j", name] = RunningItem(leased, BatchItem(id=name), "batch-0")
 
     def test_what_runs_is_held_and_calls_are_numbered(self) -> None:
         self.hold("i", 7)
@@ -550,7 +552,7 @@
 
         self.shards.call = call
         self.runner._reports["batch-0"] = [ItemReport("j", "i", Outcome.FAILED, b"", 7)]
-        with mock.patch("heronstall.dataplane.batch_runner.REPORT_PAUSE", 0):
+        with mock.patch("heronstall.dataplane.batch_runner.REPORT_RETRY_DELAY_S", 0):
             await self.runner._send_reports("batch-0")
             self.assertEqual([r.item for r in self.runner._lease_request("batch-0", 0).reported], ["i"])
             await self.runner._send_reports("batch-0")
@@ -572,7 +574,7 @@
                     await self.runner.stop()
                 for _ in range(5):
                     await asyncio.sleep(0)
-                self.assertEqual(self.runner.running, 0)
+                self.assertEqual(self.runner.running_count, 0)
                 reports = self.runner._lease_request("batch-0", 0).reported
                 self.assertEqual([(r.item, r.lease) for r in reports], [("i", 9)])
 
@@ -586,19 +588,19 @@
 
         self.shards.call = call
         self.runner._reports["batch-0"] = [ItemReport("j", "i", Outcome.DONE, b"", 7)]
-        self.runner._report_news.set()
-        reporting = asyncio.create_task(self.runner.report())
+        self.runner._reports_added.set()
+        reporting = asyncio.create_task(self.runner.send_reports())
         await self.runner.finish(time.monotonic() + 5)
         reporting.cancel()
         return time.monotonic() - began
 
     async def test_the_end_waits_for_the_last_reports_for_a_while(self) -> None:
         self.assertGreaterEqual(await self.finished(0.3), 0.3)
-        self.assertFalse(self.runner.unreported)
+        self.assertFalse(self.runner.has_unreported_items)
         self.setUp()
-        with mock.patch("heronstall.dataplane.batch_runner.REPORTED_WITHIN", 0.3):
+        with mock.patch("heronstall.dataplane.batch_runner.FINAL_REPORT_TIMEOUT_S", 0.3):
             self.assertLess(await self.finished(60.0), 2.0)
-        self.assertTrue(self.runner.unreported)
+        self.assertTrue(self.runner.has_unreported_items)
 
     async def polled(self, free_while: str) -> list[int]:
         """What is asked for; a place becomes free at a moment, and the owner holds calls for nothing."""
@@ -610,17 +612,17 @@
                 self.runner.stopping = True
                 return Reply(Status.OK, bytes(LeaseReply()))
             if free_while == "held":
-                self.runner._free_place()
+                self.runner._announce_free_slot()
             await asyncio.sleep(600)
             raise AssertionError("a call for nothing was waited for")
 
         def want(_shard: str) -> int:
             if not asked and free_while == "counting":
-                self.runner._free_place()
+                self.runner._announce_free_slot()
             return 2 if asked else 0
 
         self.shards.call = call
-        with mock.patch.object(self.runner, "_want", side_effect=want):
+        with mock.patch.object(self.runner, "_wanted_count", side_effect=want):
             async with asyncio.timeout(30):
                 await self.runner._poll("batch-0")
         return asked
@@ -633,8 +635,8 @@
 
     async def test_the_end_of_a_run_frees_its_place(self) -> None:
         self.hold("i", 7)
-        freed = self.runner._place_free
-        with mock.patch.object(self.runner, "_wait", side_effect=asyncio.CancelledError):
+        freed = self.runner._slot_freed
+        with mock.patch.object(self.runner, "_wait_for_start", side_effect=asyncio.CancelledError):
             await self.runner._run(("j", "i"), self.runner._running["j", "i"])
         self.assertTrue(freed.is_set())
 
@@ -649,8 +651,8 @@
             return Reply(statuses[len(asked) - 1], bytes(LeaseReply()))
 
         self.shards.call = call
-        no_pause = mock.patch("heronstall.dataplane.batch_runner.POLL_PAUSE", 0)
-        with no_pause, mock.patch.object(self.runner, "_want", return_value=48):
+        no_pause = mock.patch("heronstall.dataplane.batch_runner.POLL_RETRY_DELAY_S", 0)
+        with no_pause, mock.patch.object(self.runner, "_wanted_count", return_value=48):
             await self.runner._poll("batch-0")
         self.assertEqual(asked, [48, 32, 16, 8, 16])
 
@@ -663,7 +665,7 @@
 class Submissions(unittest.TestCase):
     def test_items_are_read(self) -> None:
         entry = {"id": "i", "path": "/p", "headers": {"A": "b"}, "body": "q83vEg==", "tokens": 9}
-        items = read_items(ujson.dumps({"requests": [entry]}).encode())
+        items = parse_items(ujson.dumps({"requests": [entry]}).encode())
         self.assertEqual(
             (items[0].body, items[0].tokens, items[0].headers[0].value), (b"\xab\xcd\xef\x12", 9, "b")
         )
@@ -683,8 +685,8 @@
             ({"requests": [{**entry, "path": "p"}]}, "requests[0].path"),
             ({"requests": [{**entry, "path": "/p#q"}]}, "requests[0].path"),
         ):
-            with self.subTest(named=named), self.assertRaises(Malformed) as caught:
-                read_items((wrong if isinstance(wrong, str) else ujson.dumps(wrong)).encode())
+            with self.subTest(named=named), self.assertRaises(InvalidSubmission) as caught:
+                parse_items((wrong if isinstance(wrong, str) else ujson.dumps(wrong)).encode())
             self.assertIn(named, str(caught.exception))
 
 
--- a/tests/tier/test_drain.py
+++ b/tests/tier/test_drain.py
@@ -27,9 +27,9 @@
 from aiohttp import web
 
 from heronstall.config import node_settings
-from heronstall.dataplane.forwarding import REQUEST_ID
-from heronstall.dataplane.node import EdgeNode
-from heronstall.dataplane.routing import Routes, read_routes
+from heronstall.dataplane.forwarding import REQUEST_ID_HEADER
+from heronstall.dataplane.node import DispatcherNode
+from heronstall.dataplane.routing import Routes, parse_routes
 from heronstall.lab.tier.client import HOST, SERVICE, STREAM, configuration, until
 from heronstall.lab.tier.plan import CONTROL, FRONT, Plan
 from heronstall.lab.tier.processes import Processes
@@ -115,10 +115,10 @@
     """Routes on which a request may run again, without streams."""
     document = configuration(2)
     document["routes"][0].update({"route_type": "idempotent", **changes})
-    return read_routes(ujson.dumps(document).encode())
+    return parse_routes(ujson.dumps(document).encode())
 
 
-Scene = Callable[[EdgeNode, Caller, int], Awaitable[None]]
+Scene = Callable[[DispatcherNode, Caller, int], Awaitable[None]]
 
 
 class Dispatcher:
@@ -127,8 +127,10 @@
     def __init__(self, plan: Plan, bounds: dict[str, float] | None = None) -> None:
         self.worker = Worker(plan.workers[0], "i-1", BETWEEN_EVENTS)
         self.front = f"{plan.edges[0]}:{FRONT}"
-        self.node = EdgeNode(node_settings(str(plan.write_settings(plan.edges[0], False, bounds or {}))))
-        self.node.ingress.routes = read_routes(ujson.dumps(configuration(2)).encode())
+        self.node = DispatcherNode(
+            node_settings(str(plan.write_settings(plan.edges[0], False, bounds or {})))
+        )
+        self.node.ingress.routes = parse_routes(ujson.dumps(configuration(2)).encode())
         self.node.puller.known_at = time.monotonic()
         entry = Entry(id="i-1", service=SERVICE, address=self.worker.address, state="ready", capacity=8)
         self.node.pool.update({"i-1": entry})
@@ -153,7 +155,7 @@
 
 def is_in_hand(dispatcher: Dispatcher, _: Caller) -> bool:
     """Whether the dispatcher has the request."""
-    return dispatcher.node.ingress.active == 1
+    return dispatcher.node.ingress.active_count == 1
 
 
 async def turns(count: int) -> None:
@@ -183,7 +185,7 @@
 
         What was passed on is whole; what was not, unless an answer is `owed`, has its connection closed.
         """
-        with mock.patch("heronstall.dataplane.node.LEAVE_AFTER", 0.0):
+        with mock.patch("heronstall.dataplane.node.UNREADY_PERIOD_S", 0.0):
             played = await asyncio.gather(*(self.played(count, scene) for count in counts))
         return [
             f"{name} after {count} turns: {fault}"
@@ -193,13 +195,13 @@
         ]
 
     async def test_a_request_that_is_read_as_the_front_closes_is_answered(self) -> None:
-        async def kept(node: EdgeNode, caller: Caller, count: int) -> None:
+        async def kept(node: DispatcherNode, caller: Caller, count: int) -> None:
             await turns(8)  # the connection is up and rests
             caller.send(request("r1"))
             await turns(count)
             await node.stop()
 
-        async def new(node: EdgeNode, caller: Caller, count: int) -> None:
+        async def new(node: DispatcherNode, caller: Caller, count: int) -> None:
             caller.send(request("r1"))
             await turns(count)
             await node.stop()
@@ -207,7 +209,7 @@
         self.assertEqual([await self.each(kept, ["r1"]), await self.each(new, ["r1"])], [[], []])
 
     async def test_a_request_that_lies_unread_in_its_socket_is_answered(self) -> None:
-        async def scene(node: EdgeNode, caller: Caller, count: int) -> None:
+        async def scene(node: DispatcherNode, caller: Caller, count: int) -> None:
             await turns(8)
             (connection,) = node.front.connections
             self.assertTrue(connection.rests)
@@ -221,7 +223,7 @@
         whole = request("r1")
 
         def cut_at(length: int) -> Scene:
-            async def scene(node: EdgeNode, caller: Caller, count: int) -> None:
+            async def scene(node: DispatcherNode, caller: Caller, count: int) -> None:
                 await turns(8)
                 caller.send(whole[:length])
                 await turns(count)
@@ -239,7 +241,7 @@
         self.assertEqual(faults, [])
 
     async def test_a_head_that_stays_a_part_holds_the_end_up_for_a_while_only(self) -> None:
-        async def scene(node: EdgeNode, caller: Caller, count: int) -> None:
+        async def scene(node: DispatcherNode, caller: Caller, count: int) -> None:
             caller.send(request("r1")[:30])
             await asyncio.sleep(LATER)
             began = time.monotonic()
@@ -250,7 +252,7 @@
             self.assertEqual(await self.each(scene, ["r1"], [0]), [])
 
     async def test_requests_sent_behind_another_one_are_answered(self) -> None:
-        async def scene(node: EdgeNode, caller: Caller, count: int) -> None:
+        async def scene(node: DispatcherNode, caller: Caller, count: int) -> None:
             await turns(8)
             caller.send(request("r1") + request("r2"))
             await turns(count)
@@ -259,7 +261,7 @@
         self.assertEqual(await self.each(scene, ["r1", "r2"], range(1, 8)), [])
 
     async def test_a_connection_of_a_stream_that_began_before_ends_with_it(self) -> None:
-        async def scene(node: EdgeNode, caller: Caller, count: int) -> None:
+        async def scene(node: DispatcherNode, caller: Caller, count: int) -> None:
             caller.send(request("r1"))
             await asyncio.sleep(1.5 * BETWEEN_EVENTS)
             began = time.monotonic()
@@ -269,7 +271,7 @@
         self.assertEqual(await self.each(scene, ["r1"], [0]), [])
 
     async def test_the_next_request_on_such_a_connection_is_answered(self) -> None:
-        async def scene(node: EdgeNode, caller: Caller, count: int) -> None:
+        async def scene(node: DispatcherNode, caller: Caller, count: int) -> None:
             caller.send(request("r1"))
             await asyncio.sleep(1.5 * BETWEEN_EVENTS)
             ending = asyncio.create_task(node.stop())
@@ -284,9 +286,11 @@
 
     async def test_an_answer_that_waits_for_a_slow_reader_is_sent(self) -> None:
         async def large(request: web.BaseRequest) -> web.StreamResponse:
-            return web.Response(body=bytes(LARGE), headers={REQUEST_ID: request.headers[REQUEST_ID]})
+            return web.Response(
+                body=bytes(LARGE), headers={REQUEST_ID_HEADER: request.headers[REQUEST_ID_HEADER]}
+            )
 
-        async def scene(node: EdgeNode, caller: Caller, count: int) -> None:
+        async def scene(node: DispatcherNode, caller: Caller, count: int) -> None:
             node.ingress.routes = plain_routes()
             caller.send(request("r1"))
             await asyncio.sleep(0.1)
@@ -301,7 +305,7 @@
 
         with (
             mock.patch.object(Worker, "_answer", staticmethod(large)),
-            mock.patch("heronstall.dataplane.node.LEAVE_AFTER", 0.0),
+            mock.patch("heronstall.dataplane.node.UNREADY_PERIOD_S", 0.0),
         ):
             await self.played(0, scene)
 
@@ -324,7 +328,7 @@
                 dispatcher.node.pool.update({})
             else:
                 self.enterContext(mock.patch.object(Worker, "_answer", staticmethod(behave)))
-            self.enterContext(mock.patch("heronstall.dataplane.node.LEAVE_AFTER", 0.0))
+            self.enterContext(mock.patch("heronstall.dataplane.node.UNREADY_PERIOD_S", 0.0))
             await dispatcher.start()
             caller = Caller(dispatcher.front)
             caller.send(request("r1"))
@@ -363,7 +367,9 @@
         """Found on reading the change again: the last answer's head came within the body of the first."""
 
         async def large(request: web.BaseRequest) -> web.StreamResponse:
-            return web.Response(body=bytes(LARGE), headers={REQUEST_ID: request.headers[REQUEST_ID]})
+            return web.Response(
+                body=bytes(LARGE), headers={REQUEST_ID_HEADER: request.headers[REQUEST_ID_HEADER]}
+            )
 
         # A slow machine may take long to read so much: that is no reason here to ask another worker.
         self.enterContext(mock.patch("heronstall.dataplane.forwarding.REQUEST_SILENT", LATE_MACHINE))
@@ -374,7 +380,7 @@
 
     async def test_a_stream_under_way_does_not_look_whole(self) -> None:
         async def endless(request: web.BaseRequest) -> web.StreamResponse:
-            response = web.StreamResponse(headers={REQUEST_ID: request.headers[REQUEST_ID]})
+            response = web.StreamResponse(headers={REQUEST_ID_HEADER: request.headers[REQUEST_ID_HEADER]})
             await response.prepare(request)
             await response.write(b"id: 1\ndata: a\n\n")
             await self.worker_may_end.wait()
--- a/tests/tier/test_framing.py
+++ b/tests/tier/test_framing.py
@@ -13,8 +13,8 @@
 
 from heronstall.batch.outcomes import Outcome
 from heronstall.dataplane.admission import Admission
-from heronstall.dataplane.batch_runner import BatchRunner, Running
-from heronstall.dataplane.forwarding import REQUEST_ID, Forwarder, Passage
+from heronstall.dataplane.batch_runner import BatchRunner, RunningItem
+from heronstall.dataplane.forwarding import REQUEST_ID_HEADER, Forwarder, RequestContext
 from heronstall.dataplane.framing import is_framed
 from heronstall.dataplane.routing import Route, RouteType
 from heronstall.dataplane.workers import WorkerPool
@@ -72,22 +72,24 @@
         for kind in (RouteType.IDEMPOTENT, RouteType.STREAMING, RouteType.NON_IDEMPOTENT):
             with self.subTest(kind):
                 self.worker.avoid_until = 0.0
-                answer = await Forwarder(self.pool, self.admission).carry(self.passage(kind))
+                answer = await Forwarder(self.pool, self.admission).forward(self.context(kind))
                 self.assertEqual((answer.status, answer.prepared), (502, False))
 
-    def passage(self, kind: RouteType) -> Passage:
+    def context(self, kind: RouteType) -> RequestContext:
         """A request of a route of this kind."""
         route = Route("r", "h", "/", kind, (("lm", 1.0),), 5.0, 0.5, 1, 2, False, 0.25, 8.0, 60.0, 0)
-        request = mock.Mock(method="POST", raw_path="/p", headers=CIMultiDict({REQUEST_ID: "r", "Host": "h"}))
+        request = mock.Mock(
+            method="POST", raw_path="/p", headers=CIMultiDict({REQUEST_ID_HEADER: "r", "Host": "h"})
+        )
         now = time.monotonic()
-        return Passage(request, route, "lm", b"", now + 5, now)
+        return RequestContext(request, route, "lm", b"", now + 5, now)
 
     async def test_an_item_is_done_by_a_whole_answer_alone(self) -> None:
         for name, answer in {"whole": WHOLE, "whole in chunks": CHUNKED, **CUT}.items():
             self.answer = answer
             with self.subTest(name):
                 runner = BatchRunner("edge", mock.Mock(), self.admission, mock.Mock(), mock.Mock())
-                item = Running(LeasedItem(job="j", host="h"), BatchItem(id="r", path="/p"), "batch-0")
+                item = RunningItem(LeasedItem(job="j", host="h"), BatchItem(id="r", path="/p"), "batch-0")
                 outcome = await runner._attempt(item, self.worker)
                 self.assertEqual(outcome, Outcome.DONE if name.startswith("whole") else None)
 
--- a/tests/tier/test_known_configuration.py
+++ b/tests/tier/test_known_configuration.py
@@ -8,7 +8,7 @@
 import unittest
 from unittest import mock
 
-from heronstall.dataplane.ingress import START_HOLD, Ingress
+from heronstall.dataplane.ingress import CONFIGURATION_WAIT_S, Ingress
 from heronstall.dataplane.routing import Routes
 from heronstall.distribution.freshness import KnowledgeLimits
 from tests.tier.test_dataplane import routes
@@ -20,7 +20,7 @@
     def setUp(self) -> None:
         self.age = 0.0
         forwarder = mock.Mock()
-        forwarder.carry = mock.AsyncMock(return_value=mock.Mock(status=200, prepared=True))
+        forwarder.forward = mock.AsyncMock(return_value=mock.Mock(status=200, prepared=True))
         deferred = mock.Mock()
         deferred.switch.busy = False
         self.ingress = Ingress(forwarder, mock.Mock(), deferred, random.Random(1), lambda: self.age, LIMITS)
@@ -48,7 +48,7 @@
         self.ingress.routes = Routes()
         began = time.monotonic()
         self.assertEqual(await self.status("/a/x", 0.0), 503)
-        self.assertLess(time.monotonic() - began, START_HOLD + 0.3)
+        self.assertLess(time.monotonic() - began, CONFIGURATION_WAIT_S + 0.3)
         self.assertFalse(self.ingress.may_serve)
 
     async def test_a_request_that_comes_just_before_the_first_configuration_waits_for_it(self) -> None:
@@ -63,7 +63,7 @@
         self.ingress.routes = Routes()
         began = time.monotonic()
         self.assertEqual(await self.status("/a/x", 0.0, {"Heronstall-Deadline-Ms": "100"}), 503)
-        self.assertLess(time.monotonic() - began, START_HOLD / 2)
+        self.assertLess(time.monotonic() - began, CONFIGURATION_WAIT_S / 2)
 
 
 if __name__ == "__main__":
--- a/tests/tier/test_miss_table.py
+++ b/tests/tier/test_miss_table.py
@@ -65,9 +65,9 @@
             log = structlog.get_logger()
             with mock.patch("heronstall.dataplane.misses.log", log):
                 misses = MissLog()
-                misses.ended(ended(attempt(0.1, 0.4, home=0)))
-                misses.ended(ended(status=503))
-                misses.tell()
+                misses.record_request(ended(attempt(0.1, 0.4, home=0)))
+                misses.record_request(ended(status=503))
+                misses.log_tallies()
         structlog.reset_defaults()
         events = [event for line in written.getvalue().splitlines() if (event := read_event(line))]
         record = miss_table(events).record()
--- a/tests/tier/test_misses.py
+++ b/tests/tier/test_misses.py
@@ -15,7 +15,7 @@
 from heronstall.dataplane.attempt_ends import AttemptEnd
 from heronstall.dataplane.attempts import Attempt, Attempts, LoadView
 from heronstall.dataplane.misses import (
-    EVENTS_MOST,
+    MAX_LOGGED_MISSES,
     EndedItem,
     EndedRequest,
     MissLog,
@@ -49,12 +49,12 @@
 
 def ended(*attempts: Attempt, status: int = 200, deadline: float = math.inf) -> EndedRequest:
     return EndedRequest(
-        request="q1",
+        request_id="q1",
         route=ROUTE,
         prefix=NOTHING,
         prompt_tokens=500,
         output_tokens=40,
-        times=RequestTimes(ARRIVED, deferred=0.01, held=0.02),
+        times=RequestTimes(ARRIVED, deferred=0.01, worker_wait=0.02),
         attempts=attempts,
         planned=False,
         status=status,
@@ -118,13 +118,13 @@
 class Log(unittest.TestCase):
     def told(self, misses: MissLog, event: str) -> list[dict[str, Any]]:
         with capture_logs() as events:
-            misses.tell()
+            misses.log_tallies()
         return [dict(found) for found in events if found["event"] == event]
 
     def test_a_request_in_time_is_counted_and_not_logged(self) -> None:
         misses = MissLog()
         with capture_logs() as events:
-            misses.ended(ended(attempt(0.01, 0.2, 0.4, home=0)))
+            misses.record_request(ended(attempt(0.01, 0.2, 0.4, home=0)))
         self.assertEqual(events, [])
         (tally,) = self.told(misses, "requests")
         self.assertEqual((tally["requests"], tally["missed"], tally["size"]), (1, 0, 900))
@@ -134,7 +134,7 @@
     def test_a_miss_tells_its_waits_and_attempts(self) -> None:
         misses = MissLog()
         with capture_logs() as events:
-            misses.ended(ended(attempt(0.05, end=AttemptEnd.FULL), attempt(0.1, 0.35, 0.6, home=1)))
+            misses.record_request(ended(attempt(0.05, end=AttemptEnd.FULL), attempt(0.1, 0.35, 0.6, home=1)))
         (missed,) = events
         self.assertEqual((missed["event"], missed["reason"]), ("request missed", "late first event"))
         self.assertEqual((missed["deferred_ms"], missed["held_ms"]), (10, 20))
@@ -144,12 +144,12 @@
     def test_a_flood_of_misses_is_counted_whole_and_logged_in_part(self) -> None:
         misses = MissLog()
         with capture_logs() as events:
-            for _ in range(EVENTS_MOST + 30):
-                misses.ended(ended(status=503))
-        self.assertEqual(len(events), EVENTS_MOST)
+            for _ in range(MAX_LOGGED_MISSES + 30):
+                misses.record_request(ended(status=503))
+        self.assertEqual(len(events), MAX_LOGGED_MISSES)
         (tally,) = self.told(misses, "requests")
         self.assertEqual(
-            (tally["missed"], tally["missed_size"]), (EVENTS_MOST + 30, 900 * (EVENTS_MOST + 30))
+            (tally["missed"], tally["missed_size"]), (MAX_LOGGED_MISSES + 30, 900 * (MAX_LOGGED_MISSES + 30))
         )
 
     def test_an_item_is_missed_when_it_is_done_late_or_fails(self) -> None:
@@ -158,7 +158,7 @@
         def run(outcome: Outcome, due: float) -> list[str]:
             with capture_logs() as events:
                 item = EndedItem("j", "i", "lots", outcome, now - 2.0, now + due, now - 1.0, ())
-                MissLog().item_ended(item)
+                MissLog().record_item(item)
             return [found["event"] for found in events]
 
         self.assertEqual(run(Outcome.DONE, 1.0), [])
@@ -169,7 +169,7 @@
     def test_a_job_is_missed_when_it_is_refused_or_accepted_late(self) -> None:
         for status, seconds, events_wanted in ((202, 0.2, 0), (202, 0.4, 1), (503, 0.1, 1), (429, 0.1, 1)):
             with self.subTest(status=status, seconds=seconds), capture_logs() as events:
-                MissLog().job_answered("j", ROUTE, status, seconds)
+                MissLog().record_job_response("j", ROUTE, status, seconds)
             self.assertEqual(len(events), events_wanted)
 
 
--- a/tests/tier/test_names.py
+++ b/tests/tier/test_names.py
@@ -14,7 +14,7 @@
 from heronstall.dataplane.admission import Admission
 from heronstall.dataplane.misses import EndedRequest, miss_reason
 from heronstall.dataplane.prefixes import NOTHING, shared_prefix
-from heronstall.dataplane.routing import read_routes
+from heronstall.dataplane.routing import parse_routes
 from heronstall.dataplane.subset import Seat
 from heronstall.dataplane.workers import WorkerPool
 from heronstall.sessions.loads import WorkerLoad
@@ -90,7 +90,7 @@
         self.assertGreater(len(set(self.picked(unchanged))), 6, "the draws say something")
 
     def test_routes_are_read_alike(self) -> None:
-        plain, other = read_routes(configuration(unchanged)), read_routes(configuration(replaced))
+        plain, other = parse_routes(configuration(unchanged)), parse_routes(configuration(replaced))
         for name in ("quick", "slow", "lots"):
             one = plain.find(f"{name}.example", f"/{name}/x")
             two = other.find(f"{replaced(name)}.example", f"/{replaced(name)}/x")
@@ -98,11 +98,11 @@
             with self.subTest(route=name):
                 self.assertEqual((one.type, one.target_latency), (two.type, two.target_latency))
                 if name != "lots":
-                    self.assertEqual(plain.deferrable(one), other.deferrable(two))
+                    self.assertEqual(plain.is_deferrable(one), other.is_deferrable(two))
 
     def test_a_miss_is_judged_alike(self) -> None:
         for request in (ended(attempt(0.1, 0.5)), ended(status=503), ended(attempt(0.0, 0.1, gap=0.9))):
-            named = EndedRequest(**{**request.__dict__, "request": "another"})
+            named = EndedRequest(**{**request.__dict__, "request_id": "another"})
             self.assertIs(miss_reason(request, 1001.0), miss_reason(named, 1001.0))
 
 
--- a/tests/tier/test_shard_client.py
+++ b/tests/tier/test_shard_client.py
@@ -37,7 +37,7 @@
     async def test_no_try_has_less_time_than_the_least(self) -> None:
         self.answers(LOST)
         least = 0.4
-        reply = await self.client.call("s", Kind.LEASE, b"", TRIES_WITHIN, least=least)
+        reply = await self.client.call("s", Kind.LEASE, b"", TRIES_WITHIN, min_remaining=least)
         self.assertEqual(reply.status, Status.FAILED)
         self.assertTrue(self.times)
         self.assertGreater(min(self.times), least)
