--- a/heronstall/dataplane/__init__.py
+++ b/heronstall/dataplane/__init__.py
@@ -1,1 +1,1 @@
-"""The data plane of the tier: takes clients' requests, passes them to workers, fronts batch jobs."""
+"""The data plane of the tier: forwards clients' requests to workers and runs batch items."""
--- a/heronstall/dataplane/__main__.py
+++ b/heronstall/dataplane/__main__.py
@@ -1,9 +1,9 @@
-"""The data plane program: one dispatcher of the tier."""
+"""The data plane program, which runs one dispatcher of the tier."""
 
 from __future__ import annotations
 
-import heronstall.early_signals  # before what takes time
-import heronstall.without_tls  # noqa: F401  (before what would import ssl)
+import heronstall.early_signals  # first: the imports that follow take time
+import heronstall.without_tls  # noqa: F401  (before any import of ssl)
 
 # isort: split
 import asyncio
--- a/heronstall/dataplane/batch_front.py
+++ b/heronstall/dataplane/batch_front.py
@@ -1,4 +1,4 @@
-"""The batch API of a dispatcher: submissions, reads, bodies, ends."""
+"""The batch API of a dispatcher: submits and cancels jobs, reads results and item bodies."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
 from heronstall.transport.frames import Kind, Status
 from heronstall.transport.messages import BatchItem, BatchJob, Header, ReadReply, ReadRequest, SubmitRequest
 
-SUBMIT_TIMEOUT_S = 3.5  # seconds
+SUBMIT_TIMEOUT_S = 3.5
 READ_TIMEOUT_S = 2.5
 MAX_ITEMS = 200
-MAX_WAIT_S = 2.0  # seconds that a read is held
+MAX_WAIT_S = 2.0  # for which a read waits for results
 
 
 class InvalidSubmission(ValueError):
-    """A submission that can't be read; the message names the field."""
+    """A submission is invalid. The message names the field."""
 
 
 def parse_items(body: bytes) -> list[BatchItem]:
-    """The items of a submission."""
+    """Parses the items of a submission. Raises InvalidSubmission."""
     try:
         raw = ujson.loads(body)
     except ValueError as error:
@@ -68,7 +68,10 @@
 
 
 class BatchApi:
-    """Answers the calls of batch jobs, by the shard's owner. `ending`: whether this process ends."""
+    """Answers the calls of the batch API through the shards' owners.
+
+    `is_stopping` tells whether this process is shutting down.
+    """
 
     def __init__(
         self,
@@ -81,7 +84,7 @@
         self._is_stopping = is_stopping
 
     async def submit(self, request: web.BaseRequest, route: Route, body: bytes) -> web.Response:
-        """Take a batch job: 202 once it is kept, 429 or 503 where none of it will run."""
+        """Submits a batch job: 202 once it is stored, 429 or 503 if none of it will run."""
         began = time.monotonic()
         response = await self._submit(request, route, body)
         self._misses.record_job_response(
@@ -117,14 +120,14 @@
         return empty_response(504)
 
     async def read_results(self, request: web.BaseRequest, host: str, job: str) -> web.Response:
-        """Results from a position on."""
+        """Returns the results of a job from a position on."""
         start_text = request.query.get("start_after", "0")
         wait_text = request.headers.get("Heronstall-Wait-Ms", "0")
         if not start_text.isdigit() or not wait_text.isdigit():
             return web.json_response({"error": "start_after, Heronstall-Wait-Ms: whole numbers"}, status=400)
         start, wait = int(start_text), min(MAX_WAIT_S, int(wait_text) / 1000)
         if self._is_stopping():
-            wait = 0.0  # a reader that waits would hold the end up
+            wait = 0.0  # a waiting reader would delay the shutdown
         shard = batch_shard(host)
         call = ReadRequest(job=job, start=start, wait_ms=int(wait * 1000), shard=shard)
         reply = await self._shards.call(shard, Kind.READ, bytes(call), READ_TIMEOUT_S, owner_wait=wait)
@@ -145,7 +148,7 @@
         return web.json_response(page, dumps=_dumps)
 
     async def read_item_body(self, request: web.BaseRequest, host: str, job: str) -> web.Response:
-        """The body of an item that is not listed yet."""
+        """Returns the body of an item that has no result yet."""
         shard = batch_shard(host)
         call = ReadRequest(job=job, item=request.query.get("id", ""), shard=shard)
         reply = await self._shards.call(shard, Kind.BODY, bytes(call), READ_TIMEOUT_S)
@@ -156,7 +159,7 @@
         return web.Response(body=ReadReply().parse(reply.body).body, content_type="application/octet-stream")
 
     async def cancel(self, host: str, job: str) -> web.Response:
-        """End a batch job."""
+        """Cancels a batch job."""
         shard = batch_shard(host)
         call = ReadRequest(job=job, shard=shard)
         reply = await self._shards.call(shard, Kind.END, bytes(call), SUBMIT_TIMEOUT_S, owner_wait=0.8)
--- a/heronstall/dataplane/batch_runner.py
+++ b/heronstall/dataplane/batch_runner.py
@@ -1,4 +1,4 @@
-"""Runs batch items: leases them from their shards' owners, sends them to workers, reports the results."""
+"""Runs batch items: leases them from the shards' owners, sends them to workers and reports the results."""
 
 from __future__ import annotations
 
@@ -46,24 +46,24 @@
 
 log = structlog.get_logger()
 
-POLL_HOLD_S = 0.45  # seconds that the owner may hold a call for items
+POLL_HOLD_S = 0.45  # for which the owner may hold a lease call
 POLL_RETRY_DELAY_S = 0.05
-POLL_TIMEOUT_S = 2.0  # seconds for a call for items
+POLL_TIMEOUT_S = 2.0  # of a lease call
 # Delay from a freed slot to the lease call: live requests go first, and one call covers several slots.
 SLOT_GATHER_S = 0.45
-OWNER_STALE_S = 1.5  # seconds without an answer of the owner after which nothing new is started
-EXPECTED_RUN_TIME_S = 1.5  # seconds that an item needs, about
-UNKNOWN_ROUTE_DELAY_S = 0.2  # seconds before an item of a route that was never known here is given back
+OWNER_STALE_S = 1.5  # without a reply of the owner, after which no item is started
+EXPECTED_RUN_TIME_S = 1.5  # approximate run time of an item
+UNKNOWN_ROUTE_DELAY_S = 0.2  # before an item of a route that this dispatcher never knew is returned
 RANK_IN_TIME, RANK_LATE = 0, 1  # ranks in the deferred lane
-REPORT_TIMEOUT_S = 2.0  # seconds for one report
-FINISH_POLL_INTERVAL_S = 0.02  # seconds between looks whether all is done, at the end
-FINAL_REPORT_TIMEOUT_S = 1.0  # seconds for the last reports
-REPORT_RETRY_DELAY_S = 0.1  # seconds before a report that was not acknowledged is sent again
+REPORT_TIMEOUT_S = 2.0  # of one call that reports results
+FINISH_POLL_INTERVAL_S = 0.02  # between checks for unfinished items during shutdown
+FINAL_REPORT_TIMEOUT_S = 1.0  # for the last reports during shutdown
+REPORT_RETRY_DELAY_S = 0.1  # before an unacknowledged report is sent again
 
 
 @dataclass
 class RunningItem:
-    """An item at this dispatcher."""
+    """An item that this dispatcher has leased."""
 
     leased: LeasedItem
     request: BatchItem
@@ -71,13 +71,13 @@
     event_data: list[bytes] = field(default_factory=list)
     last_event: int | None = None
     leased_at: float = field(default_factory=time.monotonic)
-    started_at: float = 0.0  # steady time at which it left the lane
+    started_at: float = 0.0  # monotonic time at which it left the deferred lane; 0 before
     attempts: list[Attempt] = field(default_factory=list)
     task: asyncio.Task[None] | None = None
 
 
 class BatchRunner:
-    """All items of this dispatcher."""
+    """Leases and runs the batch items of this dispatcher."""
 
     def __init__(
         self,
@@ -95,27 +95,27 @@
         self._misses = misses or MissLog()
         self._running: dict[tuple[str, str], RunningItem] = {}
         self._reports: dict[str, list[ItemReport]] = {}
-        self._sent_reports: dict[str, list[ItemReport]] = {}  # that an owner has not acknowledged
-        self._calls = 0  # calls for items
+        self._sent_reports: dict[str, list[ItemReport]] = {}  # in flight, by shard
+        self._calls = 0  # number of lease calls
         self._reports_added = asyncio.Event()
         self._pollers: dict[str, asyncio.Task[None]] = {}
         self._polled_at: dict[str, float] = {}
-        self._lease_limits: dict[str, int] = {}  # items asked for in one call, by shard
-        self._slot_freed = asyncio.Event()  # another one after each place that has become free
-        self._known_routes: set[str] = set()  # by name, of all configurations that this process has had
+        self._lease_limits: dict[str, int] = {}  # most items to request in one call, by shard
+        self._slot_freed = asyncio.Event()  # set when a slot is freed, then replaced by a new event
+        self._known_routes: set[str] = set()  # names in all configurations that this process has had
 
     @property
     def running_count(self) -> int:
-        """Items in hand."""
+        """The number of items that this dispatcher holds."""
         return len(self._running)
 
     @property
     def has_unreported_items(self) -> bool:
-        """Whether an owner has yet to acknowledge the end of an item."""
+        """Whether an owner has not yet acknowledged the end of an item."""
         return bool(self._reports or self._sent_reports)
 
     def update_pollers(self) -> None:
-        """Poll the shards of all hosts that have batch routes."""
+        """Starts polling the shards of all hosts that have batch routes."""
         routes = self._routes()
         self._known_routes |= {r.name for h in routes.batch_hosts() for r in routes.by_host[h]}
         wanted = {batch_shard(host) for host in routes.batch_hosts()}
@@ -123,7 +123,7 @@
             self._pollers[shard] = asyncio.create_task(self._poll(shard))
 
     async def send_reports(self) -> None:
-        """Send reports until cancelled."""
+        """Sends reports until cancelled."""
         while True:
             await self._reports_added.wait()
             self._reports_added.clear()
@@ -141,16 +141,16 @@
             await asyncio.sleep(REPORT_RETRY_DELAY_S)
 
     async def stop(self) -> None:
-        """Give back what has not begun, and start nothing more."""
+        """Returns the items without any output to their owners and starts no more."""
         self.stopping = True
         for item in list(self._running.values()):
             if not item.event_data and item.task is not None:
                 item.task.cancel()
 
     async def finish(self, deadline: float) -> None:
-        """Return when all items have ended and are reported, or at a steady time.
+        """Returns when all items have ended and are reported, or at the deadline, in monotonic time.
 
-        Reports that no owner takes are waited for a while only: leases end with this dispatcher's session.
+        The wait for unacknowledged reports is bounded, since leases end with this dispatcher's session.
         """
         while time.monotonic() < deadline and self._running:
             await asyncio.sleep(FINISH_POLL_INTERVAL_S)
@@ -171,7 +171,7 @@
                 await asyncio.sleep(SLOT_GATHER_S)
                 continue
             if reply.status != Status.OK:
-                self._lease_limits[shard] = max(1, limit // 2)  # what was lost is sent again: less at a time
+                self._lease_limits[shard] = max(1, limit // 2)  # a lost reply is sent again: request less
                 await asyncio.sleep(POLL_RETRY_DELAY_S)
                 continue
             self._lease_limits[shard] = min(ITEM_LIMIT, 2 * limit)
@@ -184,10 +184,10 @@
             for leased in leases.items:
                 self._start(shard, leased)
             if leases.ended:
-                await at_most(slot_freed, POLL_HOLD_S)  # until their runs have ended
+                await at_most(slot_freed, POLL_HOLD_S)  # until the runs of ended jobs are cancelled
 
     def _update_time_left(self, leases: LeaseReply, backlog: bool) -> None:
-        """Tell the bounds how soon what was leased is due; what is late already is not urgent any more."""
+        """Updates the item limits with the time left of leased items. Items that are late are not urgent."""
         remaining_shares = []
         for leased in leases.items:
             route = self._batch_route(leased)
@@ -196,14 +196,14 @@
         self._admission.items.leased(min(remaining_shares, default=1.0), backlog)
 
     def _batch_route(self, leased: LeasedItem) -> Route | None:
-        """The route of a leased item's job, if this dispatcher's configuration has it."""
+        """Returns the route of a leased item's job, if this dispatcher's configuration has it."""
         routes = self._routes().by_host.get(leased.host, ())
         return next((route for route in routes if route.name == leased.route), None)
 
     async def _request_leases(self, shard: str, want: int, slot_freed: asyncio.Event) -> Reply | None:
-        """The owner's answer; None where nothing was wanted and a place has become free meanwhile.
+        """Returns the owner's reply, or None if no item was requested and a slot has been freed meanwhile.
 
-        The owner ends the call that it holds when the next one comes.
+        The owner ends a call that it holds when it receives the next one.
         """
         body = bytes(self._lease_request(shard, want))
         call = asyncio.create_task(
@@ -219,7 +219,7 @@
             call.cancel()
 
     def _lease_request(self, shard: str, want: int) -> LeaseRequest:
-        """A call for items that tells all leases that have reached this dispatcher."""
+        """Builds a lease call. It lists all leases that have reached this dispatcher."""
         self._calls += 1
         held = [r for r in self._running.values() if r.shard == shard]
         reports = [*self._sent_reports.get(shard, ()), *self._reports.get(shard, ())]
@@ -256,10 +256,10 @@
             return
         item = self._running[key] = RunningItem(leased, request, shard)
         item.task = asyncio.create_task(self._run(key, item))
-        # a task that is cancelled before its first turn runs nothing of its own
+        # a task that is cancelled before it first runs does not execute its own cleanup
         item.task.add_done_callback(lambda _: self._report_end(key, item, Outcome.RETURNED))
         if self.stopping:
-            item.task.cancel()  # the call for it was under way when the end began
+            item.task.cancel()  # the lease call was in flight when the shutdown began
 
     def _cancel_job(self, job: str) -> None:
         for key, item in list(self._running.items()):
@@ -280,7 +280,7 @@
             self._report_end(key, item, outcome)
 
     def _report_end(self, key: tuple[str, str], item: RunningItem, outcome: Outcome) -> None:
-        """Report the end of an item's run, once."""
+        """Queues the report of an item's end, once."""
         if self._running.get(key) is not item:
             return
         del self._running[key]
@@ -292,12 +292,12 @@
         self._announce_free_slot()
 
     def _announce_free_slot(self) -> None:
-        """Wake whoever has seen no free place before."""
+        """Wakes the pollers that found no free slot."""
         self._slot_freed.set()
         self._slot_freed = asyncio.Event()
 
     async def _wait_for_start(self, item: RunningItem) -> None:
-        """Wait in the deferred lane until a worker has room."""
+        """Waits in the deferred lane until a worker has a free slot."""
         now = time.monotonic()
         deadline = now + item.leased.due_in_ms / 1000
         rank = RANK_LATE if deadline < now + EXPECTED_RUN_TIME_S else RANK_IN_TIME
@@ -316,7 +316,7 @@
             if route is None or route.type is not RouteType.BATCH:
                 if item.leased.route in self._known_routes:
                     return Outcome.ROUTE_GONE
-                await asyncio.sleep(UNKNOWN_ROUTE_DELAY_S)  # maybe newer than this dispatcher's configuration
+                await asyncio.sleep(UNKNOWN_ROUTE_DELAY_S)  # the route may be newer than this configuration
                 return Outcome.RETURNED
             owner_is_reachable = time.monotonic() - self._polled_at.get(item.shard, 0.0) < OWNER_STALE_S
             service = self._admission.service_of(route)
@@ -336,7 +336,7 @@
         return Outcome.RETURNED
 
     async def _attempt(self, item: RunningItem, worker: WorkerState) -> Outcome | None:
-        """One run at one worker; None where another may go on from what has come."""
+        """Makes one attempt at one worker. Returns None if another attempt may continue after it."""
         admission = self._admission
         admission.sent(worker)
         worker.items += 1
@@ -372,7 +372,7 @@
     ) -> Outcome | None:
         worker.learn_idle(upstream.headers.get("Keep-Alive"))
         if upstream.headers.get(REQUEST_ID_HEADER) != item.request.id:
-            raise aiohttp.ClientPayloadError("answer to another request")
+            raise aiohttp.ClientPayloadError("the response belongs to another request")
         if upstream.status in (200, 500):
             self._admission.answered(worker, upstream.status)
         if upstream.status != 200:
@@ -385,7 +385,7 @@
                 self._admission.full(worker)
             return None
         if not is_framed(upstream):
-            raise aiohttp.ClientPayloadError("an answer that does not say where it ends")
+            raise aiohttp.ClientPayloadError("the response has neither a length nor chunks")
         reader = EventReader()
         while True:
             chunk = await upstream.content.readany()
@@ -398,7 +398,7 @@
             for event in reader.feed(chunk):
                 self._record_event(item, event.id, event.data)
         if reader.partial:
-            raise aiohttp.ClientPayloadError("an event is cut short")
+            raise aiohttp.ClientPayloadError("the last event is incomplete")
         return Outcome.DONE
 
     @staticmethod
--- a/heronstall/dataplane/events.py
+++ b/heronstall/dataplane/events.py
@@ -1,4 +1,4 @@
-"""Cuts a text/event-stream into whole events. Free of I/O."""
+"""Splits a text/event-stream into complete events. Does no I/O."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class StreamEvent(NamedTuple):
-    """One whole event: its bytes with the blank line, its id, its data lines joined."""
+    """A complete event: its bytes including the blank line, its id, and its data lines joined."""
 
     raw: bytes
     id: int | None
@@ -16,18 +16,18 @@
 
 
 class EventReader:
-    """Takes pieces of a stream and hands out the events that are whole."""
+    """Reassembles the events of a stream that arrives in chunks."""
 
     def __init__(self) -> None:
         self._buffer = b""
 
     @property
     def partial(self) -> bytes:
-        """What has come of an event that is not whole."""
+        """The bytes received of an incomplete event."""
         return self._buffer
 
     def feed(self, chunk: bytes) -> list[StreamEvent]:
-        """Take a piece; the events that it completes."""
+        """Adds a chunk and returns the events that it completes."""
         self._buffer += chunk
         events: list[StreamEvent] = []
         while True:
@@ -41,7 +41,7 @@
 
 
 def parse_event(raw: bytes) -> StreamEvent:
-    """Read the fields of one event."""
+    """Parses the fields of one event."""
     event_id: int | None = None
     data: list[bytes] = []
     for line in raw.splitlines():
--- a/heronstall/dataplane/forwarding.py
+++ b/heronstall/dataplane/forwarding.py
@@ -1,4 +1,4 @@
-"""Passes one request to a worker and its answer back; tries again where that is certain to be harmless."""
+"""Forwards one request to a worker and its response to the client, and retries where that is safe."""
 
 from __future__ import annotations
 
@@ -47,13 +47,13 @@
     }
 )
 REPLACED_HEADERS = frozenset({DEADLINE_HEADER.lower(), TARGET_HEADER.lower()})
-MAX_SENDS = 5  # times that a request is offered at the most, refusals included
-RETRY_AFTER_S = 0.25  # seconds
-WORKER_WAIT_SHARE = 0.2  # part of its aim that a request waits here for a worker
+MAX_SENDS = 5  # attempts per request, including those that a worker refuses
+RETRY_AFTER_S = 0.25  # default of the Retry-After header
+WORKER_WAIT_SHARE = 0.2  # share of the target latency that a request waits here for an available worker
 
 
 class ForwardingError(Exception):
-    """The worker's answer cannot be passed on as a whole one."""
+    """A worker's response cannot be forwarded, or a started response cannot be completed."""
 
     def __init__(self, end: AttemptEnd = AttemptEnd.CUT_SHORT) -> None:
         super().__init__(end.value)
@@ -62,51 +62,51 @@
 
 @dataclass
 class RequestContext:
-    """A client's request on its way."""
+    """The state of a client's request while it is forwarded."""
 
     request: web.BaseRequest
     route: Route
     service: str
     body: bytes
-    deadline: float  # steady time
-    arrived_at: float
-    response: web.StreamResponse | None = None  # once its head has been sent
-    last_event: int | None = None
-    runs: int = 0
-    tried: set[str] = field(default_factory=set)
+    deadline: float  # monotonic time
+    arrived_at: float  # monotonic time
+    response: web.StreamResponse | None = None  # set once its headers have been sent
+    last_event: int | None = None  # id of the last event that was forwarded
+    runs: int = 0  # attempts that a worker may have run
+    tried: set[str] = field(default_factory=set)  # ids of workers
     attempt: Attempt | None = None  # the latest, once it may have reached a worker
     attempts: list[Attempt] = field(default_factory=list)
-    deferred: float = 0.0  # seconds behind urgent requests
-    worker_wait: float = 0.0  # seconds without a worker to send it to
-    placement: PlacedPrompt | None = None  # by a planner, for its first attempt
+    deferred: float = 0.0  # seconds in the deferred lane, behind urgent requests
+    worker_wait: float = 0.0  # seconds without an available worker
+    placement: PlacedPrompt | None = None  # the planner's choice for the first attempt
 
     @property
     def may_have_run(self) -> bool:
-        """Whether a worker may have run it."""
+        """Whether a worker may have run the request."""
         return bool(self.runs) or self.attempt is not None
 
     @property
     def may_repeat(self) -> bool:
-        """Whether another run would be allowed after the next."""
+        """Whether another run is allowed after the next one."""
         return self.route.repeatable and self.runs + 1 < self.route.max_attempts
 
     @cached_property
     def prefix(self) -> SharedPrefix:
-        """The shared parts of its prompt."""
+        """The shared parts of the prompt."""
         return shared_prefix(self.request.headers.get(PROMPT_PREFIX_HEADER, ""))
 
     @cached_property
     def prompt_tokens(self) -> int:
-        """Tokens of its prompt; 0 where it does not tell."""
+        """The prompt's length in tokens; 0 if the request does not state it."""
         return _parse_token_count(self.request.headers.get(TOKEN_USAGE_HEADER, "").partition(",")[0])
 
     @property
     def output_tokens(self) -> int:
-        """Tokens of the longest answer that it allows; 0 where it does not tell."""
+        """The maximum length of the output in tokens; 0 if the request does not state it."""
         return _parse_token_count(self.request.headers.get(TOKEN_USAGE_HEADER, "").partition(",")[2])
 
     def summary(self, status: int) -> EndedRequest:
-        """What is known of it now that it has ended, by an answer of this status; 0: by none."""
+        """Returns the record of the ended request. A status of 0 means that no response was sent."""
         return EndedRequest(
             request_id=self.request.headers.get(REQUEST_ID_HEADER, ""),
             route=self.route,
@@ -122,13 +122,13 @@
 
 
 def _parse_token_count(text: str) -> int:
-    """A count of tokens; 0 for what is none."""
+    """Parses a number of tokens. Returns 0 for anything else."""
     digits = text.strip()
     return int(digits) if digits.isdecimal() and len(digits) <= TOKEN_DIGITS else 0
 
 
 class ForwardedResponse(web.StreamResponse):
-    """A worker's answer, without the headers that the library would add."""
+    """A worker's response, without the headers that aiohttp would add."""
 
     def __init__(self, status: int, reason: str | None, headers: CIMultiDict[str]) -> None:
         super().__init__(status=status, reason=reason, headers=headers)
@@ -141,23 +141,22 @@
                 self._headers.pop(name, None)
 
 
-STARTING_RETRY_AFTER_S = (
-    0.9  # seconds until a node that has just started, or a service without workers, may serve
-)
+# Retry-After where a node has just started or a service has no workers: either may serve by then.
+STARTING_RETRY_AFTER_S = 0.9
 
 
 def service_unavailable(retry_after: float = RETRY_AFTER_S) -> web.Response:
-    """The request has not run and never will; come back later."""
+    """Returns a 503, which promises that the request has not run and never will."""
     return web.Response(status=503, headers={"Retry-After": f"{retry_after:.3f}"})
 
 
 def empty_response(status: int) -> web.Response:
-    """Nothing is promised."""
+    """Returns a response without a body. It promises nothing about whether the request has run."""
     return web.Response(status=status)
 
 
 class Forwarder:
-    """Carries requests to workers."""
+    """Forwards requests to workers."""
 
     def __init__(
         self,
@@ -170,10 +169,10 @@
         self._pool, self._admission = pool, admission
         self._placer = placer
         self._misses = misses or MissLog()
-        self._closes_after = closes_after  # whether an answer is to be its connection's last
+        self._closes_after = closes_after  # whether the connection is closed after the response
 
     async def forward(self, context: RequestContext) -> web.StreamResponse:
-        """Serve a request: the worker's answer, or one of our own."""
+        """Returns the response to a request: the worker's, or an error if no worker gave one."""
         status = 0
         try:
             response = await self._forward(context)
@@ -198,7 +197,7 @@
         return self._final_failure(context)
 
     async def _pick_worker(self, context: RequestContext) -> WorkerState | None:
-        """A worker; one that was not tried yet waits a moment where there is none."""
+        """Picks a worker. A request that has not been sent yet waits for one for a limited time."""
         if self._placer is not None and not context.tried and context.prefix.is_large:
             placement = await self._pick_planned_worker(self._placer, context)
             if placement is not None:
@@ -215,7 +214,7 @@
         return worker
 
     async def _pick_planned_worker(self, placer: PromptPlacer, context: RequestContext) -> WorkerState | None:
-        """The worker that a planner names for a large prompt, if it can be used from here."""
+        """Returns the worker that the planner chose for a large prompt, if this dispatcher can use it."""
         placement = await placer.place(context.service, context.prefix, context.prompt_tokens)
         worker = self._admission.usable(placement.worker, context.service) if placement is not None else None
         context.placement = placement if worker is not None else None
@@ -242,7 +241,7 @@
         )
 
     async def _attempt(self, context: RequestContext, worker: WorkerState) -> web.StreamResponse | AttemptEnd:
-        """One attempt at one worker, and what its end says of the worker."""
+        """Makes one attempt at one worker and records a failed one against the worker."""
         earlier_attempts = len(context.attempts)
         outcome = await self._send(context, worker)
         if isinstance(outcome, AttemptEnd):
@@ -306,12 +305,12 @@
     async def _relay(
         self, context: RequestContext, worker: WorkerState, upstream: aiohttp.ClientResponse
     ) -> web.StreamResponse | AttemptEnd:
-        """Pass an answer on. Raises Broken where it is not whole, or not the request's own."""
+        """Forwards a response. Raises ForwardingError if it is incomplete or belongs to another request."""
         worker.learn_idle(upstream.headers.get("Keep-Alive"))
         assert context.attempt is not None
         worker.attempts.heard(context.attempt)
         if upstream.headers.get(REQUEST_ID_HEADER) != context.request.headers.get(REQUEST_ID_HEADER):
-            raise ForwardingError(AttemptEnd.OTHER_ID)  # whatever it says, it says nothing of this request
+            raise ForwardingError(AttemptEnd.OTHER_ID)  # the response says nothing about this request
         rejection = Refusal(upstream.status, NOT_EXECUTED_HEADER in upstream.headers).end
         if rejection is not None:
             await upstream.read()
@@ -406,7 +405,7 @@
 
 
 def request_headers(headers: Mapping[str, str]) -> CIMultiDict[str]:
-    """A request's headers as they are passed on."""
+    """Returns the headers of a request that are forwarded to the worker."""
     connection_options = {n.strip().lower() for n in headers.get("Connection", "").split(",")}
     forwarded: CIMultiDict[str] = CIMultiDict()
     for name, value in headers.items():
@@ -420,7 +419,7 @@
 
 
 def response_headers(upstream: aiohttp.ClientResponse) -> CIMultiDict[str]:
-    """An answer's headers as they are passed on."""
+    """Returns the headers of a worker's response that are forwarded to the client."""
     forwarded: CIMultiDict[str] = CIMultiDict()
     for name, value in upstream.headers.items():
         if name.lower() not in HOP_HEADERS:
--- a/heronstall/dataplane/ingress.py
+++ b/heronstall/dataplane/ingress.py
@@ -1,4 +1,4 @@
-"""Takes clients' requests on the front address: reads, routes, answers."""
+"""Handles clients' requests on the front address: reads, routes and answers them."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 from heronstall.dataplane.forwarding import (
     DEADLINE_HEADER,
     STARTING_RETRY_AFTER_S,
-    ForwardingError,
     Forwarder,
+    ForwardingError,
     RequestContext,
     empty_response,
     service_unavailable,
@@ -31,10 +31,10 @@
 
 JOBS_PATH = "/-/lots/"
 ITEMS_PATH = "/-/items/"
-BODY_TIMEOUT_S = 10.0  # seconds for a request's body
-DEFERRAL_SHARE = 0.2  # part of its aim after which a deferrable request is due; held longer it is priced
-CONFIGURATION_WAIT_S = 0.5  # seconds that a request waits for the first configuration after a process's start
-DEFAULT_TIME_LIMIT_S = 60.0  # seconds, where a client names no deadline
+BODY_TIMEOUT_S = 10.0  # for reading a request's body
+DEFERRAL_SHARE = 0.2  # share of the target latency by which a request may be deferred; more is penalized
+CONFIGURATION_WAIT_S = 0.5  # for which a request waits for the first configuration after startup
+DEFAULT_TIME_LIMIT_S = 60.0  # for requests without a deadline
 
 
 @dataclass(eq=False)
@@ -42,12 +42,12 @@
     """A request that is being handled."""
 
     timeout: asyncio.Timeout = field(init=False)
-    dispatched: bool = False  # something beyond this process may know of it
-    forwarded: RequestContext | None = None  # on a live route
+    dispatched: bool = False  # passed to the batch API or the forwarder: another process may have seen it
+    forwarded: RequestContext | None = None  # set for requests of live routes
 
 
 class Ingress:
-    """Answers clients."""
+    """Answers the requests of clients."""
 
     def __init__(
         self,
@@ -67,7 +67,7 @@
 
     @property
     def routes(self) -> Routes:
-        """The configuration in force, as far as known here."""
+        """The latest configuration that this dispatcher knows."""
         return self._routes
 
     @routes.setter
@@ -80,16 +80,16 @@
 
     @property
     def may_serve(self) -> bool:
-        """Whether a configuration is known, and none that is much newer can be in force."""
+        """Whether a configuration is known that is recent enough to serve requests by."""
         return bool(self.routes.revision) and self._state_age() < self._limits.serve
 
     @property
     def active_count(self) -> int:
-        """Requests that are being handled."""
+        """The number of requests that are being handled."""
         return len(self._active_requests)
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer one request."""
+        """Handles one request."""
         active_request = ActiveRequest()
         try:
             async with asyncio.timeout(None) as active_request.timeout:
@@ -103,7 +103,7 @@
             self._active_requests.discard(active_request)
 
     def abandon_requests(self) -> None:
-        """End what is being handled: the process ends in a moment, and a cut connection tells nothing."""
+        """Answers all active requests before the process exits, so that clients learn their outcome."""
         now = asyncio.get_running_loop().time()
         for active_request in self._active_requests:
             active_request.timeout.reschedule(now)
@@ -111,7 +111,7 @@
     def _abandoned_response(
         self, request: web.BaseRequest, active_request: ActiveRequest
     ) -> web.StreamResponse:
-        """The last answer to a request that was given up. What may have run gets no promise."""
+        """Returns the response to an abandoned request. It promises nothing if the request may have run."""
         if not active_request.dispatched or (
             active_request.forwarded is not None and not active_request.forwarded.may_have_run
         ):
@@ -122,7 +122,7 @@
 
     @staticmethod
     def _abort(request: web.BaseRequest) -> NoReturn:
-        """Cut the connection, so that what was sent of an answer does not look whole."""
+        """Aborts the connection, so that a partly sent response does not look complete."""
         if request.transport is not None:
             request.transport.abort()
         raise asyncio.CancelledError from None
@@ -168,9 +168,10 @@
         return await self._forwarder.forward(context)
 
     async def _wait_for_configuration(self, request: web.BaseRequest) -> None:
-        """Wait a moment in a process that has just started.
+        """Waits for the first configuration of a process that has just started.
 
-        After a loss of power clients come before it is told anything, and a refused one comes back late.
+        After a power failure clients connect before the process has pulled any state, and a refused client
+        retries late.
         """
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(min(CONFIGURATION_WAIT_S, _requested_time_limit(request) / 2)):
--- a/heronstall/dataplane/misses.py
+++ b/heronstall/dataplane/misses.py
@@ -1,7 +1,8 @@
-"""Requests that miss their objective: for what reason, and where their time went.
+"""Requests and batch items that miss their objective: the reason, and where their time went.
 
-One log event for each of them, and a tally by route each few seconds, from which `heronstall tier misses`
-makes its table. A request that is served in time costs a few comparisons. Times are steady, in seconds.
+Each miss is logged as one event, and each route's tally every few seconds. `heronstall tier misses` builds
+its table from them. A request that meets its objective costs a few comparisons. Times are monotonic, in
+seconds.
 """
 
 from __future__ import annotations
@@ -22,15 +23,15 @@
 
 log = structlog.get_logger()
 
-TALLY_INTERVAL_S = 5.0  # seconds between tallies
-MAX_LOGGED_MISSES = 200  # misses that are logged between two tallies; the tally counts them all
-OUTPUT_WEIGHT = 10  # prompt tokens that one token of output counts for, in a request's size
+TALLY_INTERVAL_S = 5.0
+MAX_LOGGED_MISSES = 200  # between two tallies; the tally counts all misses
+OUTPUT_WEIGHT = 10  # weight of an output token in a request's size, in prompt tokens
 MILLISECONDS_PER_SECOND = 1000
-STATUS_ACCEPTED = 202  # status of the answer to a batch job that is kept
+STATUS_ACCEPTED = 202  # HTTP status for a batch job that has been stored
 
 
 class MissReason(Enum):
-    """Why a request was not served within its objective."""
+    """Why a request missed its objective."""
 
     REFUSED_HERE = "refused here"  # no worker was ready, or none could be reached in time
     REFUSED_BY_WORKERS = "refused by workers"
@@ -45,31 +46,31 @@
 
 @dataclass(frozen=True)
 class RequestTimes:
-    """Waits of a request at its dispatcher, in seconds."""
+    """The arrival of a request and its waits at the dispatcher, in seconds."""
 
-    arrived_at: float  # steady time
-    deferred: float  # behind urgent requests
-    worker_wait: float  # for a worker with room
+    arrived_at: float  # monotonic time
+    deferred: float  # in the deferred lane, behind urgent requests
+    worker_wait: float  # for an available worker
 
 
 @dataclass
 class RouteTally:
-    """Requests of one route that ended since the latest tally."""
+    """Counts of one route's requests and items that ended since the latest tally."""
 
     requests: int = 0
     missed: int = 0
-    size: int = 0  # prompt tokens and weighted output tokens
+    size: int = 0  # prompt tokens plus weighted output tokens
     missed_size: int = 0
-    first_home: int = 0  # requests with a large shared part that went to the worker it belongs to
+    first_home: int = 0  # requests with a large shared prefix that went to its first home worker
     second_home: int = 0
     elsewhere: int = 0
-    planned: int = 0  # that went where a planner named a worker
-    connections: int = 0  # that were opened for them
+    planned: int = 0  # requests whose first worker was chosen by the planner
+    connections: int = 0  # opened for these requests and items
 
 
 @dataclass(frozen=True)
 class EndedRequest:
-    """What is known of a request when it has ended."""
+    """The record of a request that has ended."""
 
     request_id: str
     route: Route
@@ -78,24 +79,24 @@
     output_tokens: int
     times: RequestTimes
     attempts: Sequence[Attempt]
-    planned: bool  # its first worker was named by a planner
-    status: int  # of the answer; 0 where the connection was cut, or the client left
-    deadline: float  # steady time
+    planned: bool  # its first worker was chosen by the planner
+    status: int  # of the response; 0 if the connection was closed without one
+    deadline: float  # monotonic time
 
     @property
     def size(self) -> int:
-        """Prompt tokens and weighted output tokens."""
+        """Prompt tokens plus weighted output tokens."""
         return self.prompt_tokens + OUTPUT_WEIGHT * self.output_tokens
 
     @property
     def time_to_first_event(self) -> float | None:
-        """Seconds from its arrival to the first event; None where there was none."""
+        """Seconds from the arrival to the first event, or None without an event."""
         first_events = [a.first_at for a in self.attempts if a.first_at]
         return min(first_events) - self.times.arrived_at if first_events else None
 
     @property
     def longest_gap(self) -> float:
-        """Longest pause between events, in seconds, also from one worker's last to the next one's first."""
+        """The longest time between two events in seconds, also across attempts at different workers."""
         gap, last = 0.0, 0.0
         for attempt in self.attempts:
             if attempt.first_at:
@@ -106,25 +107,25 @@
 
 @dataclass(frozen=True)
 class EndedItem:
-    """What is known of a batch item when its run at this dispatcher has ended."""
+    """The record of a batch item whose run at this dispatcher has ended."""
 
     job: str
     item: str
     route: str
     outcome: Outcome
-    leased_at: float  # steady time
-    due_at: float  # steady time by which its job is to be whole
-    started_at: float  # steady time at which it left the dispatcher's lane; 0 where it did not
+    leased_at: float  # monotonic time
+    due_at: float  # monotonic time by which its job should be complete
+    started_at: float  # monotonic time at which it left the deferred lane; 0 if it did not
     attempts: Sequence[Attempt]
 
     @property
     def late(self) -> bool:
-        """Whether it was done too late to be of full worth, or was late when it was leased."""
+        """Whether the item was completed after its due time, even if that had passed when it was leased."""
         return self.outcome is Outcome.DONE and time.monotonic() > self.due_at
 
 
 def miss_reason(ended: EndedRequest, now: float) -> MissReason | None:
-    """Why a request that has just ended missed its objective; None where it did not."""
+    """Returns why a request that has just ended missed its objective, or None if it met it."""
     if ended.status != 200:
         return _failure_reason(ended, now)
     first = ended.time_to_first_event
@@ -151,14 +152,14 @@
 
 
 class MissLog:
-    """Counts the requests of a dispatcher, and logs those that miss their objective."""
+    """Counts the requests and items of a dispatcher and logs those that miss their objective."""
 
     def __init__(self) -> None:
         self._tallies: dict[str, RouteTally] = {}
         self._logged = 0
 
     def record_request(self, ended: EndedRequest) -> None:
-        """A request has ended, in whatever way."""
+        """Records a request that has ended, with or without success."""
         tally = self._count(ended.route.name, ended.attempts)
         tally.size += ended.size
         tally.planned += ended.planned
@@ -173,39 +174,39 @@
             _log_request(ended, reason, now)
 
     def record_item(self, ended: EndedItem) -> None:
-        """A batch item's run has ended, in whatever way."""
+        """Records a batch item whose run has ended, with or without success."""
         tally = self._count(ended.route, ended.attempts)
         missed = ended.late or ended.outcome is Outcome.FAILED
         if missed and self._count_miss(tally):
             _log_item(ended)
 
     def _count(self, route: str, attempts: Sequence[Attempt]) -> RouteTally:
-        """The tally of a route, with one more request or item."""
+        """Counts a request or item and returns the tally of its route."""
         tally = self._tallies.setdefault(route, RouteTally())
         tally.requests += 1
         tally.connections += sum(attempt.new_connection for attempt in attempts)
         return tally
 
     def _count_miss(self, tally: RouteTally) -> bool:
-        """Count a miss; whether it is to be logged."""
+        """Counts a miss. Returns whether it should be logged."""
         tally.missed += 1
         self._logged += 1
         return self._logged <= MAX_LOGGED_MISSES
 
     def record_job_response(self, job: str, route: Route, status: int, seconds: float) -> None:
-        """A submission of a batch job has been answered after so many seconds."""
+        """Logs a submission of a batch job that was not accepted, or not within the target latency."""
         if status == STATUS_ACCEPTED and seconds <= route.target_latency:
             return
         log.info("job missed", job=job, route=route.name, status=status, took_ms=_milliseconds(seconds))
 
     async def run(self) -> None:
-        """Log the tallies until cancelled."""
+        """Logs the tallies at intervals until cancelled."""
         while True:
             await asyncio.sleep(TALLY_INTERVAL_S)
             self.log_tallies()
 
     def log_tallies(self) -> None:
-        """Log what has ended since the latest tally."""
+        """Logs the tallies of all routes and resets them."""
         for route, tally in self._tallies.items():
             log.info(
                 "requests",
@@ -269,7 +270,7 @@
 
 
 def _format_attempt(attempt: Attempt) -> str:
-    """One attempt: its worker, how it ended, its load as it was known, home, connection, milliseconds."""
+    """Formats one attempt: worker, end, known load, home rank, connection, time to the first event."""
     end = attempt.end.name.lower() if attempt.end is not None else "answered"
     home = "-" if attempt.home is None else str(attempt.home)
     view = attempt.view
--- a/heronstall/dataplane/node.py
+++ b/heronstall/dataplane/node.py
@@ -1,4 +1,4 @@
-"""An edge node: everything that the data plane program runs, put together."""
+"""A dispatcher node: assembles everything that the data plane program runs."""
 
 from __future__ import annotations
 
@@ -32,15 +32,15 @@
 
 log = structlog.get_logger()
 
-UNREADY_PERIOD_S = 2.3  # seconds of not being ready until clients have gone elsewhere
-IDLE_SWEEP_INTERVAL_S = 1.0  # seconds between looks for connections that rest too long
-SHUTDOWN_RESERVE_S = 0.6  # seconds of the grace time that are kept for the end
-ABANDON_TIMEOUT_S = 0.3  # seconds of these in which clients are told of what has been given up
-CLOSE_TIMEOUT_S = 0.05  # seconds in which connections to workers are closed
+UNREADY_PERIOD_S = 2.3  # of unreadiness, after which clients use other dispatchers
+IDLE_SWEEP_INTERVAL_S = 1.0  # between checks for connections that are idle for too long
+SHUTDOWN_RESERVE_S = 0.6  # part of the grace period that is reserved for the last steps
+ABANDON_TIMEOUT_S = 0.3  # part of the reserve in which abandoned requests are answered
+CLOSE_TIMEOUT_S = 0.05  # for closing the connections to workers
 
 
 class DispatcherNode:
-    """One dispatcher."""
+    """One dispatcher of the tier."""
 
     def __init__(self, settings: NodeSettings) -> None:
         self.settings = settings
@@ -89,7 +89,7 @@
         self._readiness = HttpServer(self._handle_readiness, lambda: 0)
 
     async def start(self) -> None:
-        """Begin to pull the control state and to listen."""
+        """Starts pulling the control state and listening."""
         runs = (
             self.puller.run(),
             self.runner.send_reports(),
@@ -103,7 +103,11 @@
         await self._readiness.listen(self.settings.listen["readiness"])
 
     async def stop(self) -> None:
-        """Leave without a cut answer: out of the platform's list, then no more connections, then the end."""
+        """Shuts down without truncating responses.
+
+        Readiness is withdrawn first, so that the platform sends clients elsewhere. Then the listener closes
+        and active requests finish.
+        """
         started_at = time.monotonic()
         deadline = started_at + self.settings.bounds.grace - SHUTDOWN_RESERVE_S
         self.front.ending = True
@@ -136,7 +140,7 @@
         )
 
     async def _sweep(self) -> None:
-        """Close connections on which no whole head has come for the configured time."""
+        """Closes connections that have not completed a request head within the configured time."""
         while True:
             await asyncio.sleep(IDLE_SWEEP_INTERVAL_S)
             self.front.close_idle(self.ingress.routes.limits.idle_timeout + IDLE_SWEEP_INTERVAL_S)
--- a/heronstall/dataplane/routing.py
+++ b/heronstall/dataplane/routing.py
@@ -1,4 +1,4 @@
-"""Routes of the operator's configuration, as the data plane uses them."""
+"""Routes, services and limits of the operator's configuration, as the data plane uses them."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 import ujson
 
-DEFERRABLE_LATENCY_RATIO = 2.0  # times the shortest aim
+DEFERRABLE_LATENCY_RATIO = 2.0  # a route with this multiple of the shortest target latency can be deferred
 
 
 class RouteType(Enum):
-    """What may be repeated on a route."""
+    """The kind of a route, which decides whether its requests may run more than once."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True)
 class Route:
-    """A route; times in seconds."""
+    """A route. Times are in seconds."""
 
     name: str
     host: str
@@ -43,11 +43,11 @@
 
     @property
     def repeatable(self) -> bool:
-        """Whether a request may run more than once."""
+        """Whether a request of this route may run more than once."""
         return self.type is RouteType.IDEMPOTENT or self.resumable
 
     def draw_service(self, rng: random.Random) -> str:
-        """A service, drawn by the route's weights."""
+        """Returns a service drawn by the route's traffic weights."""
         if len(self.targets) == 1:
             return self.targets[0][0]
         return rng.choices([t[0] for t in self.targets], [t[1] for t in self.targets])[0]
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True)
 class Service:
-    """A service as the configuration describes it."""
+    """A service of the configuration."""
 
     name: str
     health_check: str
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True)
 class RequestLimits:
-    """What a client may send, in bytes and seconds."""
+    """Limits of clients' requests, in bytes and seconds."""
 
     header_bytes: int = 16384
     body_bytes: int = 4 * 1024 * 1024
@@ -84,32 +84,32 @@
     limits: RequestLimits = RequestLimits()
 
     def find(self, host: str, path: str) -> Route | None:
-        """The route of a host with the longest prefix that begins a path."""
+        """Returns the host's route with the longest matching path prefix."""
         for route in self.by_host.get(normalize_host(host), ()):
             if path.startswith(route.path_prefix):
                 return route
         return None
 
     def is_deferrable(self, route: Route) -> bool:
-        """Whether a live route has a low priority, or an aim well above the shortest."""
+        """Whether a live route has a low priority, or a target latency well above the shortest one."""
         live = [r for routes in self.by_host.values() for r in routes if r.type is not RouteType.BATCH]
         top = min(r.priority for r in live)
         shortest = min(r.target_latency for r in live)
         return route.priority > top or route.target_latency >= DEFERRABLE_LATENCY_RATIO * shortest
 
     def batch_hosts(self) -> set[str]:
-        """Hosts that have a route for batch jobs."""
+        """Returns the hosts that have a route for batch jobs."""
         return {h for h, routes in self.by_host.items() if any(r.type is RouteType.BATCH for r in routes)}
 
 
 def normalize_host(host: str) -> str:
-    """A Host header's name without its port, in lower case."""
+    """Returns the name of a Host header without its port, in lower case."""
     name, colon, port = host.rpartition(":")
     return (name if colon and port.isdigit() else host).lower()
 
 
 def parse_routes(document: bytes) -> Routes:
-    """Routes of a configuration that the control plane has checked."""
+    """Parses a configuration that the control plane has validated."""
     raw = ujson.loads(document)
     routes = Routes(revision=raw["revision"], limits=_parse_limits(raw.get("limits") or {}))
     for service in raw.get("services", []):
--- a/heronstall/dataplane/shard_client.py
+++ b/heronstall/dataplane/shard_client.py
@@ -1,4 +1,4 @@
-"""Calls to the owners of batch shards: the owner is remembered, and found again when it has moved."""
+"""Calls the owners of batch shards: caches each shard's owner and finds it again after it has changed."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from heronstall.transport.links import LOST, Links, Reply
 from heronstall.transport.messages import Hint
 
-CALL_TIMEOUT_S = 0.7  # seconds for a call that need not wait
-RETRY_DELAY_S = 0.08  # seconds before another replica is asked
+CALL_TIMEOUT_S = 0.7  # per attempt, in addition to the time for which the owner may delay its reply
+RETRY_DELAY_S = 0.08  # before another replica is called
 
 
 class ShardClient:
-    """Finds the owner of a shard among its replicas."""
+    """Calls the owner of a shard, found among its replicas."""
 
     def __init__(self, links: Links, view: View) -> None:
         self._links, self._view = links, view
@@ -32,10 +32,10 @@
         owner_wait: float = 0.0,
         min_remaining: float = 0.0,
     ) -> Reply:
-        """Call the owner within a time; `hold` is what the owner may wait itself.
+        """Calls the owner, with retries until `timeout`; the owner may delay its reply by `owner_wait`.
 
-        No try begins with less time left than `least`: its answer would come too late.
-        UNSURE and FAILED: it may have been carried out. NOT_OWNER: no replica asked has carried it out.
+        No attempt starts with less than `min_remaining` seconds left: its reply would come too late.
+        After UNSURE and FAILED the call may have been carried out; after NOT_OWNER no replica has done so.
         """
         deadline = time.monotonic() + timeout
         fallback = Reply(Status.NOT_OWNER)
@@ -49,7 +49,7 @@
                 kind, body, min(remaining, CALL_TIMEOUT_S + owner_wait)
             )
             if reply.status in (Status.OVER_QUOTA, Status.REFUSED) and fallback.status != Status.NOT_OWNER:
-                return fallback  # an earlier call may yet be carried out: a refusal would promise too much
+                return fallback  # an earlier attempt may still be carried out: a refusal would be wrong
             if reply.status not in (Status.NOT_OWNER, Status.FAILED, Status.UNSURE):
                 return reply
             if reply.status != Status.NOT_OWNER:
--- a/heronstall/overview/__init__.py
+++ b/heronstall/overview/__init__.py
@@ -1,1 +1,1 @@
-"""What an operator sees of a running tier: asked of its nodes by the internal protocol, then judged."""
+"""The operator's overview of a running tier, collected by the internal protocol and checked for problems."""
--- a/heronstall/overview/ask.py
+++ b/heronstall/overview/ask.py
@@ -1,4 +1,4 @@
-"""Asks the nodes of a tier for their state. Reads alone: nothing in the tier changes by it."""
+"""Queries the nodes of a tier for their state. All queries are read-only."""
 
 from __future__ import annotations
 
@@ -20,19 +20,19 @@
 from heronstall.transport.links import Links
 from heronstall.transport.messages import Placement, ReadRequest, Session, SyncReply, SyncRequest
 
-REPLY_TIMEOUT_S = 1.5  # seconds for one node
-MAX_ROUNDS = 3  # in which silent nodes are asked again before they count as silent
-ROUND_DELAY_S = 0.3  # seconds between rounds
-CLIENT_NAME = "heronstall-ctl"  # its session counts as no node of the tier
+REPLY_TIMEOUT_S = 1.5  # of one query
+MAX_ROUNDS = 3  # queries to a node that does not reply before it counts as silent
+ROUND_DELAY_S = 0.3  # between rounds
+CLIENT_NAME = "heronstall-ctl"  # the tier does not count its session as a node
 UNUSED_JOB_NAME = ""  # a name that no batch job has
 
 
 class NoCoreNodeError(Exception):
-    """No core node answered; the message says which were asked."""
+    """No core node replied. The message names the addresses queried."""
 
 
 async def collect_overview(addresses: Sequence[str]) -> Overview:
-    """The state of the tier to which some core nodes belong, by their internal addresses. Raises NoNode."""
+    """Collects the state of a tier, given internal addresses of its core nodes. Raises NoCoreNodeError."""
     links = Links()
     fetched = await _fetch_view(links, addresses)
     if fetched is None:
@@ -54,7 +54,7 @@
 
 
 async def _query_rounds() -> AsyncIterator[int]:
-    """The rounds in which a node is asked, with a pause before each but the first."""
+    """Yields the numbers of the query rounds, with a delay before each but the first."""
     for round_number in range(MAX_ROUNDS):
         if round_number:
             await asyncio.sleep(ROUND_DELAY_S)
@@ -62,7 +62,7 @@
 
 
 async def _fetch_view(links: Links, addresses: Sequence[str]) -> tuple[View, list[str]] | None:
-    """All that one node tells, and the core nodes that it names; asked in rounds until one is in touch."""
+    """Returns the view of the first node in touch with a leader, and the core nodes that it names."""
     async for _ in _query_rounds():
         for address in addresses:
             reply = await _query_state(links, address)
@@ -95,7 +95,7 @@
 
 
 async def _query_batch_shard(links: Links, placement: Placement) -> BatchShardView:
-    """A shard's replicas, asked again where one is silent, or none is the owner: that may just change."""
+    """Queries a shard's replicas, again if one is silent or none is the owner, as during an election."""
     replicas: list[ReplicaView] = []
     async for _ in _query_rounds():
         replicas = await asyncio.gather(
@@ -108,7 +108,7 @@
 
 
 async def _query_replica(links: Links, shard: str, replica: str) -> ReplicaView:
-    """A replica: the owner alone knows that there is no job without a name, all others name the owner."""
+    """Queries a replica for a job that does not exist: only the owner replies that it is unknown."""
     request = bytes(ReadRequest(job=UNUSED_JOB_NAME, shard=shard))
     reply = await links.to(address_of(replica)).call(Kind.READ, request, REPLY_TIMEOUT_S)
     state = NodeState.SILENT if reply.status == Status.FAILED else NodeState.FINE
--- a/heronstall/overview/state.py
+++ b/heronstall/overview/state.py
@@ -1,4 +1,4 @@
-"""The state of a tier as its nodes tell it, and what is wrong with it. Free of I/O."""
+"""The state of a tier as its nodes report it, and its problems. Does no I/O."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 
 class NodeState(Enum):
-    """How a node answers."""
+    """How a node replies."""
 
     FINE = "fine"
-    OUT_OF_TOUCH = "out of touch"  # it has not heard of a leader lately and tells nothing
+    OUT_OF_TOUCH = "out of touch"  # it has not heard from a leader recently and withholds its state
     SILENT = "silent"
 
 
 @dataclass
 class ControlNode:
-    """A core node and the versions that it would give to dispatchers."""
+    """A core node and the versions of the state that it serves to dispatchers."""
 
     address: str
     state: NodeState
@@ -28,7 +28,7 @@
 
 @dataclass
 class ReplicaView:
-    """A replica of a batch shard; `owner` by its own word."""
+    """A replica of a batch shard. `owner` tells whether it considers itself the owner."""
 
     replica: str
     state: NodeState
@@ -45,18 +45,18 @@
 
 @dataclass
 class ServiceView:
-    """The workers of a service, by their state."""
+    """The number of a service's workers by state, and of the routes to it."""
 
     service: str
     ready: int = 0
     draining: int = 0
-    capacity: int = 0  # of those that are ready
+    capacity: int = 0  # slots of the ready workers
     routes: int = 0
 
 
 @dataclass
 class Overview:
-    """All that was told."""
+    """The collected state of the tier."""
 
     revision: int = 0
     dispatchers: int = 0
@@ -65,7 +65,7 @@
     services: list[ServiceView] = field(default_factory=list)
 
     def problems(self) -> list[str]:
-        """What needs somebody's attention, the gravest first."""
+        """Returns the problems that need attention, the most severe first."""
         return [
             *self._control_problems(),
             *(text for shard in self.batch for text in _shard_problems(shard)),
@@ -89,7 +89,7 @@
         return found
 
     def record(self) -> dict[str, Any]:
-        """For machines."""
+        """Returns the overview with its problems as a JSON object."""
         plain: dict[str, Any] = _enum_values(asdict(self))
         return {**plain, "problems": self.problems()}
 
@@ -118,7 +118,7 @@
 
 
 def service_views(document: dict[str, Any], workers: Iterable[tuple[str, str, int]]) -> list[ServiceView]:
-    """The services that routes name or workers tell: of each worker its service, state and capacity."""
+    """Returns the services of the configuration's routes and of the workers (service, state, capacity)."""
     found: dict[str, ServiceView] = {}
     for name, count in _route_counts(document).items():
         found[name] = ServiceView(name, routes=count)
@@ -141,7 +141,7 @@
 
 
 def _enum_values(value: Any) -> Any:
-    """Enums as their values, all through a value."""
+    """Replaces enum members by their values, also in nested containers."""
     if isinstance(value, dict):
         return {key: _enum_values(inner) for key, inner in value.items()}
     if isinstance(value, list):
