--- a/heronstall/dataplane/ingress.py
+++ b/heronstall/dataplane/ingress.py
@@ -13,7 +13,7 @@
 import structlog
 from aiohttp import web
 
-from heronstall.dataplane.batch_front import BatchApi
+from heronstall.dataplane.batch_api import BatchApi
 from heronstall.dataplane.deferred import DeferredLane
 from heronstall.dataplane.forwarding import (
     DEADLINE_HEADER,
--- a/heronstall/dataplane/node.py
+++ b/heronstall/dataplane/node.py
@@ -11,7 +11,7 @@
 
 from heronstall.config import NodeSettings
 from heronstall.dataplane.admission import Admission
-from heronstall.dataplane.batch_front import BatchApi
+from heronstall.dataplane.batch_api import BatchApi
 from heronstall.dataplane.batch_runner import BatchRunner
 from heronstall.dataplane.deferred import DeferredLane
 from heronstall.dataplane.forwarding import Forwarder
--- a/tests/tier/test_batch_front.py
+++ b/tests/tier/test_batch_api.py
@@ -7,7 +7,7 @@
 
 from aiohttp.test_utils import make_mocked_request
 
-from heronstall.dataplane.batch_front import MAX_WAIT_S, BatchApi
+from heronstall.dataplane.batch_api import MAX_WAIT_S, BatchApi
 from heronstall.transport.frames import Kind, Status
 from heronstall.transport.links import Reply
 from heronstall.transport.messages import ReadReply, ReadRequest
--- a/tests/tier/test_dataplane.py
+++ b/tests/tier/test_dataplane.py
@@ -18,7 +18,7 @@
 from heronstall.dataplane import attempts as silence
 from heronstall.dataplane.admission import Admission
 from heronstall.dataplane.attempts import Attempts
-from heronstall.dataplane.batch_front import InvalidSubmission, parse_items
+from heronstall.dataplane.batch_api import InvalidSubmission, parse_items
 from heronstall.dataplane.batch_runner import BatchRunner, RunningItem
 from heronstall.dataplane.deferred import DeferredLane
 from heronstall.dataplane.events import EventReader
