--- a/heronstall/cli/ctl.py
+++ b/heronstall/cli/ctl.py
@@ -48,7 +48,7 @@
     """
     import asyncio
 
-    from heronstall.overview.ask import NoCoreNodeError, collect_overview
+    from heronstall.overview.collector import NoCoreNodeError, collect_overview
 
     for address in addresses:
         if not _is_address(address):
--- a/tests/tier/test_overview.py
+++ b/tests/tier/test_overview.py
@@ -12,7 +12,7 @@
 from click.testing import CliRunner, Result
 
 from heronstall.cli.ctl import ctl
-from heronstall.overview import ask
+from heronstall.overview import collector
 from heronstall.overview.state import (
     BatchShardView,
     ControlNode,
@@ -104,13 +104,13 @@
 class Asking(unittest.IsolatedAsyncioTestCase):
     def setUp(self) -> None:
         for name, value in (("ROUND_DELAY_S", 0.0), ("REPLY_TIMEOUT_S", 0.4)):
-            patch = mock.patch.object(ask, name, value)
+            patch = mock.patch.object(collector, name, value)
             patch.start()
             self.addCleanup(patch.stop)
 
     async def test_all_that_is_well(self) -> None:
         async with Nodes(CORE=core, OTHER_CORE=core, OWNER=owner, FOLLOWER=follower) as nodes:
-            seen = await ask.collect_overview([CORE])
+            seen = await collector.collect_overview([CORE])
         self.assertEqual((seen.revision, seen.dispatchers), (4, 2))
         self.assertEqual([node.state for node in seen.control], [NodeState.FINE] * 2)
         self.assertEqual(seen.control[0].versions, {"config": 9, "placement": 3, "workers-0": 5})
@@ -121,7 +121,7 @@
 
     async def test_silent_nodes_and_nodes_out_of_touch_are_named(self) -> None:
         async with Nodes(CORE=core, OTHER_CORE=unsure, FOLLOWER=follower):
-            problems = (await ask.collect_overview([OTHER_CORE, CORE])).problems()
+            problems = (await collector.collect_overview([OTHER_CORE, CORE])).problems()
         self.assertIn(f"core node {OTHER_CORE} is out of touch", problems)
         self.assertIn("1 of 2 core nodes are in touch: no majority", problems)
         self.assertIn("batch-0 has no owner", problems)
@@ -135,13 +135,13 @@
             return next(answers, owner)(kind, body)
 
         async with Nodes(CORE=core, OTHER_CORE=core, OWNER=returning, FOLLOWER=follower):
-            seen = await ask.collect_overview([CORE])
+            seen = await collector.collect_overview([CORE])
         self.assertEqual([replica.owner for replica in seen.batch[0].replicas], [True, False])
 
     async def test_no_node_in_touch_is_said(self) -> None:
         async with Nodes(CORE=unsure):
-            with self.assertRaisesRegex(ask.NoCoreNodeError, CORE):
-                await ask.collect_overview([CORE, OTHER_CORE])
+            with self.assertRaisesRegex(collector.NoCoreNodeError, CORE):
+                await collector.collect_overview([CORE, OTHER_CORE])
 
 
 class Judgement(unittest.TestCase):
@@ -167,7 +167,7 @@
 class CommandLine(unittest.TestCase):
     def run_status(self, seen: Callable[[Any], Coroutine[Any, Any, Overview]], *words: str) -> Result:
         """Run `heronstall ctl status` on what was seen."""
-        with mock.patch.object(ask, "collect_overview", seen):
+        with mock.patch.object(collector, "collect_overview", seen):
             return CliRunner().invoke(ctl, ["status", *words])
 
     @staticmethod
@@ -185,7 +185,7 @@
     @staticmethod
     async def nobody(_addresses: object) -> Overview:
         """No node answers."""
-        raise ask.NoCoreNodeError("c:1")
+        raise collector.NoCoreNodeError("c:1")
 
     def test_a_tier_that_is_well(self) -> None:
         result = self.run_status(self.well, "--node", CORE)
--- a/tests/tier/test_processes.py
+++ b/tests/tier/test_processes.py
@@ -12,7 +12,7 @@
 from heronstall.lab.tier.plan import INTERNAL, drawn
 from heronstall.lab.tier.tier import LocalTier
 from heronstall.lab.tier.worker import text_of
-from heronstall.overview.ask import collect_overview
+from heronstall.overview.collector import collect_overview
 
 ITEMS = 6
 
