--- a/heronstall/dataplane/batch_runner.py
+++ b/heronstall/dataplane/batch_runner.py
@@ -54,7 +54,7 @@
 OWNER_STALE_S = 1.5  # without a reply of the owner, after which no item is started
 EXPECTED_RUN_TIME_S = 1.5  # approximate run time of an item
 UNKNOWN_ROUTE_DELAY_S = 0.2  # before an item of a route that this dispatcher never knew is returned
-RANK_IN_TIME, RANK_LATE = 0, 1  # ranks in the deferred lane
+RANK_IN_TIME, RANK_LATE = 0, 1  # ranks in the deferred queue
 REPORT_TIMEOUT_S = 2.0  # of one call that reports results
 FINISH_POLL_INTERVAL_S = 0.02  # between checks for unfinished items during shutdown
 FINAL_REPORT_TIMEOUT_S = 1.0  # for the last reports during shutdown
@@ -71,7 +71,7 @@
     event_data: list[bytes] = field(default_factory=list)
     last_event: int | None = None
     leased_at: float = field(default_factory=time.monotonic)
-    started_at: float = 0.0  # monotonic time at which it left the deferred lane; 0 before
+    started_at: float = 0.0  # monotonic time at which it left the deferred queue; 0 before
     attempts: list[Attempt] = field(default_factory=list)
     task: asyncio.Task[None] | None = None
 
@@ -297,7 +297,7 @@
         self._slot_freed = asyncio.Event()
 
     async def _wait_for_start(self, item: RunningItem) -> None:
-        """Waits in the deferred lane until a worker has a free slot."""
+        """Waits in the deferred queue until a worker has a free slot."""
         now = time.monotonic()
         deadline = now + item.leased.due_in_ms / 1000
         rank = RANK_LATE if deadline < now + EXPECTED_RUN_TIME_S else RANK_IN_TIME
--- a/heronstall/dataplane/forwarding.py
+++ b/heronstall/dataplane/forwarding.py
@@ -76,7 +76,7 @@
     tried: set[str] = field(default_factory=set)  # ids of workers
     attempt: Attempt | None = None  # the latest, once it may have reached a worker
     attempts: list[Attempt] = field(default_factory=list)
-    deferred: float = 0.0  # seconds in the deferred lane, behind urgent requests
+    deferred: float = 0.0  # seconds in the deferred queue, behind urgent requests
     worker_wait: float = 0.0  # seconds without an available worker
     placement: PlacedPrompt | None = None  # the planner's choice for the first attempt
 
--- a/heronstall/dataplane/misses.py
+++ b/heronstall/dataplane/misses.py
@@ -49,7 +49,7 @@
     """The arrival of a request and its waits at the dispatcher, in seconds."""
 
     arrived_at: float  # monotonic time
-    deferred: float  # in the deferred lane, behind urgent requests
+    deferred: float  # in the deferred queue, behind urgent requests
     worker_wait: float  # for an available worker
 
 
@@ -115,7 +115,7 @@
     outcome: Outcome
     leased_at: float  # monotonic time
     due_at: float  # monotonic time by which its job should be complete
-    started_at: float  # monotonic time at which it left the deferred lane; 0 if it did not
+    started_at: float  # monotonic time at which it left the deferred queue; 0 if it did not
     attempts: Sequence[Attempt]
 
     @property
--- a/tests/tier/test_dataplane.py
+++ b/tests/tier/test_dataplane.py
@@ -1,4 +1,4 @@
-"""The data plane's parts free of sockets: routes, events, prefixes, lanes, silent attempts, draws."""
+"""The data plane without sockets: routes, events, deferred work, worker selection, batch items."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from multidict import CIMultiDict
 
 from heronstall.batch.outcomes import Outcome
-from heronstall.dataplane import attempts as silence
+from heronstall.dataplane import attempts as limits
 from heronstall.dataplane.admission import Admission
 from heronstall.dataplane.attempts import Attempts
 from heronstall.dataplane.batch_api import InvalidSubmission, parse_items
@@ -41,7 +41,7 @@
 )
 
 
-def routes() -> Routes:
+def sample_routes() -> Routes:
     entries: list[dict[str, object]] = [
         {"name": "a", "hostname": "H.example", "path_prefix": "/a/", "route_type": "streaming"},
         {"name": "ab", "hostname": "h.example", "path_prefix": "/a/b/", "route_type": "idempotent"},
@@ -60,8 +60,8 @@
 
 
 class Routing(unittest.TestCase):
-    def test_the_longest_prefix_of_the_host_wins(self) -> None:
-        found = routes()
+    def test_longest_matching_path_prefix_wins(self) -> None:
+        found = sample_routes()
         for host, path, name in (
             ("h.example", "/a/x", "a"),
             ("h.example:80", "/a/b/x", "ab"),
@@ -73,15 +73,15 @@
                 route = found.find(host, path)
                 self.assertEqual(route.name if route else None, name)
 
-    def test_what_may_run_again(self) -> None:
-        by_name = {r.name: r for r in routes().by_host["h.example"]}
+    def test_repeatable_routes(self) -> None:
+        by_name = {r.name: r for r in sample_routes().by_host["h.example"]}
         self.assertFalse(by_name["a"].repeatable)
         self.assertTrue(by_name["ab"].repeatable)
         self.assertIs(by_name["slow"].type, RouteType.NON_IDEMPOTENT)
         self.assertFalse(by_name["slow"].repeatable)
 
-    def test_an_aim_well_above_the_shortest_is_deferrable(self) -> None:
-        found = routes()
+    def test_route_with_target_latency_well_above_the_shortest_is_deferrable(self) -> None:
+        found = sample_routes()
         by_name = {r.name: r for r in found.by_host["h.example"]}
         self.assertFalse(found.is_deferrable(by_name["a"]))
         self.assertTrue(found.is_deferrable(by_name["slow"]))
@@ -89,7 +89,7 @@
 
 
 class Events(unittest.TestCase):
-    def test_events_come_whole_however_the_bytes_are_cut(self) -> None:
+    def test_events_are_reassembled_from_chunks_of_any_size(self) -> None:
         stream = b"id: 1\ndata: a\ndata: b\n\nversions: 3\nid: 2\ndata: c\n\n"
         stream += b": note\r\nid: 3\r\ndata:d\r\n\r\nid: 4\ndata"
         for size in range(1, len(stream) + 1):
@@ -100,15 +100,15 @@
 
 
 class Prefixes(unittest.TestCase):
-    def test_the_last_part_is_not_shared(self) -> None:
+    def test_last_segment_is_not_shared(self) -> None:
         self.assertEqual(shared_prefix("ab:800,cd:410,ef:250"), ("ab", 1210, 800))
         self.assertEqual(shared_prefix("ab:800"), NOTHING)
 
-    def test_what_cannot_be_read_shares_nothing(self) -> None:
+    def test_malformed_header_means_no_shared_prefix(self) -> None:
         for header in ("", ",", "a,b,c", "a:x,b:1", "a:-1,b:2", "a:1:2,b:3"):
             self.assertEqual(shared_prefix(header), NOTHING, header)
 
-    def test_parts_spread_evenly_over_workers(self) -> None:
+    def test_segments_are_distributed_evenly_over_workers(self) -> None:
         homes = [max(range(6), key=lambda w: affinity(f"part{p}", f"worker{w}")) for p in range(600)]
         counts = [homes.count(w) for w in range(6)]
         self.assertGreater(min(counts), 60)
@@ -123,11 +123,11 @@
         return self.now
 
 
-class Lane(unittest.IsolatedAsyncioTestCase):
+class DeferredQueueing(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         self.clock = Clock()
         self.utilisation = 0.2
-        self.lane = DeferredLane(lambda: self.utilisation, self.clock)
+        self.queue = DeferredLane(lambda: self.utilisation, self.clock)
         self.order: list[str] = []
         self.room = 100
 
@@ -135,141 +135,141 @@
         self, name: str, rank: int, deadline: float, due: float, everywhere: bool = False
     ) -> asyncio.Task[None]:
         async def work() -> None:
-            await self.lane.wait(rank, deadline, due, lambda: everywhere or self.room > 0)
+            await self.queue.wait(rank, deadline, due, lambda: everywhere or self.room > 0)
             self.order.append(name)
 
         task = asyncio.create_task(work())
         await asyncio.sleep(0)
         return task
 
-    async def look(self) -> list[str]:
-        self.lane.look()
+    async def release(self) -> list[str]:
+        self.queue.look()
         for _ in range(3):
             await asyncio.sleep(0)
         return self.order
 
-    def turn_busy(self) -> None:
+    def become_busy(self) -> None:
         self.utilisation = 0.95
         for _ in range(130):
             self.clock.now += 0.25
-            self.lane.look()
-        self.assertTrue(self.lane.switch.busy)
+            self.queue.look()
+        self.assertTrue(self.queue.switch.busy)
 
     async def test_idle_releases_all_by_deadline_and_late_ranks_last(self) -> None:
         await self.add("late", 1, 10.0, 0.0)
         await self.add("second", 0, 70.0, 69.0)
         await self.add("first", 0, 60.0, 59.0)
-        self.assertEqual(await self.look(), ["first", "second", "late"])
+        self.assertEqual(await self.release(), ["first", "second", "late"])
 
-    async def test_busy_releases_only_what_is_due(self) -> None:
-        self.turn_busy()
+    async def test_busy_releases_only_due_work(self) -> None:
+        self.become_busy()
         await self.add("later", 0, self.clock.now + 20, self.clock.now + 10)
         await self.add("due", 0, self.clock.now + 1, self.clock.now)
-        self.assertEqual(await self.look(), ["due"])
+        self.assertEqual(await self.release(), ["due"])
         self.clock.now += 10.1
-        self.assertEqual(await self.look(), ["due", "later"])
+        self.assertEqual(await self.release(), ["due", "later"])
 
-    async def test_without_room_nothing_is_released(self) -> None:
+    async def test_nothing_is_released_without_a_free_slot(self) -> None:
         self.room = 0
         await self.add("a", 0, 60.0, 59.0)
-        self.assertEqual(await self.look(), [])
+        self.assertEqual(await self.release(), [])
         self.room = 1
-        self.assertEqual(await self.look(), ["a"])
+        self.assertEqual(await self.release(), ["a"])
 
-    async def test_work_without_room_holds_up_nothing_that_needs_none(self) -> None:
-        """Items that find no worker must not hold a live request: held so long it is priced."""
+    async def test_work_without_a_free_slot_does_not_block_work_that_needs_none(self) -> None:
+        """Items without a worker must not delay a live request, whose delay is penalized."""
         self.room = 0
         for busy in (False, True):
             if busy:
-                self.turn_busy()
+                self.become_busy()
             now = self.clock.now
             item = await self.add("item", 0, now + 0.1, now)
             await self.add("request", 0, now + 0.3, now, everywhere=True)
-            self.assertEqual((await self.look())[-1], "request")
+            self.assertEqual((await self.release())[-1], "request")
             self.order.clear()
             item.cancel()
             await asyncio.sleep(0)
 
-    async def test_for_work_that_is_alike_room_is_looked_for_once_until_there_is_some(self) -> None:
-        asked: list[str] = []
+    async def test_free_slot_is_checked_once_per_group_until_there_is_one(self) -> None:
+        checked: list[str] = []
 
         async def wait(name: str, route: str | None) -> None:
             def may_start() -> bool:
-                asked.append(name)
+                checked.append(name)
                 return self.room > 0
 
-            await self.lane.wait(0, 60.0, 59.0, may_start, route)
+            await self.queue.wait(0, 60.0, 59.0, may_start, route)
             self.order.append(name)
 
         for name, route in (("a1", "a"), ("a2", "a"), ("b1", "b"), ("n1", None), ("n2", None)):
             asyncio.create_task(wait(name, route))
         await asyncio.sleep(0)
         self.room = 0
-        self.assertEqual(await self.look(), [])
-        self.assertEqual(asked, ["a1", "b1", "n1", "n2"])
+        self.assertEqual(await self.release(), [])
+        self.assertEqual(checked, ["a1", "b1", "n1", "n2"])
         self.room = 1
-        self.assertEqual(await self.look(), ["a1", "a2", "b1", "n1", "n2"])
+        self.assertEqual(await self.release(), ["a1", "a2", "b1", "n1", "n2"])
 
-    async def test_work_that_was_given_up_holds_nobody(self) -> None:
+    async def test_cancelled_work_blocks_no_other(self) -> None:
         first = await self.add("a", 0, 60.0, 59.0)
         await self.add("b", 0, 61.0, 60.0)
         first.cancel()
         await asyncio.sleep(0)
-        self.assertEqual(await self.look(), ["b"])
-        self.assertEqual(len(self.lane), 0)
+        self.assertEqual(await self.release(), ["b"])
+        self.assertEqual(len(self.queue), 0)
 
 
-class Silence(unittest.IsolatedAsyncioTestCase):
-    async def test_a_dark_worker_is_suspected_and_a_slow_answer_is_not(self) -> None:
+class SilentAttempts(unittest.IsolatedAsyncioTestCase):
+    async def test_silent_worker_is_suspected_and_slow_response_is_not(self) -> None:
         worker = Attempts()
         async with asyncio.timeout(None) as limit:
             waiting, streaming = worker.begin(limit, None), worker.begin(limit, None)
             sent = waiting.sent_at
             self.assertFalse(worker.suspected(sent + 0.1))
-            self.assertTrue(worker.suspected(sent + silence.WORKER_SILENT + 0.1))
+            self.assertTrue(worker.suspected(sent + limits.WORKER_SILENT + 0.1))
             worker.heard(streaming)
-            self.assertFalse(worker.suspected(sent + silence.WORKER_SILENT + 0.1))
+            self.assertFalse(worker.suspected(sent + limits.WORKER_SILENT + 0.1))
 
-    async def test_a_long_prompt_excuses_silence_until_something_has_come(self) -> None:
+    async def test_long_prompt_extends_silence_limit_until_the_first_data(self) -> None:
         worker = Attempts()
-        reading = 1.0
-        tokens = int(reading * silence.READ_PER_SECOND)
+        prefill_time = 1.0
+        tokens = int(prefill_time * limits.READ_PER_SECOND)
         with self.assertRaises(TimeoutError):
             async with asyncio.timeout(None) as limit:
-                attempt = worker.begin(limit, silence.REQUEST_SILENT, tokens)
+                attempt = worker.begin(limit, limits.REQUEST_SILENT, tokens)
                 sent = attempt.sent_at
-                self.assertFalse(worker.suspected(sent + silence.WORKER_SILENT + 0.9 * reading))
-                self.assertTrue(worker.suspected(sent + silence.WORKER_SILENT + 1.1 * reading))
-                self.assertEqual(worker.end_silent(sent + silence.WORKER_SILENT + 0.9 * reading), 0)
+                self.assertFalse(worker.suspected(sent + limits.WORKER_SILENT + 0.9 * prefill_time))
+                self.assertTrue(worker.suspected(sent + limits.WORKER_SILENT + 1.1 * prefill_time))
+                self.assertEqual(worker.end_silent(sent + limits.WORKER_SILENT + 0.9 * prefill_time), 0)
                 worker.heard(attempt)
-                begun = attempt.heard_at
-                self.assertEqual(worker.end_silent(begun + 0.9 * silence.REQUEST_SILENT), 0)
-                self.assertEqual(worker.end_silent(begun + 1.1 * silence.REQUEST_SILENT), 1)
+                first_at = attempt.heard_at
+                self.assertEqual(worker.end_silent(first_at + 0.9 * limits.REQUEST_SILENT), 0)
+                self.assertEqual(worker.end_silent(first_at + 1.1 * limits.REQUEST_SILENT), 1)
                 await asyncio.Event().wait()
 
-    async def test_no_length_told_excuses_silence_for_ever(self) -> None:
+    async def test_extension_of_the_silence_limit_is_bounded(self) -> None:
         worker = Attempts()
         with self.assertRaises(TimeoutError):
             async with asyncio.timeout(None) as limit:
-                attempt = worker.begin(limit, silence.REQUEST_SILENT, 10**9)
-                late = attempt.sent_at + silence.WORKER_SILENT + silence.READING_MOST + 0.1
+                attempt = worker.begin(limit, limits.REQUEST_SILENT, 10**9)
+                late = attempt.sent_at + limits.WORKER_SILENT + limits.READING_MOST + 0.1
                 self.assertEqual(worker.end_silent(late), 1)
                 await asyncio.Event().wait()
 
-    async def test_only_what_may_be_repeated_is_ended(self) -> None:
+    async def test_only_repeatable_attempts_are_ended_by_silence(self) -> None:
         worker = Attempts()
-        async with asyncio.timeout(None) as kept:
+        async with asyncio.timeout(None) as unlimited:
             with self.assertRaises(TimeoutError):
                 async with asyncio.timeout(None) as limit:
-                    once = worker.begin(kept, None)
-                    again = worker.begin(limit, silence.REQUEST_SILENT)
-                    self.assertEqual(worker.end_silent(again.sent_at + 0.1), 0)
-                    self.assertEqual(worker.end_silent(again.sent_at + silence.REQUEST_SILENT + 0.1), 1)
+                    unrepeatable = worker.begin(unlimited, None)
+                    repeatable = worker.begin(limit, limits.REQUEST_SILENT)
+                    self.assertEqual(worker.end_silent(repeatable.sent_at + 0.1), 0)
+                    self.assertEqual(worker.end_silent(repeatable.sent_at + limits.REQUEST_SILENT + 0.1), 1)
                     await asyncio.Event().wait()
-            self.assertEqual(worker.under_way, {once})
+            self.assertEqual(worker.under_way, {unrepeatable})
 
 
-class Draws(unittest.TestCase):
+class WorkerSelection(unittest.TestCase):
     def setUp(self) -> None:
         self.pool = WorkerPool.__new__(WorkerPool)
         self.pool.by_id, self.pool._by_service, self.pool._rings = {}, {}, {}
@@ -281,7 +281,7 @@
             )
         self.admission = Admission(self.pool, random.Random(3))
 
-    def drawn(self, count: int = 400, **options: bool) -> dict[str, int]:
+    def pick_counts(self, count: int = 400, **options: bool) -> dict[str, int]:
         found: dict[str, int] = {}
         for _ in range(count):
             worker = self.admission.pick("s", NOTHING, set(), **options)
@@ -289,87 +289,87 @@
                 found[worker.entry.id] = found.get(worker.entry.id, 0) + 1
         return found
 
-    def test_own_load_and_the_others_load_weigh(self) -> None:
+    def test_own_and_peer_load_reduce_weight(self) -> None:
         self.pool.by_id["w0"].inflight = 5
         for _ in range(20):
             self.pool.take_loads({"w1": WorkerLoad("w1", 9, 0)})
-        found = self.drawn()
+        found = self.pick_counts()
         self.assertLess(found.get("w0", 0), 30)
         self.assertLess(found.get("w1", 0), 60)
 
-    def test_draining_and_tried_workers_get_nothing(self) -> None:
+    def test_draining_and_tried_workers_are_not_picked(self) -> None:
         self.pool.by_id["w0"].entry.state = "draining"
         found = {w.entry.id for _ in range(200) if (w := self.admission.pick("s", NOTHING, {"w1"}))}
         self.assertEqual(found, {"w2", "w3"})
 
-    def test_a_worker_that_answers_with_errors_gets_little_until_it_recovers(self) -> None:
-        grey = self.pool.by_id["w0"]
+    def test_worker_with_errors_gets_few_requests_until_it_recovers(self) -> None:
+        erroring = self.pool.by_id["w0"]
         for _ in range(30):
-            self.admission.answered(grey, 500)
-        found = self.drawn()
+            self.admission.answered(erroring, 500)
+        found = self.pick_counts()
         self.assertLess(found.get("w0", 0), 25)
         self.assertGreater(found.get("w0", 0), 0)
         for _ in range(60):
-            self.admission.answered(grey, 200)
-        self.assertGreater(self.drawn().get("w0", 0), 60)
+            self.admission.answered(erroring, 200)
+        self.assertGreater(self.pick_counts().get("w0", 0), 60)
 
-    def test_a_worker_near_or_connected_goes_first_as_long_as_it_has_places_to_spare(self) -> None:
+    def test_near_or_connected_worker_is_preferred_while_it_has_spare_slots(self) -> None:
         self.admission = Admission(self.pool, random.Random(3), "z")
         near, connected = self.pool.by_id["w0"], self.pool.by_id["w1"]
         near.entry.zone = "z"
-        found = self.drawn()
+        found = self.pick_counts()
         self.assertGreater(found["w0"], 1.5 * max(found["w1"], found["w2"], found["w3"]))
         with mock.patch.object(connected, "has_kept", return_value=True):
-            self.assertGreater(self.drawn()["w1"], 250)
+            self.assertGreater(self.pick_counts()["w1"], 250)
             connected.others_live = 8.0
-            self.assertLess(self.drawn().get("w1", 0), 60)
+            self.assertLess(self.pick_counts().get("w1", 0), 60)
         near.others_live = 8.0
-        self.assertLess(self.drawn().get("w0", 0), 60)
+        self.assertLess(self.pick_counts().get("w0", 0), 60)
 
-    def test_a_large_prompt_goes_home(self) -> None:
+    def test_large_prompt_goes_to_its_home_worker(self) -> None:
         prefix = shared_prefix("aa:13000,bb:400")
         homes = [self.admission.pick("s", prefix, set()) for _ in range(100)]
         names = [w.entry.id for w in homes if w]
         self.assertGreater(max(names.count(n) for n in set(names)), 80)
 
-    def test_a_large_prompt_goes_home_among_many_workers_too(self) -> None:
+    def test_large_prompt_goes_to_its_home_worker_among_many(self) -> None:
         entries = {f"w{k}": Worker(id=f"w{k}", service="s", state="ready", capacity=10) for k in range(40)}
         with mock.patch("asyncio.Event", mock.Mock):
             self.pool.update(entries)
         prefix = shared_prefix("aa:13000,bb:400")
 
-        def drawn() -> Counter[str]:
+        def pick_counts() -> Counter[str]:
             return Counter(w.entry.id for _ in range(200) if (w := self.admission.pick("s", prefix, set())))
 
-        (home, often) = drawn().most_common(1)[0]
+        (home, often) = pick_counts().most_common(1)[0]
         self.assertGreater(often, 160)
         for name in self.pool.by_id:
             self.pool.by_id[name].others_live = 7.0
         self.pool.by_id[home].others_live = 10.0
-        full = drawn()
+        full = pick_counts()
         (second, often) = next(pair for pair in full.most_common() if pair[0] != home)
         self.assertGreater(often, 160)
         self.pool.by_id[home].entry.state = "draining"
-        self.assertGreater(drawn()[second], 180)
+        self.assertGreater(pick_counts()[second], 180)
 
-    def test_a_worker_that_others_do_not_reach_is_set_aside_here_too(self) -> None:
+    def test_worker_that_peers_cannot_reach_is_not_picked(self) -> None:
         self.pool.take_loads({"w0": WorkerLoad("w0", failing=2), "w1": WorkerLoad("w1", failing=1)})
-        self.assertEqual(set(self.drawn()), {"w1", "w2", "w3"})
+        self.assertEqual(set(self.pick_counts()), {"w1", "w2", "w3"})
         worker = self.pool.by_id["w0"]
-        worker.attempts.heard_at = time.monotonic()  # it has just answered here
-        self.assertIn("w0", self.drawn())
+        worker.attempts.heard_at = time.monotonic()  # it has just sent data here
+        self.assertIn("w0", self.pick_counts())
         worker.attempts.heard_at = 0.0
         self.pool.take_loads({})
-        self.assertIn("w0", self.drawn())
+        self.assertIn("w0", self.pick_counts())
 
-    def test_connections_kept_to_it_are_ended_once(self) -> None:
+    def test_idle_connections_are_closed_once_per_series_of_peer_failures(self) -> None:
         worker = self.pool.by_id["w0"]
         with mock.patch.object(type(worker), "forget_kept") as forget:
             for failing in (1, 2, 3, 1, 2):
                 worker.note_failing(failing)
         self.assertEqual(forget.call_count, 2)
 
-    def test_a_worker_that_was_named_elsewhere_is_used_only_where_it_is_sound_from_here(self) -> None:
+    def test_planned_worker_is_used_only_if_healthy_from_here(self) -> None:
         def usable(name: str) -> bool:
             return self.admission.usable(name, "s") is not None
 
@@ -384,22 +384,22 @@
         self.pool.by_id["w3"].pace.doublings, self.pool.by_id["w3"].pace.at = 3.0, now
         self.assertEqual([usable(f"w{k}") for k in range(4)], [False] * 4)
 
-    def test_words_against_most_workers_set_none_aside(self) -> None:
-        """Then those who say so are cut off themselves."""
+    def test_peer_failures_of_most_workers_exclude_none(self) -> None:
+        """In that case the peers that report failures are cut off themselves."""
         self.pool.take_loads({f"w{k}": WorkerLoad(f"w{k}", failing=4) for k in range(3)})
-        self.assertEqual(len(self.drawn()), 4)
+        self.assertEqual(len(self.pick_counts()), 4)
 
-    def test_a_failure_is_told_to_the_others_while_it_is_fresh(self) -> None:
+    def test_recent_failure_is_reported_to_peers(self) -> None:
         worker = self.pool.by_id["w2"]
         self.admission.failed(worker)
-        (told,) = self.pool.loads()
-        self.assertEqual((told.worker, told.failing, told.requests), ("w2", 1, 0))
+        (load,) = self.pool.loads()
+        self.assertEqual((load.worker, load.failing, load.requests), ("w2", 1, 0))
         worker.failing_until = 0.0
         self.assertEqual(self.pool.loads(), [])
 
 
 class Subsets(unittest.TestCase):
-    def test_every_worker_is_in_as_many_parts_but_for_one(self) -> None:
+    def test_workers_are_in_nearly_equally_many_subsets(self) -> None:
         for workers, dispatchers, inflight in (
             (36, 53, 6),
             (45, 75, 5),
@@ -409,75 +409,75 @@
         ):
             with self.subTest(workers=workers, dispatchers=dispatchers):
                 names = ring(f"i-{k}" for k in range(workers))
-                parts = [preferred(names, Seat(n + 1, dispatchers), inflight) for n in range(dispatchers)]
-                self.assertEqual({len(part) for part in parts}, {max(LEAST, inflight + IDLE)})
-                shared = Counter(name for part in parts for name in part)
+                subsets = [preferred(names, Seat(n + 1, dispatchers), inflight) for n in range(dispatchers)]
+                self.assertEqual({len(subset) for subset in subsets}, {max(LEAST, inflight + IDLE)})
+                shared = Counter(name for subset in subsets for name in subset)
                 counts = [shared[name] for name in names]
                 if dispatchers >= workers:
                     self.assertLessEqual(max(counts) - min(counts), max(1, (LEAST + inflight + IDLE) // 2))
-                whole = dispatchers * max(LEAST, inflight + IDLE) / workers
-                self.assertLess(max(counts), whole + 2)
+                mean = dispatchers * max(LEAST, inflight + IDLE) / workers
+                self.assertLess(max(counts), mean + 2)
 
-    def test_the_ring_does_not_hang_on_the_order_of_the_table(self) -> None:
+    def test_ring_is_independent_of_the_workers_order(self) -> None:
         names = [f"i-{k}" for k in range(20)]
         self.assertEqual(ring(names), ring(reversed(names)))
 
-    def test_few_workers_or_an_unknown_seat_make_no_part(self) -> None:
+    def test_few_workers_or_unknown_position_give_no_subset(self) -> None:
         names = ring(f"i-{k}" for k in range(6))
         self.assertEqual(preferred(names, Seat(1, 4), 6 - IDLE), frozenset())
         self.assertEqual(preferred(names, Seat(0, 4), 0), frozenset())
         self.assertEqual(preferred([], Seat(1, 4), 0), frozenset())
-        self.assertEqual(len(preferred(names, Seat(9, 4), 0)), LEAST)  # told by a node that knows fewer
+        self.assertEqual(len(preferred(names, Seat(9, 4), 0)), LEAST)  # the assigning node knows fewer
 
-    def test_more_streams_make_the_part_larger_and_keep_what_is_in_it(self) -> None:
+    def test_subset_only_grows_with_more_streams(self) -> None:
         names = ring(f"i-{k}" for k in range(40))
-        parts = [preferred(names, Seat(5, 9), inflight) for inflight in range(20)]
-        for smaller, larger in itertools.pairwise(parts):
+        subsets = [preferred(names, Seat(5, 9), inflight) for inflight in range(20)]
+        for smaller, larger in itertools.pairwise(subsets):
             self.assertLessEqual(smaller, larger)
 
 
-class SubsetDraws(unittest.TestCase):
-    """Dispatchers that know of nothing but their own streams."""
+class SubsetSelection(unittest.TestCase):
+    """Dispatchers that know only their own streams."""
 
     WORKERS, DISPATCHERS, STREAMS, ROUNDS = 36, 54, 324, 3
 
-    def spread(self, seed: int, seats: bool) -> float:
-        """Variance of the workers' loads over their mean, streams coming and going: 1 for even draws."""
+    def load_dispersion(self, seed: int, positions: bool) -> float:
+        """Returns the ratio of the variance of the workers' loads to their mean: 1 for uniform draws."""
         rng = random.Random(seed)
-        edges = []
+        dispatchers = []
         for number in range(1, self.DISPATCHERS + 1):
             pool = WorkerPool()
             names = [f"w{k}" for k in range(self.WORKERS)]
             pool.update({n: Worker(id=n, service="s", state="ready", capacity=12) for n in names})
-            edges.append(Admission(pool, rng))
-            if seats:
+            dispatchers.append(Admission(pool, rng))
+            if positions:
                 pool.seat = Seat(number, self.DISPATCHERS)
         streams: list[tuple[Admission, WorkerState]] = []
         loads: Counter[str] = Counter()
         for _ in range(self.ROUNDS * self.STREAMS):
             if len(streams) == self.STREAMS:
-                edge, worker = streams.pop(rng.randrange(self.STREAMS))
-                edge.done(worker, True)
+                dispatcher, worker = streams.pop(rng.randrange(self.STREAMS))
+                dispatcher.done(worker, True)
                 loads[worker.entry.id] -= 1
-            edge = rng.choice(edges)
-            worker = edge.pick("s", NOTHING, set()) or self.fail("no worker")
-            edge.sent(worker)
-            streams.append((edge, worker))
+            dispatcher = rng.choice(dispatchers)
+            worker = dispatcher.pick("s", NOTHING, set()) or self.fail("no worker")
+            dispatcher.sent(worker)
+            streams.append((dispatcher, worker))
             loads[worker.entry.id] += 1
         mean = self.STREAMS / self.WORKERS
         return sum((loads[f"w{k}"] - mean) ** 2 for k in range(self.WORKERS)) / self.WORKERS / mean
 
-    def test_loads_vary_less_than_by_draws_among_all(self) -> None:
-        seeds = range(16)  # the ratio of four varies from 0.5 to 0.9
-        among_all = sum(self.spread(seed, seats=False) for seed in seeds)
-        in_parts = sum(self.spread(seed, seats=True) for seed in seeds)
-        self.assertLess(in_parts, 0.8 * among_all)
+    def test_loads_vary_less_than_with_draws_among_all_workers(self) -> None:
+        seeds = range(16)  # with four seeds the ratio varies from 0.5 to 0.9
+        among_all = sum(self.load_dispersion(seed, positions=False) for seed in seeds)
+        in_subsets = sum(self.load_dispersion(seed, positions=True) for seed in seeds)
+        self.assertLess(in_subsets, 0.8 * among_all)
 
 
 class PromptTokens(unittest.TestCase):
-    def test_what_is_no_plain_number_counts_for_nothing(self) -> None:
-        route = routes().by_host["h.example"][0]
-        for told, tokens in (
+    def test_malformed_token_counts_are_zero(self) -> None:
+        route = sample_routes().by_host["h.example"][0]
+        for header, tokens in (
             ("1460,80", 1460),
             ("12", 12),
             ("", 0),
@@ -485,13 +485,13 @@
             ("x,1", 0),
             ("9" * 5000, 0),
         ):
-            with self.subTest(told[:8]):
-                request = mock.Mock(headers={TOKEN_USAGE_HEADER: told})
+            with self.subTest(header[:8]):
+                request = mock.Mock(headers={TOKEN_USAGE_HEADER: header})
                 self.assertEqual(RequestContext(request, route, "s", b"", 1.0, 0.0).prompt_tokens, tokens)
 
 
-class Paths(unittest.IsolatedAsyncioTestCase):
-    async def test_a_path_that_the_library_would_change_is_not_sent(self) -> None:
+class RequestPaths(unittest.IsolatedAsyncioTestCase):
+    async def test_path_that_the_library_would_change_is_not_sent(self) -> None:
         worker = WorkerState(Worker(id="w", address="127.0.0.1:1"))
         for path in ("/a#b", "/a?", "/a?b#c"):
             with self.subTest(path=path), self.assertRaises(UnsendablePath):
@@ -504,7 +504,7 @@
 
 class ItemsOfRoutes(unittest.IsolatedAsyncioTestCase):
     async def outcome(self, configurations: list[Routes]) -> Outcome:
-        """What becomes of an item of route `lots` at a dispatcher that has had these configurations."""
+        """Returns the outcome of an item of route `lots` after these configurations were applied in turn."""
         current = mock.Mock()
         runner = BatchRunner("edge", mock.Mock(), mock.Mock(), mock.Mock(), current)
         runner._poll = mock.AsyncMock()  # type: ignore[method-assign]
@@ -517,38 +517,38 @@
                 RunningItem(leased, BatchItem(id="i", path="/lots/1"), "batch-0")
             )
 
-    async def test_an_item_of_a_route_that_is_gone_is_dead(self) -> None:
-        self.assertEqual(await self.outcome([routes(), Routes(revision=4)]), Outcome.ROUTE_GONE)
+    async def test_item_of_a_removed_route_fails(self) -> None:
+        self.assertEqual(await self.outcome([sample_routes(), Routes(revision=4)]), Outcome.ROUTE_GONE)
 
-    async def test_an_item_of_a_route_not_yet_known_is_given_back(self) -> None:
+    async def test_item_of_an_unknown_route_is_returned(self) -> None:
         self.assertEqual(await self.outcome([Routes(revision=2)]), Outcome.RETURNED)
 
 
-class CallsForItems(unittest.IsolatedAsyncioTestCase):
-    """Each call tells what the dispatcher holds, so that the owner learns of leases that were lost."""
+class LeaseCalls(unittest.IsolatedAsyncioTestCase):
+    """Each call lists the leases that the dispatcher holds, so that the owner detects lost ones."""
 
     def setUp(self) -> None:
         self.shards = mock.Mock()
         self.runner = BatchRunner("edge", self.shards, mock.Mock(), mock.Mock(), mock.Mock())
 
-    def hold(self, name: str, lease: int) -> None:
+    def add_running(self, name: str, lease: int) -> None:
         leased = LeasedItem(job="j", lease=lease)
         self.runner._running["j", name] = RunningItem(leased, BatchItem(id=name), "batch-0")
 
-    def test_what_runs_is_held_and_calls_are_numbered(self) -> None:
-        self.hold("i", 7)
+    def test_call_lists_held_leases_and_is_numbered(self) -> None:
+        self.add_running("i", 7)
         first = self.runner._lease_request("batch-0", 2)
         second = self.runner._lease_request("batch-0", 2)
         self.assertEqual([(h.job, h.item, h.lease) for h in first.held], [("j", "i", 7)])
         self.assertGreater(second.call, first.call)
         self.assertEqual(self.runner._lease_request("batch-1", 2).held, [])
 
-    async def test_a_report_is_told_until_it_is_acknowledged(self) -> None:
-        told: list[list[str]] = []
+    async def test_report_is_listed_until_it_is_acknowledged(self) -> None:
+        listed: list[list[str]] = []
 
         async def call(*_: object, **__: object) -> Reply:
-            told.append([r.item for r in self.runner._lease_request("batch-0", 0).reported])
-            return Reply(Status.UNSURE if len(told) == 1 else Status.OK)
+            listed.append([r.item for r in self.runner._lease_request("batch-0", 0).reported])
+            return Reply(Status.UNSURE if len(listed) == 1 else Status.OK)
 
         self.shards.call = call
         self.runner._reports["batch-0"] = [ItemReport("j", "i", Outcome.FAILED, b"", 7)]
@@ -556,17 +556,17 @@
             await self.runner._send_reports("batch-0")
             self.assertEqual([r.item for r in self.runner._lease_request("batch-0", 0).reported], ["i"])
             await self.runner._send_reports("batch-0")
-        self.assertEqual(told, [["i"], ["i"]])
+        self.assertEqual(listed, [["i"], ["i"]])
         self.assertEqual(self.runner._lease_request("batch-0", 0).reported, [])
 
-    async def test_an_item_that_comes_in_the_turn_of_the_end_is_given_back(self) -> None:
-        """The end cancels tasks; one that has not had its first turn runs nothing, not even its own end."""
+    async def test_item_that_arrives_during_stop_is_returned(self) -> None:
+        """Stopping cancels tasks, and a task that has not started to run does not execute its own cleanup."""
         leased = LeasedItem(job="j", item=bytes(BatchItem(id="i")), lease=9)
-        for stops_first in (False, True):
-            with self.subTest(stops_first=stops_first):
+        for stop_first in (False, True):
+            with self.subTest(stop_first=stop_first):
                 self.setUp()
                 self.runner._deferred.wait = lambda *_: asyncio.sleep(600)  # type: ignore[method-assign]
-                if stops_first:
+                if stop_first:
                     await self.runner.stop()
                     self.runner._start("batch-0", leased)
                 else:
@@ -578,8 +578,8 @@
                 reports = self.runner._lease_request("batch-0", 0).reported
                 self.assertEqual([(r.item, r.lease) for r in reports], [("i", 9)])
 
-    async def finished(self, acknowledged_after: float) -> float:
-        """Seconds that an end takes with one report that an owner acknowledges so late."""
+    async def finish_duration(self, acknowledged_after: float) -> float:
+        """Returns how long finishing takes if the owner acknowledges a report after this many seconds."""
         began = time.monotonic()
 
         async def call(*_: object, **__: object) -> Reply:
@@ -594,83 +594,86 @@
         reporting.cancel()
         return time.monotonic() - began
 
-    async def test_the_end_waits_for_the_last_reports_for_a_while(self) -> None:
-        self.assertGreaterEqual(await self.finished(0.3), 0.3)
+    async def test_finish_waits_for_the_last_reports_for_a_limited_time(self) -> None:
+        self.assertGreaterEqual(await self.finish_duration(0.3), 0.3)
         self.assertFalse(self.runner.has_unreported_items)
         self.setUp()
         with mock.patch("heronstall.dataplane.batch_runner.FINAL_REPORT_TIMEOUT_S", 0.3):
-            self.assertLess(await self.finished(60.0), 2.0)
+            self.assertLess(await self.finish_duration(60.0), 2.0)
         self.assertTrue(self.runner.has_unreported_items)
 
-    async def polled(self, free_while: str) -> list[int]:
-        """What is asked for; a place becomes free at a moment, and the owner holds calls for nothing."""
-        asked: list[int] = []
+    async def poll_requests(self, freed_during: str) -> list[int]:
+        """Returns the numbers of items requested while a slot is freed during `freed_during`.
+
+        The owner holds calls that request no items.
+        """
+        requested: list[int] = []
 
         async def call(_shard: str, _kind: Kind, body: bytes, *_: object, **__: object) -> Reply:
-            asked.append(LeaseRequest().parse(body).want)
-            if asked[-1]:
+            requested.append(LeaseRequest().parse(body).want)
+            if requested[-1]:
                 self.runner.stopping = True
                 return Reply(Status.OK, bytes(LeaseReply()))
-            if free_while == "held":
+            if freed_during == "held":
                 self.runner._announce_free_slot()
             await asyncio.sleep(600)
-            raise AssertionError("a call for nothing was waited for")
+            raise AssertionError("a call that requests no items was awaited")
 
         def want(_shard: str) -> int:
-            if not asked and free_while == "counting":
+            if not requested and freed_during == "counting":
                 self.runner._announce_free_slot()
-            return 2 if asked else 0
+            return 2 if requested else 0
 
         self.shards.call = call
         with mock.patch.object(self.runner, "_wanted_count", side_effect=want):
             async with asyncio.timeout(30):
                 await self.runner._poll("batch-0")
-        return asked
+        return requested
 
-    async def test_a_place_that_becomes_free_is_asked_for_while_the_owner_holds_a_call(self) -> None:
-        self.assertEqual(await self.polled("held"), [0, 2])
+    async def test_slot_freed_during_a_held_call_is_requested_at_once(self) -> None:
+        self.assertEqual(await self.poll_requests("held"), [0, 2])
 
-    async def test_a_place_that_becomes_free_while_places_are_counted_is_not_missed(self) -> None:
-        self.assertEqual(await self.polled("counting"), [0, 2])
+    async def test_slot_freed_while_slots_are_counted_is_not_missed(self) -> None:
+        self.assertEqual(await self.poll_requests("counting"), [0, 2])
 
-    async def test_the_end_of_a_run_frees_its_place(self) -> None:
-        self.hold("i", 7)
+    async def test_end_of_a_run_frees_its_slot(self) -> None:
+        self.add_running("i", 7)
         freed = self.runner._slot_freed
         with mock.patch.object(self.runner, "_wait_for_start", side_effect=asyncio.CancelledError):
             await self.runner._run(("j", "i"), self.runner._running["j", "i"])
         self.assertTrue(freed.is_set())
 
-    async def test_less_is_asked_for_after_calls_without_an_answer(self) -> None:
-        asked: list[int] = []
+    async def test_fewer_items_are_requested_after_calls_without_a_reply(self) -> None:
+        requested: list[int] = []
         statuses = [Status.UNSURE, Status.FAILED, Status.UNSURE, Status.OK, Status.OK]
 
         async def call(_shard: str, _kind: Kind, body: bytes, *_: object, **__: object) -> Reply:
-            asked.append(LeaseRequest().parse(body).want)
-            if len(asked) == len(statuses):
+            requested.append(LeaseRequest().parse(body).want)
+            if len(requested) == len(statuses):
                 self.runner.stopping = True
-            return Reply(statuses[len(asked) - 1], bytes(LeaseReply()))
+            return Reply(statuses[len(requested) - 1], bytes(LeaseReply()))
 
         self.shards.call = call
         no_pause = mock.patch("heronstall.dataplane.batch_runner.POLL_RETRY_DELAY_S", 0)
         with no_pause, mock.patch.object(self.runner, "_wanted_count", return_value=48):
             await self.runner._poll("batch-0")
-        self.assertEqual(asked, [48, 32, 16, 8, 16])
+        self.assertEqual(requested, [48, 32, 16, 8, 16])
 
-    async def test_a_lease_given_again_renews_the_number_of_the_run(self) -> None:
-        self.hold("i", 7)
+    async def test_repeated_lease_updates_the_lease_number(self) -> None:
+        self.add_running("i", 7)
         self.runner._start("batch-0", LeasedItem(job="j", item=bytes(BatchItem(id="i")), lease=9))
         self.assertEqual([h.lease for h in self.runner._lease_request("batch-0", 0).held], [9])
 
 
 class Submissions(unittest.TestCase):
-    def test_items_are_read(self) -> None:
+    def test_items_are_parsed(self) -> None:
         entry = {"id": "i", "path": "/p", "headers": {"A": "b"}, "body": "q83vEg==", "tokens": 9}
         items = parse_items(ujson.dumps({"requests": [entry]}).encode())
         self.assertEqual(
             (items[0].body, items[0].tokens, items[0].headers[0].value), (b"\xab\xcd\xef\x12", 9, "b")
         )
 
-    def test_each_fault_names_its_field(self) -> None:
+    def test_each_error_names_its_field(self) -> None:
         entry = {"id": "i", "path": "/p", "headers": {}, "body": "", "tokens": 9}
         for wrong, named in (
             ("{", "body"),
@@ -691,7 +694,7 @@
 
 
 class Frames(unittest.TestCase):
-    def test_frames_come_whole_however_the_bytes_are_cut(self) -> None:
+    def test_frames_are_reassembled_from_chunks_of_any_size(self) -> None:
         sent = [
             Frame(Kind.SYNC, Status.CALL, 1, b"abc"),
             Frame(Kind.GROUP, Status.OK, 0, b""),
@@ -703,7 +706,7 @@
             found = [f for k in range(0, len(stream), size) for f in reader.feed(stream[k : k + size])]
             self.assertEqual(found, sent)
 
-    def test_rubbish_is_refused(self) -> None:
+    def test_random_bytes_are_rejected(self) -> None:
         rng = random.Random(1)
         refused = 0
         for _ in range(500):
--- a/tests/tier/test_known_configuration.py
+++ b/tests/tier/test_known_configuration.py
@@ -11,7 +11,7 @@
 from heronstall.dataplane.ingress import CONFIGURATION_WAIT_S, Ingress
 from heronstall.dataplane.routing import Routes
 from heronstall.distribution.freshness import KnowledgeLimits
-from tests.tier.test_dataplane import routes
+from tests.tier.test_dataplane import sample_routes
 
 LIMITS = KnowledgeLimits(refuse=1.2, serve=6.2)
 
@@ -24,7 +24,7 @@
         deferred = mock.Mock()
         deferred.switch.busy = False
         self.ingress = Ingress(forwarder, mock.Mock(), deferred, random.Random(1), lambda: self.age, LIMITS)
-        self.ingress.routes = routes()
+        self.ingress.routes = sample_routes()
 
     async def status(self, path: str, age: float, more: dict[str, str] | None = None) -> int:
         self.age = age
@@ -56,7 +56,7 @@
         answer = asyncio.create_task(self.status("/a/x", 0.0))
         await asyncio.sleep(0.05)
         self.assertFalse(answer.done())
-        self.ingress.routes = routes()
+        self.ingress.routes = sample_routes()
         self.assertEqual(await answer, 200)
 
     async def test_half_of_a_short_deadline_bounds_that_wait(self) -> None:
