--- a/tests/tier/test_early_signals.py
+++ b/tests/tier/test_early_signals.py
@@ -1,9 +1,9 @@
-"""Signals that come while a program of the tier is still being loaded.
+"""Signals that arrive while a program of the tier is still being loaded.
 
-Seen in a run of planned work in series: a dispatcher that had just been started got SIGHUP, and ended by it.
-The programs set their handlers when all was loaded; until then SIGHUP has its default action.
-Proof: a process has loaded its first library, with most of its start before it, while both signals still have
-their default actions.
+A program that sets its signal handlers only after its imports is killed by a SIGHUP that arrives during them,
+since the default action still applies; this has ended a dispatcher that had just been started. The tests fail
+if a process has loaded its first library, with most of its startup still ahead, while both signals have their
+default actions.
 """
 
 from __future__ import annotations
@@ -18,9 +18,9 @@
 from heronstall.lab.tier.plan import Plan, drawn
 from heronstall.lab.tier.processes import Processes
 
-START = 1.0  # seconds in which a program is loaded, on a busy machine
-MOMENTS = 10
-FIRST_LIBRARY = "ujson"  # with the settings
+STARTUP_S = 1.0  # time in which a program loads on a busy machine
+STEPS = 10
+FIRST_LIBRARY = "ujson"  # imported with the settings
 
 
 class EarlySignals(unittest.IsolatedAsyncioTestCase):
@@ -31,33 +31,34 @@
         self.nodes = Processes(self.plan, {})
         self.addCleanup(self.nodes.kill_all)
 
-    async def started(self, ip: str, after: float) -> None:
-        """Start a node and return so long after its program took the process over."""
+    async def start_node(self, ip: str, after: float) -> None:
+        """Starts a node and returns `after` seconds after its program has replaced the process image."""
         self.nodes.run(ip, bootstrap=True)
         while True:
-            loaded = self.nodes.has_loaded(ip, FIRST_LIBRARY)  # looked at first: a late look blames nobody
+            # Checked first, so that a delay between the two checks cannot fail the test.
+            loaded = self.nodes.has_loaded(ip, FIRST_LIBRARY)
             if self.nodes.minds_signals(ip):
                 break
-            self.assertFalse(loaded, f"{ip} loads libraries, and a signal would end it")
+            self.assertFalse(loaded, f"{ip} loads libraries while signals have their default action")
             await asyncio.sleep(0.002)
         await asyncio.sleep(after)
 
-    async def test_sighup_ends_no_process_that_is_being_loaded(self) -> None:
+    async def test_sighup_kills_no_process_during_startup(self) -> None:
         ips = [self.plan.edges[0], self.plan.cores[0], self.plan.stores[0]]
-        for moment in range(MOMENTS):
+        for step in range(STEPS):
             for ip in ips:
-                await self.started(ip, START * moment / MOMENTS / len(ips))
+                await self.start_node(ip, STARTUP_S * step / STEPS / len(ips))
                 self.nodes.signal(ip, signal.SIGHUP)
-            await asyncio.sleep(START / 4)
-            self.assertEqual(self.nodes.ended(), {}, f"moment {moment}")
+            await asyncio.sleep(STARTUP_S / 4)
+            self.assertEqual(self.nodes.ended(), {}, f"step {step}")
             self.nodes.kill_all()
 
-    async def test_sigterm_ends_a_process_that_is_being_loaded_at_once(self) -> None:
+    async def test_sigterm_ends_a_process_during_startup_at_once(self) -> None:
         for ip in (self.plan.edges[0], self.plan.cores[0], self.plan.stores[0]):
-            await self.started(ip, 0.0)
+            await self.start_node(ip, 0.0)
             began = time.monotonic()
             self.assertEqual(await self.nodes.end(ip), 0)
-            self.assertLess(time.monotonic() - began, START)
+            self.assertLess(time.monotonic() - began, STARTUP_S)
 
 
 if __name__ == "__main__":
--- a/tests/tier/test_framing.py
+++ b/tests/tier/test_framing.py
@@ -1,4 +1,4 @@
-"""Answers of workers that are cut, by a real socket: nothing that may be cut is passed on as whole."""
+"""Truncated responses of workers over a real socket: none is forwarded as a complete one."""
 
 from __future__ import annotations
 
@@ -26,17 +26,17 @@
     b"Content-Type: text/event-stream\r\nConnection: close\r\n"
 )
 EVENTS = b"id: 1\ndata: a\n\nid: 2\ndata: b\n\n"
-WHOLE = HEAD + b"Content-Length: %d\r\n\r\n" % len(EVENTS) + EVENTS
+COMPLETE = HEAD + b"Content-Length: %d\r\n\r\n" % len(EVENTS) + EVENTS
 CHUNKED = HEAD + b"Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n" % (len(EVENTS), EVENTS)
 UNFRAMED = HEAD + b"\r\n" + EVENTS
-CUT_LENGTH = HEAD + b"Content-Length: 90\r\n\r\n" + EVENTS
-CUT_CHUNKS = HEAD + b"Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n" % (len(EVENTS), EVENTS)
-CUT = {"no length": UNFRAMED, "length": CUT_LENGTH, "chunks": CUT_CHUNKS}
+TRUNCATED_LENGTH = HEAD + b"Content-Length: 90\r\n\r\n" + EVENTS
+TRUNCATED_CHUNKS = HEAD + b"Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n" % (len(EVENTS), EVENTS)
+TRUNCATED = {"no length": UNFRAMED, "length": TRUNCATED_LENGTH, "chunks": TRUNCATED_CHUNKS}
 
 
-class Answers(unittest.IsolatedAsyncioTestCase):
+class WorkerResponses(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
-        self.answer = WHOLE
+        self.payload = COMPLETE
         server = await asyncio.start_server(self.serve, "127.0.0.1", PORT)
         self.addCleanup(server.close)
         self.pool = WorkerPool()
@@ -49,34 +49,34 @@
         await self.worker.session().close()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Read a request, send the answer, close."""
+        """Reads a request, sends the payload and closes the connection."""
         await reader.readuntil(b"\r\n\r\n")
-        writer.write(self.answer)
+        writer.write(self.payload)
         await writer.drain()
         writer.close()
 
-    async def asked(self) -> aiohttp.ClientResponse:
-        """The answer as the library gives it."""
+    async def fetch(self) -> aiohttp.ClientResponse:
+        """Sends a request and returns the response as aiohttp parses it."""
         return await self.worker.request("POST", "/p", CIMultiDict({"Host": "h"}), b"")
 
-    async def test_a_length_or_chunks_say_where_an_answer_ends(self) -> None:
-        for name, answer in {"whole": WHOLE, "whole in chunks": CHUNKED, **CUT}.items():
-            self.answer = answer
+    async def test_length_or_chunks_delimit_a_response(self) -> None:
+        for name, payload in {"complete": COMPLETE, "complete in chunks": CHUNKED, **TRUNCATED}.items():
+            self.payload = payload
             with self.subTest(name):
-                got = await self.asked()
-                self.assertEqual(is_framed(got), name != "no length")
-                got.close()
+                response = await self.fetch()
+                self.assertEqual(is_framed(response), name != "no length")
+                response.close()
 
-    async def test_a_client_gets_nothing_of_an_answer_without_a_length(self) -> None:
-        self.answer = UNFRAMED
+    async def test_response_without_a_length_is_not_forwarded(self) -> None:
+        self.payload = UNFRAMED
         for kind in (RouteType.IDEMPOTENT, RouteType.STREAMING, RouteType.NON_IDEMPOTENT):
             with self.subTest(kind):
                 self.worker.avoid_until = 0.0
-                answer = await Forwarder(self.pool, self.admission).forward(self.context(kind))
-                self.assertEqual((answer.status, answer.prepared), (502, False))
+                response = await Forwarder(self.pool, self.admission).forward(self.context(kind))
+                self.assertEqual((response.status, response.prepared), (502, False))
 
     def context(self, kind: RouteType) -> RequestContext:
-        """A request of a route of this kind."""
+        """Returns a request of a route of this kind."""
         route = Route("r", "h", "/", kind, (("lm", 1.0),), 5.0, 0.5, 1, 2, False, 0.25, 8.0, 60.0, 0)
         request = mock.Mock(
             method="POST", raw_path="/p", headers=CIMultiDict({REQUEST_ID_HEADER: "r", "Host": "h"})
@@ -84,14 +84,14 @@
         now = time.monotonic()
         return RequestContext(request, route, "lm", b"", now + 5, now)
 
-    async def test_an_item_is_done_by_a_whole_answer_alone(self) -> None:
-        for name, answer in {"whole": WHOLE, "whole in chunks": CHUNKED, **CUT}.items():
-            self.answer = answer
+    async def test_item_is_done_only_by_a_complete_response(self) -> None:
+        for name, payload in {"complete": COMPLETE, "complete in chunks": CHUNKED, **TRUNCATED}.items():
+            self.payload = payload
             with self.subTest(name):
                 runner = BatchRunner("edge", mock.Mock(), self.admission, mock.Mock(), mock.Mock())
                 item = RunningItem(LeasedItem(job="j", host="h"), BatchItem(id="r", path="/p"), "batch-0")
                 outcome = await runner._attempt(item, self.worker)
-                self.assertEqual(outcome, Outcome.DONE if name.startswith("whole") else None)
+                self.assertEqual(outcome, Outcome.DONE if name.startswith("complete") else None)
 
 
 if __name__ == "__main__":
--- a/tests/tier/test_layers.py
+++ b/tests/tier/test_layers.py
@@ -1,4 +1,4 @@
-"""Which parts of the tier may import which."""
+"""The imports that are allowed between the packages of the tier."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 DECISIONS = ("replication", "sessions", "distribution", "ownership", "batch", "placement", "policy")
 PROGRAMS = ("dataplane", "controlplane")
 SOCKETS = ("socket", "asyncio", "aiohttp", "os", "pathlib", "threading", "select")
-NEW_LIBRARIES = ("aiohttp", "structlog", "betterproto", "serde", "result", "click")
+TIER_LIBRARIES = ("aiohttp", "structlog", "betterproto", "serde", "result", "click")
 
 
 def imports(package: str) -> set[tuple[str, str]]:
-    """Module file and imported name, over a package."""
+    """Returns the pairs of file name and imported module in a package."""
     found = set()
     for path in (ROOT / package).rglob("*.py"):
         for node in ast.walk(ast.parse(path.read_text())):
@@ -26,7 +26,7 @@
 
 
 class Layers(unittest.TestCase):
-    def test_decisions_touch_no_sockets_no_disks_and_no_program(self) -> None:
+    def test_decision_packages_use_no_io_and_no_program(self) -> None:
         allowed = {"transport.messages", *DECISIONS}
         for package in DECISIONS:
             for name, module in imports(package):
@@ -36,7 +36,7 @@
                         own = module.removeprefix("heronstall.")
                         self.assertTrue(own in allowed or own.partition(".")[0] in allowed)
 
-    def test_the_programs_know_each_other_by_messages_alone(self) -> None:
+    def test_programs_do_not_import_each_other(self) -> None:
         for package in PROGRAMS:
             other = PROGRAMS[1 - PROGRAMS.index(package)]
             for name, module in imports(package):
@@ -44,11 +44,11 @@
                     self.assertFalse(module.startswith(f"heronstall.{other}"))
                     self.assertFalse(module.startswith("heronstall.net"))
 
-    def test_the_dispatcher_in_service_imports_none_of_the_new_libraries(self) -> None:
+    def test_single_node_dispatcher_imports_none_of_the_tier_libraries(self) -> None:
         for package in ("net", "policy"):
             for name, module in imports(package):
                 with self.subTest(file=name, module=module):
-                    self.assertNotIn(module.partition(".")[0], NEW_LIBRARIES)
+                    self.assertNotIn(module.partition(".")[0], TIER_LIBRARIES)
 
 
 if __name__ == "__main__":
--- a/tests/tier/test_miss_table.py
+++ b/tests/tier/test_miss_table.py
@@ -1,4 +1,4 @@
-"""The table of misses that `heronstall tier misses` makes of logs."""
+"""The table of misses that `heronstall tier misses` builds from logs."""
 
 from __future__ import annotations
 
@@ -26,28 +26,28 @@
 )
 
 
-def missed(at: float, reason: str, more: str = "") -> str:
+def missed(at: float, reason: str, extra: str = "") -> str:
     return (
-        f'{at} edge-1 timestamp=2026-08-10T04:13:21Z event="request missed" route=r reason="{reason}" {more}'
+        f'{at} edge-1 timestamp=2026-08-10T04:13:21Z event="request missed" route=r reason="{reason}" {extra}'
     )
 
 
 @contextlib.contextmanager
 def folder(*lines: str) -> Iterator[Path]:
-    with tempfile.TemporaryDirectory() as made:
-        (Path(made) / "n1.log").write_text("\n".join(lines) + "\n")
-        yield Path(made)
+    with tempfile.TemporaryDirectory() as directory:
+        (Path(directory) / "n1.log").write_text("\n".join(lines) + "\n")
+        yield Path(directory)
 
 
 class Table(unittest.TestCase):
-    def test_misses_are_counted_by_route_moment_and_reason(self) -> None:
+    def test_misses_are_counted_by_route_period_and_reason(self) -> None:
         lines = (
             missed(1.0, "late first event", "first_ms=400"),
             missed(10.5, "late first event", "first_ms=600"),
             missed(10.6, "late first event", "first_ms=700"),
-            missed(13.1, "long gap", "age_ms=200 gap_ms=800"),  # it began within the burst
+            missed(13.1, "long gap", "age_ms=200 gap_ms=800"),  # the request arrived during the burst
             TALLY,
-            "no line of ours",
+            "a line that is no log event",
         )
         events = [event for line in lines if (event := read_event(line)) is not None]
         record = miss_table(events, (Moment("burst", 10, 13),)).record()
@@ -58,7 +58,7 @@
         )
         self.assertEqual(record["misses"][0]["mean_first_ms"], 650.0)
 
-    def test_what_a_dispatcher_logs_is_read_again(self) -> None:
+    def test_logged_events_of_a_dispatcher_are_parsed(self) -> None:
         written = io.StringIO()
         with mock.patch("sys.stderr", written):
             set_up_logs("edge-1")
@@ -77,7 +77,7 @@
         self.assertEqual(record["routes"]["r"]["missed"], 2)
         self.assertEqual(record["routes"]["r"]["first_home"], 1)
 
-    def test_an_unreadable_count_or_time_is_named(self) -> None:
+    def test_error_names_an_invalid_count_or_time(self) -> None:
         event = read_event(TALLY.replace("requests=50", "requests=many"))
         assert event is not None
         with self.assertRaisesRegex(LogError, "requests: 'many'"):
@@ -85,13 +85,13 @@
         with self.assertRaisesRegex(LogError, "timestamp"):
             read_event("timestamp=yesterday event=requests")
 
-    def test_a_folder_without_logs_is_refused(self) -> None:
+    def test_folder_without_logs_is_rejected(self) -> None:
         with tempfile.TemporaryDirectory() as empty, self.assertRaises(LogError):
             log_files(Path(empty))
 
 
 class Command(unittest.TestCase):
-    def test_the_table_and_its_json(self) -> None:
+    def test_table_as_text_and_json(self) -> None:
         with folder(missed(10.5, "long gap", "gap_ms=500"), TALLY) as logs:
             text = CliRunner().invoke(main, ["tier", "misses", str(logs), "--moment", "burst:10:13"])
             as_json = CliRunner().invoke(main, ["tier", "misses", str(logs), "--json"])
@@ -99,24 +99,24 @@
         self.assertRegex(text.output, r"r +burst +long gap +1 +2\.0%  gap 500")
         self.assertEqual(json.loads(as_json.output)["misses"][0]["moment"], "calm")
 
-    def test_bad_input_ends_with_2_and_a_line_that_names_it(self) -> None:
+    def test_invalid_input_exits_with_2_and_is_named(self) -> None:
         with folder(TALLY) as logs:
-            for arguments, named in (
+            for arguments, expected in (
                 ([str(logs / "none")], "none"),
                 ([str(logs), "--moment", "burst"], "burst"),
                 ([str(logs), "--moment", "burst:3:1"], "FROM before TO"),
                 ([str(logs), "--moment", "burst:a:b"], "in seconds"),
             ):
                 with self.subTest(arguments=arguments[1:]):
-                    done = CliRunner().invoke(main, ["tier", "misses", *arguments])
-                    self.assertEqual(done.exit_code, 2)
-                    self.assertIn(named, done.output)
+                    result = CliRunner().invoke(main, ["tier", "misses", *arguments])
+                    self.assertEqual(result.exit_code, 2)
+                    self.assertIn(expected, result.output)
 
-    def test_a_line_that_cannot_be_read_is_named_by_file_and_line(self) -> None:
+    def test_invalid_line_is_named_by_file_and_line(self) -> None:
         with folder("a line", "timestamp=never event=requests") as logs:
-            done = CliRunner().invoke(main, ["tier", "misses", str(logs)])
-        self.assertEqual(done.exit_code, 2)
-        self.assertIn("n1.log:2: timestamp", done.output)
+            result = CliRunner().invoke(main, ["tier", "misses", str(logs)])
+        self.assertEqual(result.exit_code, 2)
+        self.assertIn("n1.log:2: timestamp", result.output)
 
 
 if __name__ == "__main__":
--- a/tests/tier/test_misses.py
+++ b/tests/tier/test_misses.py
@@ -1,4 +1,4 @@
-"""Why requests miss their objective, and what the log says of them."""
+"""The reasons for which requests miss their objective, and what is logged of them."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
     end: AttemptEnd | None = None,
     home: int | None = None,
 ) -> Attempt:
-    """An attempt; times in seconds since the request's arrival."""
+    """Builds an attempt. Times are in seconds since the request's arrival."""
     made = Attempt(mock.Mock(), None, ARRIVED + sent, ARRIVED + (last if last is not None else first or sent))
     made.worker, made.view, made.home = "w1", LoadView(2, 3.25, 12), home
     made.first_at = ARRIVED + first if first is not None else 0.0
@@ -63,10 +63,10 @@
 
 
 class Reasons(unittest.TestCase):
-    def check(self, wanted: MissReason | None, request: EndedRequest, now: float = 1.0) -> None:
-        self.assertIs(miss_reason(request, ARRIVED + now), wanted)
+    def check(self, expected: MissReason | None, request: EndedRequest, now: float = 1.0) -> None:
+        self.assertIs(miss_reason(request, ARRIVED + now), expected)
 
-    def test_each_reason(self) -> None:
+    def test_each_reason_is_found(self) -> None:
         cut, full = AttemptEnd.CUT_SHORT, AttemptEnd.FULL
         rows = (
             (None, ended(attempt(0.01, 0.2, 0.9, gap=0.2))),
@@ -84,54 +84,54 @@
             (MissReason.WORKER_ERROR, ended(attempt(0.0), status=500)),
             (MissReason.TIMED_OUT, ended(attempt(0.0, end=AttemptEnd.TIMED_OUT), status=504)),
         )
-        for wanted, request in rows:
-            with self.subTest(wanted=wanted, status=request.status, attempts=len(request.attempts)):
-                self.check(wanted, request)
+        for expected, request in rows:
+            with self.subTest(expected=expected, status=request.status, attempts=len(request.attempts)):
+                self.check(expected, request)
 
-    def test_what_has_no_answer_at_its_deadline_has_timed_out(self) -> None:
-        late = ended(attempt(0.0, end=AttemptEnd.CUT_SHORT), status=504, deadline=DEADLINE)
-        self.check(MissReason.TIMED_OUT, late, now=5.0)
-        self.check(MissReason.CUT, late, now=4.9)
+    def test_failure_after_the_deadline_is_a_timeout(self) -> None:
+        failed = ended(attempt(0.0, end=AttemptEnd.CUT_SHORT), status=504, deadline=DEADLINE)
+        self.check(MissReason.TIMED_OUT, failed, now=5.0)
+        self.check(MissReason.CUT, failed, now=4.9)
 
-    def test_the_pause_from_one_workers_last_event_to_the_next_ones_first_is_a_gap(self) -> None:
+    def test_time_between_events_of_two_attempts_is_a_gap(self) -> None:
         resumed = ended(attempt(0.0, 0.2, 0.5, end=AttemptEnd.CUT_SHORT), attempt(0.6, 0.8, 0.9))
         self.assertAlmostEqual(resumed.longest_gap, 0.3)
         self.check(MissReason.LONG_GAP, resumed)
 
 
 class Gaps(unittest.IsolatedAsyncioTestCase):
-    async def test_the_longest_pause_between_events_is_kept_and_the_wait_for_the_first_is_none(self) -> None:
+    async def test_longest_gap_excludes_the_wait_for_the_first_event(self) -> None:
         worker = Attempts()
         with mock.patch("heronstall.dataplane.attempts.time") as clock:
             clock.monotonic.return_value = 10.0
             async with asyncio.timeout(None) as limit:
-                begun = worker.begin(limit, None)
+                started = worker.begin(limit, None)
                 for at, first in ((12.0, True), (12.25, False), (13.0, False), (13.5, False)):
                     clock.monotonic.return_value = at
                     if first:
-                        worker.first_heard(begun)
+                        worker.first_heard(started)
                     else:
-                        worker.heard(begun)
-        self.assertEqual((begun.first_at, begun.longest_gap), (12.0, 0.75))
+                        worker.heard(started)
+        self.assertEqual((started.first_at, started.longest_gap), (12.0, 0.75))
 
 
 class Log(unittest.TestCase):
-    def told(self, misses: MissLog, event: str) -> list[dict[str, Any]]:
+    def tallies(self, misses: MissLog, event: str) -> list[dict[str, Any]]:
         with capture_logs() as events:
             misses.log_tallies()
         return [dict(found) for found in events if found["event"] == event]
 
-    def test_a_request_in_time_is_counted_and_not_logged(self) -> None:
+    def test_request_within_its_objective_is_counted_and_not_logged(self) -> None:
         misses = MissLog()
         with capture_logs() as events:
             misses.record_request(ended(attempt(0.01, 0.2, 0.4, home=0)))
         self.assertEqual(events, [])
-        (tally,) = self.told(misses, "requests")
+        (tally,) = self.tallies(misses, "requests")
         self.assertEqual((tally["requests"], tally["missed"], tally["size"]), (1, 0, 900))
         self.assertEqual((tally["first_home"], tally["second_home"], tally["elsewhere"]), (1, 0, 0))
-        self.assertEqual(self.told(misses, "requests"), [], "told once")
+        self.assertEqual(self.tallies(misses, "requests"), [], "logged once")
 
-    def test_a_miss_tells_its_waits_and_attempts(self) -> None:
+    def test_logged_miss_has_waits_and_attempts(self) -> None:
         misses = MissLog()
         with capture_logs() as events:
             misses.record_request(ended(attempt(0.05, end=AttemptEnd.FULL), attempt(0.1, 0.35, 0.6, home=1)))
@@ -141,18 +141,18 @@
         self.assertEqual((missed["sent_ms"], missed["first_ms"]), (100, 350))
         self.assertEqual(missed["attempts"], "w1:full:2+3.2/12:-:kept:- w1:answered:2+3.2/12:1:kept:250")
 
-    def test_a_flood_of_misses_is_counted_whole_and_logged_in_part(self) -> None:
+    def test_all_misses_are_counted_and_a_limited_number_is_logged(self) -> None:
         misses = MissLog()
         with capture_logs() as events:
             for _ in range(MAX_LOGGED_MISSES + 30):
                 misses.record_request(ended(status=503))
         self.assertEqual(len(events), MAX_LOGGED_MISSES)
-        (tally,) = self.told(misses, "requests")
+        (tally,) = self.tallies(misses, "requests")
         self.assertEqual(
             (tally["missed"], tally["missed_size"]), (MAX_LOGGED_MISSES + 30, 900 * (MAX_LOGGED_MISSES + 30))
         )
 
-    def test_an_item_is_missed_when_it_is_done_late_or_fails(self) -> None:
+    def test_late_or_failed_item_is_a_miss(self) -> None:
         now = time.monotonic()
 
         def run(outcome: Outcome, due: float) -> list[str]:
@@ -166,7 +166,7 @@
         self.assertEqual(run(Outcome.FAILED, 1.0), ["item missed"])
         self.assertEqual(run(Outcome.RETURNED, -0.1), [])
 
-    def test_a_job_is_missed_when_it_is_refused_or_accepted_late(self) -> None:
+    def test_refused_or_late_accepted_job_is_a_miss(self) -> None:
         for status, seconds, events_wanted in ((202, 0.2, 0), (202, 0.4, 1), (503, 0.1, 1), (429, 0.1, 1)):
             with self.subTest(status=status, seconds=seconds), capture_logs() as events:
                 MissLog().record_job_response("j", ROUTE, status, seconds)
--- a/tests/tier/test_oncall.py
+++ b/tests/tier/test_oncall.py
@@ -1,4 +1,4 @@
-"""Every log event of the tier's programs is explained to those on call."""
+"""Every log event of the tier's programs is documented in the on-call guide."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def events(source: str) -> Iterator[tuple[str, tuple[str, ...]]]:
-    """Events that a module logs, with their fields."""
+    """Yields the events that a module logs, with their fields."""
     for node in ast.walk(ast.parse(source)):
         if not isinstance(node, ast.Call) or not isinstance(node.func, ast.Attribute):
             continue
@@ -26,7 +26,7 @@
 
 
 class LogEvents(unittest.TestCase):
-    def test_each_event_and_each_of_its_fields_stands_in_the_table(self) -> None:
+    def test_each_event_and_its_fields_are_documented(self) -> None:
         table = (ROOT / "docs" / "oncall.md").read_text().partition(HEADING)[2]
         rows = {
             row.split("|")[1].strip(): row.split("|")[3]
@@ -42,7 +42,7 @@
                         self.assertIn(f"`{event}`", rows)
                         for name in fields:
                             self.assertIn(f"`{name}`", rows[f"`{event}`"])
-        self.assertEqual(set(rows) - logged, set(), "explained and never logged")
+        self.assertEqual(set(rows) - logged, set(), "documented but never logged")
 
 
 if __name__ == "__main__":
--- a/tests/tier/test_processes.py
+++ b/tests/tier/test_processes.py
@@ -1,4 +1,4 @@
-"""The tier as processes: the whole path, and what it has acknowledged after losses."""
+"""The tier as real processes: requests and jobs end to end, and acknowledged state after failures."""
 
 from __future__ import annotations
 
@@ -27,59 +27,61 @@
         self.assertEqual(await self.tier.client.configure(configuration(2), 0), 200)
         await self.tier.client.ready()
 
-    def assert_whole(self, job: str, results: list[dict[str, str]]) -> None:
-        """Each item once, done, with the whole of its output."""
+    def assert_complete(self, job: str, results: list[dict[str, str]]) -> None:
+        """Asserts that each item has one result, which is successful and complete."""
         self.assertEqual({r["id"] for r in results}, {f"{job}-{n}" for n in range(ITEMS)})
         for result in results:
             self.assertEqual((result["state"], result["text"]), ("succeeded", text_of(result["id"])))
 
-    async def test_the_whole_path(self) -> None:
+    async def test_requests_and_jobs_end_to_end(self) -> None:
         first, second = self.tier.plan.edges
         status, signature, body, _ = await self.tier.client.stream(first, "r1")
         self.assertEqual((status, signature), (200, "sig-r1"))
         self.assertIn("data: r1-5", body)
         self.assertEqual(self.tier.workers[0].runs["r1"], 1)
         self.assertEqual(await self.tier.client.submit(first, "job", ITEMS), 202)
-        self.assertEqual(
-            await self.tier.client.submit(second, "job", ITEMS), 202
-        )  # the same again, elsewhere
+        # The submission is repeated at another dispatcher.
+        self.assertEqual(await self.tier.client.submit(second, "job", ITEMS), 202)
         results = await self.tier.client.results(second, "job", ITEMS)
-        self.assert_whole("job", results)
+        self.assert_complete("job", results)
         self.assertEqual(await self.tier.client.results(first, "job", ITEMS), results)
         self.assertEqual(await self.tier.client.read_once(first, "none"), 404)
-        seen = await collect_overview([f"{self.tier.plan.cores[0]}:{INTERNAL}"])
-        self.assertEqual(seen.problems(), [])
-        self.assertEqual((seen.revision, seen.dispatchers, len(seen.control)), (2, 2, 3))
-        self.assertEqual([len(shard.replicas) for shard in seen.batch], [3, 3])
-        self.assertEqual([(s.service, s.ready, s.routes) for s in seen.services], [(SERVICE, 1, 2)])
+        found = await collect_overview([f"{self.tier.plan.cores[0]}:{INTERNAL}"])
+        self.assertEqual(found.problems(), [])
+        self.assertEqual((found.revision, found.dispatchers, len(found.control)), (2, 2, 3))
+        self.assertEqual([len(shard.replicas) for shard in found.batch], [3, 3])
+        self.assertEqual([(s.service, s.ready, s.routes) for s in found.services], [(SERVICE, 1, 2)])
 
-    async def test_each_process_tells_how_long_its_start_took(self) -> None:
+    async def test_each_process_logs_the_duration_of_its_start(self) -> None:
         plan = self.tier.plan
         for role, ips in (("dispatcher", plan.edges), ("control", plan.cores), ("storage", plan.stores)):
             for ip in ips:
-                told = re.search(rf"event=started .*role={role} seconds=([0-9.]+)", plan.log(ip).read_text())
-                assert told is not None, ip
-                self.assertLess(float(told[1]), 20.0)
+                started = re.search(
+                    rf"event=started .*role={role} seconds=([0-9.]+)", plan.log(ip).read_text()
+                )
+                assert started is not None, ip
+                self.assertLess(float(started[1]), 20.0)
 
-    async def test_racing_and_repeated_changes(self) -> None:
-        self.assertEqual(await self.tier.client.configure(configuration(2), 0), 200)  # taken before
+    async def test_conflicting_and_repeated_configuration_changes(self) -> None:
+        # The first change repeats that of the setup.
+        self.assertEqual(await self.tier.client.configure(configuration(2), 0), 200)
         self.assertEqual(await self.tier.client.configure(configuration(5), 2), 200)
         self.assertEqual(await self.tier.client.configure(configuration(4), 2), 412)
         self.assertEqual(await self.tier.client.configure(configuration(5, service=""), 5), 400)
         self.assertEqual((await self.tier.client.configured())["revision"], 5)
 
-    async def test_all_that_keep_state_end_right_after_an_acceptance(self) -> None:
+    async def test_all_stateful_nodes_are_killed_right_after_a_job_is_accepted(self) -> None:
         self.tier.workers[0].pause = 0.05
         self.assertEqual(await self.tier.client.submit(self.tier.plan.edges[0], "job", ITEMS), 202)
-        keepers = [*self.tier.plan.cores, *self.tier.plan.stores]
-        for ip in keepers:
+        stateful_nodes = [*self.tier.plan.cores, *self.tier.plan.stores]
+        for ip in stateful_nodes:
             self.tier.nodes.kill(ip)
-        for ip in keepers:
+        for ip in stateful_nodes:
             self.tier.nodes.run(ip)
-        self.assert_whole("job", await self.tier.client.results(self.tier.plan.edges[1], "job", ITEMS))
+        self.assert_complete("job", await self.tier.client.results(self.tier.plan.edges[1], "job", ITEMS))
         self.assertEqual((await self.tier.client.configured())["revision"], 2)
 
-    async def test_each_storage_node_loses_its_disk_in_turn_right_after_an_acceptance(self) -> None:
+    async def test_each_storage_node_loses_its_disk_right_after_a_job_is_accepted(self) -> None:
         for number, ip in enumerate(self.tier.plan.stores):
             job = f"job{number}"
             self.assertEqual(await self.tier.client.submit(self.tier.plan.edges[0], job, ITEMS), 202)
@@ -89,9 +91,9 @@
             await self.tier.nodes.rejoined(ip, batch_shard(HOST))
             for earlier in range(number + 1):
                 results = await self.tier.client.results(self.tier.plan.edges[1], f"job{earlier}", ITEMS)
-                self.assert_whole(f"job{earlier}", results)
+                self.assert_complete(f"job{earlier}", results)
 
-    async def test_a_core_node_without_its_disk_and_another_that_is_killed(self) -> None:
+    async def test_core_node_loses_its_disk_and_another_is_killed(self) -> None:
         first, second, _ = self.tier.plan.cores
         self.assertEqual(await self.tier.client.configure(configuration(7), 2), 200)
         self.tier.nodes.kill(first)
--- a/tests/tier/test_shard_client.py
+++ b/tests/tier/test_shard_client.py
@@ -1,4 +1,4 @@
-"""Calls to owners of shards: how long a try may take, and which connections are ended after one."""
+"""Calls to shard owners: the timeouts of attempts, and which connections are dropped after one."""
 
 from __future__ import annotations
 
@@ -12,49 +12,49 @@
 from heronstall.transport.links import LOST, Links, LinkServer, Reply
 
 PORT = 7741
-TRIES_WITHIN = 0.5
+TIMEOUT_S = 0.5
 
 
-class Tries(unittest.IsolatedAsyncioTestCase):
-    """The client alone: its links are mocked."""
+class CallAttempts(unittest.IsolatedAsyncioTestCase):
+    """The client with mocked links."""
 
     def setUp(self) -> None:
         self.link = mock.Mock()
-        self.times: list[float] = []
+        self.timeouts: list[float] = []
         view = mock.Mock()
         view.placement_of.return_value = ["store/127.0.0.1:1"]
         links = mock.Mock()
         links.to.return_value = self.link
         self.client = ShardClient(links, view)
 
-    def answers(self, reply: Reply) -> None:
-        async def call(kind: Kind, body: bytes, within: float) -> Reply:
-            self.times.append(within)
+    def reply_with(self, reply: Reply) -> None:
+        async def call(kind: Kind, body: bytes, timeout: float) -> Reply:
+            self.timeouts.append(timeout)
             return reply
 
         self.link.call = call
 
-    async def test_no_try_has_less_time_than_the_least(self) -> None:
-        self.answers(LOST)
-        least = 0.4
-        reply = await self.client.call("s", Kind.LEASE, b"", TRIES_WITHIN, min_remaining=least)
+    async def test_no_attempt_starts_with_less_than_the_minimum_time(self) -> None:
+        self.reply_with(LOST)
+        min_remaining = 0.4
+        reply = await self.client.call("s", Kind.LEASE, b"", TIMEOUT_S, min_remaining=min_remaining)
         self.assertEqual(reply.status, Status.FAILED)
-        self.assertTrue(self.times)
-        self.assertGreater(min(self.times), least)
+        self.assertTrue(self.timeouts)
+        self.assertGreater(min(self.timeouts), min_remaining)
 
-    async def test_what_may_have_been_carried_out_is_not_refused_later(self) -> None:
-        self.answers(LOST)
+    async def test_refusal_after_a_lost_attempt_is_not_returned(self) -> None:
+        self.reply_with(LOST)
         calls = iter([LOST, Reply(Status.REFUSED)])
 
         async def call(*_: object) -> Reply:
             return next(calls)
 
         self.link.call = call
-        reply = await self.client.call("s", Kind.SUBMIT, b"", TRIES_WITHIN)
+        reply = await self.client.call("s", Kind.SUBMIT, b"", TIMEOUT_S)
         self.assertEqual(reply.status, Status.FAILED)
 
-    async def test_a_try_without_an_answer_ends_a_silent_connection_alone(self) -> None:
-        self.answers(LOST)
+    async def test_attempt_without_a_reply_drops_only_a_silent_connection(self) -> None:
+        self.reply_with(LOST)
         began = time.monotonic()
         await self.client.call("s", Kind.LEASE, b"", 0.05)
         self.link.drop.assert_not_called()
@@ -62,7 +62,7 @@
 
 
 class SilentConnections(unittest.IsolatedAsyncioTestCase):
-    """Two ends on the loopback device."""
+    """Two ends of a connection on the loopback device."""
 
     async def asyncSetUp(self) -> None:
         self.release = asyncio.Event()
@@ -78,20 +78,20 @@
         self.link = Links().to(f"127.0.0.1:{PORT}")
         self.addCleanup(self.link.close)
 
-    async def held_call(self) -> asyncio.Task[Reply]:
-        """A call that the other end answers when it is released."""
+    async def start_held_call(self) -> asyncio.Task[Reply]:
+        """Starts a call to which the other end replies when it is released."""
         self.assertEqual((await self.link.call(Kind.LEASE, b"first", 1.0)).status, Status.OK)
         return asyncio.create_task(self.link.call(Kind.LEASE, b"held", 5.0))
 
-    async def test_a_connection_on_which_something_came_is_kept(self) -> None:
+    async def test_connection_with_received_data_is_kept(self) -> None:
         began = time.monotonic()
-        held = await self.held_call()
+        held = await self.start_held_call()
         self.link.drop_if_silent(began)
         self.release.set()
         self.assertEqual((await held).body, b"held")
 
-    async def test_a_connection_on_which_nothing_came_is_ended(self) -> None:
-        held = await self.held_call()
+    async def test_connection_without_received_data_is_dropped(self) -> None:
+        held = await self.start_held_call()
         self.link.drop_if_silent(time.monotonic() + 1)
         self.assertIs(await held, LOST)
         self.assertEqual((await self.link.call(Kind.LEASE, b"next", 1.0)).body, b"next")
