--- a/heronstall/dataplane/admission.py
+++ b/heronstall/dataplane/admission.py
@@ -86,7 +86,7 @@
 
     def choose_service(self, route: Route) -> str:
         """Returns a random service of a route, by the route's weights."""
-        return route.service(self._random)
+        return route.draw_service(self._random)
 
     def record_first_event(self, worker: WorkerState, tokens: int, seconds: float) -> None:
         """Records the time from sending a request with such a prompt to the worker's first event."""
--- a/heronstall/dataplane/routing.py
+++ b/heronstall/dataplane/routing.py
@@ -1,4 +1,4 @@
-"""Routes of the operator's configuration, as the data plane uses them."""
+"""Routes, services and limits of the operator's configuration, as the data plane uses them."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 import ujson
 
-WELL_ABOVE = 2.0  # times the shortest aim
+DEFERRABLE_LATENCY_RATIO = 2.0  # a route with this multiple of the shortest target latency can be deferred
 
 
 class RouteType(Enum):
-    """What may be repeated on a route."""
+    """The kind of a route, which decides whether its requests may run more than once."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -24,11 +24,11 @@
 
 @dataclass(frozen=True)
 class Route:
-    """A route; times in seconds."""
+    """A route. Times are in seconds."""
 
     name: str
     host: str
-    prefix: str
+    path_prefix: str
     type: RouteType
     targets: tuple[tuple[str, float], ...]  # service, weight
     timeout: float
@@ -36,18 +36,18 @@
     priority: int
     max_attempts: int
     resumable: bool
-    gap_aim: float
-    completion: float
+    target_event_gap: float
+    completion_target: float
     retention: float
     max_queued_tokens: int
 
     @property
     def repeatable(self) -> bool:
-        """Whether a request may run more than once."""
+        """Whether a request of this route may run more than once."""
         return self.type is RouteType.IDEMPOTENT or self.resumable
 
-    def service(self, rng: random.Random) -> str:
-        """A service, drawn by the route's weights."""
+    def draw_service(self, rng: random.Random) -> str:
+        """Returns a service drawn by the route's traffic weights."""
         if len(self.targets) == 1:
             return self.targets[0][0]
         return rng.choices([t[0] for t in self.targets], [t[1] for t in self.targets])[0]
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True)
 class Service:
-    """A service as the configuration describes it."""
+    """A service of the configuration."""
 
     name: str
     health_check: str
@@ -65,8 +65,8 @@
 
 
 @dataclass(frozen=True)
-class Limits:
-    """What a client may send, in bytes and seconds."""
+class RequestLimits:
+    """Limits of clients' requests, in bytes and seconds."""
 
     header_bytes: int = 16384
     body_bytes: int = 4 * 1024 * 1024
@@ -81,37 +81,37 @@
     revision: int = 0
     by_host: dict[str, list[Route]] = field(default_factory=dict)
     services: dict[str, Service] = field(default_factory=dict)
-    limits: Limits = Limits()
+    limits: RequestLimits = RequestLimits()
 
     def find(self, host: str, path: str) -> Route | None:
-        """The route of a host with the longest prefix that begins a path."""
-        for route in self.by_host.get(host_name(host), ()):
-            if path.startswith(route.prefix):
+        """Returns the host's route with the longest matching path prefix."""
+        for route in self.by_host.get(normalize_host(host), ()):
+            if path.startswith(route.path_prefix):
                 return route
         return None
 
-    def deferrable(self, route: Route) -> bool:
-        """Whether a live route has a low priority, or an aim well above the shortest."""
+    def is_deferrable(self, route: Route) -> bool:
+        """Whether a live route has a low priority, or a target latency well above the shortest one."""
         live = [r for routes in self.by_host.values() for r in routes if r.type is not RouteType.BATCH]
         top = min(r.priority for r in live)
         shortest = min(r.target_latency for r in live)
-        return route.priority > top or route.target_latency >= WELL_ABOVE * shortest
+        return route.priority > top or route.target_latency >= DEFERRABLE_LATENCY_RATIO * shortest
 
     def batch_hosts(self) -> set[str]:
-        """Hosts that have a route for batch jobs."""
+        """Returns the hosts that have a route for batch jobs."""
         return {h for h, routes in self.by_host.items() if any(r.type is RouteType.BATCH for r in routes)}
 
 
-def host_name(host: str) -> str:
-    """A Host header's name without its port, in lower case."""
+def normalize_host(host: str) -> str:
+    """Returns the name of a Host header without its port, in lower case."""
     name, colon, port = host.rpartition(":")
     return (name if colon and port.isdigit() else host).lower()
 
 
-def read_routes(document: bytes) -> Routes:
-    """Routes of a configuration that the control plane has checked."""
+def parse_routes(document: bytes) -> Routes:
+    """Parses a configuration that the control plane has validated."""
     raw = ujson.loads(document)
-    routes = Routes(revision=raw["revision"], limits=_limits(raw.get("limits") or {}))
+    routes = Routes(revision=raw["revision"], limits=_parse_limits(raw.get("limits") or {}))
     for service in raw.get("services", []):
         engine = service.get("engine") or {}
         routes.services[service["name"]] = Service(
@@ -122,14 +122,14 @@
             cache_tokens=int(engine.get("kv_cache_tokens") or 0),
         )
     for entry in raw.get("routes", []):
-        route = _route(entry)
+        route = _parse_route(entry)
         routes.by_host.setdefault(route.host, []).append(route)
     for host_routes in routes.by_host.values():
-        host_routes.sort(key=lambda r: -len(r.prefix))
+        host_routes.sort(key=lambda r: -len(r.path_prefix))
     return routes
 
 
-def _route(raw: Mapping[str, Any]) -> Route:
+def _parse_route(raw: Mapping[str, Any]) -> Route:
     split = tuple((s["service"], float(s["weight"])) for s in raw.get("traffic_split") or ())
     try:
         kind = RouteType(raw.get("route_type") or "non_idempotent")
@@ -137,8 +137,8 @@
         kind = RouteType.NON_IDEMPOTENT
     return Route(
         name=raw["name"],
-        host=host_name(raw["hostname"]),
-        prefix=raw["path_prefix"],
+        host=normalize_host(raw["hostname"]),
+        path_prefix=raw["path_prefix"],
         type=kind,
         targets=split or ((raw["service"], 1.0),),
         timeout=float(raw["timeout_ms"]) / 1000,
@@ -146,18 +146,18 @@
         priority=int(raw.get("priority") or 0),
         max_attempts=max(1, int(raw.get("max_attempts") or 1)),
         resumable=bool(raw.get("resumable")),
-        gap_aim=float(raw.get("gap_aim_ms") or 250) / 1000,
-        completion=float(raw.get("completion_target_ms") or 10_000) / 1000,
+        target_event_gap=float(raw.get("gap_aim_ms") or 250) / 1000,
+        completion_target=float(raw.get("completion_target_ms") or 10_000) / 1000,
         retention=float(raw.get("retention_s") or 60),
         max_queued_tokens=int(raw.get("max_queued_tokens") or 0),
     )
 
 
-def _limits(raw: Mapping[str, Any]) -> Limits:
-    plain = Limits()
-    return Limits(
-        header_bytes=int(raw.get("max_header_bytes") or plain.header_bytes),
-        body_bytes=int(raw.get("max_body_bytes") or plain.body_bytes),
+def _parse_limits(raw: Mapping[str, Any]) -> RequestLimits:
+    defaults = RequestLimits()
+    return RequestLimits(
+        header_bytes=int(raw.get("max_header_bytes") or defaults.header_bytes),
+        body_bytes=int(raw.get("max_body_bytes") or defaults.body_bytes),
         header_timeout=float(raw.get("header_timeout_ms") or 3000) / 1000,
         idle_timeout=float(raw.get("idle_timeout_ms") or 15_000) / 1000,
     )
