--- a/heronstall/dataplane/__main__.py
+++ b/heronstall/dataplane/__main__.py
@@ -1,9 +1,9 @@
-"""The data plane program: one dispatcher of the tier."""
+"""The data plane program, which runs one dispatcher of the tier."""
 
 from __future__ import annotations
 
-import heronstall.early_signals  # before what takes time
-import heronstall.without_tls  # noqa: F401  (before what would import ssl)
+import heronstall.early_signals  # first: the imports that follow take time
+import heronstall.without_tls  # noqa: F401  (before any import of ssl)
 
 # isort: split
 import asyncio
@@ -15,10 +15,10 @@
 
 
 async def _run(settings: NodeSettings) -> None:
-    from heronstall.dataplane.node import EdgeNode
+    from heronstall.dataplane.node import DispatcherNode
 
     ended = ending()
-    node = EdgeNode(settings)
+    node = DispatcherNode(settings)
     await node.start()
     tell_started("dispatcher", heronstall.early_signals.LOAD_STARTED_AT)
     await ended.wait()
