--- a/heronstall/controlplane/__main__.py
+++ b/heronstall/controlplane/__main__.py
@@ -26,7 +26,7 @@
     await core.start()
     api = HttpServer(ControlApi(core).handle, lambda: MAX_CONFIG_BYTES)
     await api.listen(settings.listen["control"])
-    log_started("control", heronstall.early_signals.BEGAN)
+    log_started("control", heronstall.early_signals.LOAD_STARTED_AT)
     await terminated.wait()
     await api.drain(time.monotonic() + settings.bounds.grace - HANDOVER_RESERVE)
     await core.stop()
@@ -37,7 +37,7 @@
 
     store = Store(settings)
     await store.start()
-    log_started("storage", heronstall.early_signals.BEGAN)
+    log_started("storage", heronstall.early_signals.LOAD_STARTED_AT)
     await terminated.wait()
     await store.stop()
 
--- a/heronstall/controlplane/core.py
+++ b/heronstall/controlplane/core.py
@@ -306,7 +306,7 @@
         """Reads the seeds again: a node without a leader may have outdated seeds."""
         if now >= self._next_seed_reload_at:
             self._next_seed_reload_at = now + SEED_RELOAD_INTERVAL
-            self.settings = self.settings.read_again()
+            self.settings = self.settings.reloaded()
 
     def _gossip_sessions(self) -> None:
         now = self.host.now()
--- a/heronstall/dataplane/events.py
+++ b/heronstall/dataplane/events.py
@@ -1,14 +1,14 @@
-"""Cuts a text/event-stream into whole events. Free of I/O."""
+"""Splits a text/event-stream into complete events. Does no I/O."""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-ENDS = (b"\n\n", b"\r\n\r\n")
+EVENT_DELIMITERS = (b"\n\n", b"\r\n\r\n")
 
 
 class StreamEvent(NamedTuple):
-    """One whole event: its bytes with the blank line, its id, its data lines joined."""
+    """A complete event: its bytes including the blank line, its id, and its data lines joined."""
 
     raw: bytes
     id: int | None
@@ -16,33 +16,33 @@
 
 
 class EventReader:
-    """Takes pieces of a stream and hands out the events that are whole."""
+    """Reassembles the events of a stream that arrives in chunks."""
 
     def __init__(self) -> None:
         self._buffer = b""
 
     @property
     def partial(self) -> bytes:
-        """What has come of an event that is not whole."""
+        """The bytes received of an incomplete event."""
         return self._buffer
 
-    def feed(self, piece: bytes) -> list[StreamEvent]:
-        """Take a piece; the events that it completes."""
-        self._buffer += piece
+    def feed(self, chunk: bytes) -> list[StreamEvent]:
+        """Adds a chunk and returns the events that it completes."""
+        self._buffer += chunk
         events: list[StreamEvent] = []
         while True:
-            found = [(at, end) for end in ENDS if (at := self._buffer.find(end)) >= 0]
+            found = [(position, end) for end in EVENT_DELIMITERS if (position := self._buffer.find(end)) >= 0]
             if not found:
                 return events
-            at, end = min(found)
-            raw = self._buffer[: at + len(end)]
-            self._buffer = self._buffer[at + len(end) :]
+            position, end = min(found)
+            raw = self._buffer[: position + len(end)]
+            self._buffer = self._buffer[position + len(end) :]
             events.append(parse_event(raw))
 
 
 def parse_event(raw: bytes) -> StreamEvent:
-    """Read the fields of one event."""
-    number: int | None = None
+    """Parses the fields of one event."""
+    event_id: int | None = None
     data: list[bytes] = []
     for line in raw.splitlines():
         name, _, value = line.partition(b":")
@@ -50,5 +50,5 @@
         if name == b"data":
             data.append(value)
         elif name == b"id" and value.strip().isdigit():
-            number = int(value)
-    return StreamEvent(raw, number, b"\n".join(data))
+            event_id = int(value)
+    return StreamEvent(raw, event_id, b"\n".join(data))
--- a/tests/tier/store_simulation.py
+++ b/tests/tier/store_simulation.py
@@ -310,7 +310,7 @@
     async def submit(self, job: BatchJob, shard: str) -> Status:
         """Submits a job once, as the batch API does."""
         call = SubmitRequest(job, QUEUED_TOKENS_QUOTA, shard)
-        reply = await self.shards.call(shard, Kind.SUBMIT, bytes(call), SUBMIT_TIMEOUT, hold=0.8)
+        reply = await self.shards.call(shard, Kind.SUBMIT, bytes(call), SUBMIT_TIMEOUT, owner_wait=0.8)
         return reply.status
 
     async def read_results(self, job: str, shard: str, start: int) -> None:
@@ -360,8 +360,8 @@
             Kind.LEASE,
             bytes(request),
             LEASE_TIMEOUT,
-            hold=LEASE_CALL_HOLD,
-            least=LEASE_CALL_HOLD,
+            owner_wait=LEASE_CALL_HOLD,
+            min_remaining=LEASE_CALL_HOLD,
         )
         if reply.status != Status.OK:
             return
--- a/tests/tier/test_drain.py
+++ b/tests/tier/test_drain.py
@@ -26,9 +26,9 @@
 from aiohttp import web
 
 from heronstall.config import node_settings
-from heronstall.dataplane.forwarding import REQUEST_ID
-from heronstall.dataplane.node import EdgeNode
-from heronstall.dataplane.routing import Routes, read_routes
+from heronstall.dataplane.forwarding import REQUEST_ID_HEADER
+from heronstall.dataplane.node import DispatcherNode
+from heronstall.dataplane.routing import Routes, parse_routes
 from heronstall.lab.tier.client import HOST, SERVICE, STREAM, configuration, until
 from heronstall.lab.tier.plan import CONTROL, FRONT, Plan
 from heronstall.lab.tier.processes import Processes
@@ -112,10 +112,10 @@
     """Returns non-streaming routes on which requests may be repeated."""
     document = configuration(2)
     document["routes"][0].update({"route_type": "idempotent", **changes})
-    return read_routes(ujson.dumps(document).encode())
+    return parse_routes(ujson.dumps(document).encode())
 
 
-Scenario = Callable[[EdgeNode, Caller, int], Awaitable[None]]
+Scenario = Callable[[DispatcherNode, Caller, int], Awaitable[None]]
 
 
 class Dispatcher:
@@ -124,8 +124,10 @@
     def __init__(self, plan: Plan, bounds: dict[str, float] | None = None) -> None:
         self.worker = Worker(plan.workers[0], "i-1", EVENT_INTERVAL)
         self.front = f"{plan.edges[0]}:{FRONT}"
-        self.node = EdgeNode(node_settings(str(plan.write_settings(plan.edges[0], False, bounds or {}))))
-        self.node.ingress.routes = read_routes(ujson.dumps(configuration(2)).encode())
+        self.node = DispatcherNode(
+            node_settings(str(plan.write_settings(plan.edges[0], False, bounds or {})))
+        )
+        self.node.ingress.routes = parse_routes(ujson.dumps(configuration(2)).encode())
         self.node.puller.current_as_of = time.monotonic()
         entry = Entry(id="i-1", service=SERVICE, address=self.worker.address, state="ready", capacity=8)
         self.node.pool.update({"i-1": entry})
@@ -150,7 +152,7 @@
 
 def is_being_handled(dispatcher: Dispatcher, _: Caller) -> bool:
     """Whether the dispatcher is handling the request."""
-    return dispatcher.node.ingress.active == 1
+    return dispatcher.node.ingress.active_count == 1
 
 
 async def run_loop(iterations: int) -> None:
@@ -185,7 +187,7 @@
         Answers to forwarded requests must be complete, and all answers if `answer_due` is set. For other
         requests the connection must be closed.
         """
-        with mock.patch("heronstall.dataplane.node.LEAVE_AFTER", 0.0):
+        with mock.patch("heronstall.dataplane.node.UNREADY_PERIOD_S", 0.0):
             results = await asyncio.gather(*(self.run_drain(iterations, scenario) for iterations in counts))
         return [
             f"{name} after {iterations} iterations: {fault}"
@@ -195,13 +197,13 @@
         ]
 
     async def test_request_read_during_the_shutdown_is_answered(self) -> None:
-        async def kept_connection(node: EdgeNode, caller: Caller, iterations: int) -> None:
+        async def kept_connection(node: DispatcherNode, caller: Caller, iterations: int) -> None:
             await run_loop(8)  # the connection is accepted and idle
             caller.send(request("r1"))
             await run_loop(iterations)
             await node.stop()
 
-        async def new_connection(node: EdgeNode, caller: Caller, iterations: int) -> None:
+        async def new_connection(node: DispatcherNode, caller: Caller, iterations: int) -> None:
             caller.send(request("r1"))
             await run_loop(iterations)
             await node.stop()
@@ -212,7 +214,7 @@
         )
 
     async def test_request_unread_in_the_socket_is_answered(self) -> None:
-        async def scenario(node: EdgeNode, caller: Caller, iterations: int) -> None:
+        async def scenario(node: DispatcherNode, caller: Caller, iterations: int) -> None:
             await run_loop(8)
             (connection,) = node.front.connections
             self.assertTrue(connection.is_idle)
@@ -226,7 +228,7 @@
         whole_request = request("r1")
 
         def send_in_parts(length: int) -> Scenario:
-            async def scenario(node: EdgeNode, caller: Caller, iterations: int) -> None:
+            async def scenario(node: DispatcherNode, caller: Caller, iterations: int) -> None:
                 await run_loop(8)
                 caller.send(whole_request[:length])
                 await run_loop(iterations)
@@ -250,7 +252,7 @@
         self.assertEqual(faults, [])
 
     async def test_incomplete_request_head_delays_the_shutdown_only_for_a_limited_time(self) -> None:
-        async def scenario(node: EdgeNode, caller: Caller, iterations: int) -> None:
+        async def scenario(node: DispatcherNode, caller: Caller, iterations: int) -> None:
             caller.send(request("r1")[:30])
             await asyncio.sleep(SEND_REST_DELAY)
             started_at = time.monotonic()
@@ -261,7 +263,7 @@
             self.assertEqual(await self.find_faults(scenario, ["r1"], [0]), [])
 
     async def test_pipelined_requests_are_answered(self) -> None:
-        async def scenario(node: EdgeNode, caller: Caller, iterations: int) -> None:
+        async def scenario(node: DispatcherNode, caller: Caller, iterations: int) -> None:
             await run_loop(8)
             caller.send(request("r1") + request("r2"))
             await run_loop(iterations)
@@ -270,7 +272,7 @@
         self.assertEqual(await self.find_faults(scenario, ["r1", "r2"], range(1, 8)), [])
 
     async def test_connection_of_an_earlier_stream_is_closed_with_the_stream(self) -> None:
-        async def scenario(node: EdgeNode, caller: Caller, iterations: int) -> None:
+        async def scenario(node: DispatcherNode, caller: Caller, iterations: int) -> None:
             caller.send(request("r1"))
             await asyncio.sleep(1.5 * EVENT_INTERVAL)
             started_at = time.monotonic()
@@ -280,7 +282,7 @@
         self.assertEqual(await self.find_faults(scenario, ["r1"], [0]), [])
 
     async def test_next_request_on_the_connection_of_an_earlier_stream_is_answered(self) -> None:
-        async def scenario(node: EdgeNode, caller: Caller, iterations: int) -> None:
+        async def scenario(node: DispatcherNode, caller: Caller, iterations: int) -> None:
             caller.send(request("r1"))
             await asyncio.sleep(1.5 * EVENT_INTERVAL)
             stopping = asyncio.create_task(node.stop())
@@ -296,10 +298,10 @@
     async def test_answer_to_a_slow_reader_is_sent_completely(self) -> None:
         async def large(request: web.BaseRequest) -> web.StreamResponse:
             return web.Response(
-                body=bytes(LARGE_BODY_BYTES), headers={REQUEST_ID: request.headers[REQUEST_ID]}
+                body=bytes(LARGE_BODY_BYTES), headers={REQUEST_ID_HEADER: request.headers[REQUEST_ID_HEADER]}
             )
 
-        async def scenario(node: EdgeNode, caller: Caller, iterations: int) -> None:
+        async def scenario(node: DispatcherNode, caller: Caller, iterations: int) -> None:
             node.ingress.routes = plain_routes()
             caller.send(request("r1"))
             await asyncio.sleep(0.1)
@@ -314,7 +316,7 @@
 
         with (
             mock.patch.object(Worker, "_answer", staticmethod(large)),
-            mock.patch("heronstall.dataplane.node.LEAVE_AFTER", 0.0),
+            mock.patch("heronstall.dataplane.node.UNREADY_PERIOD_S", 0.0),
         ):
             await self.run_drain(0, scenario)
 
@@ -339,7 +341,7 @@
                 dispatcher.node.pool.update({})
             else:
                 self.enterContext(mock.patch.object(Worker, "_answer", staticmethod(worker_behaviour)))
-            self.enterContext(mock.patch("heronstall.dataplane.node.LEAVE_AFTER", 0.0))
+            self.enterContext(mock.patch("heronstall.dataplane.node.UNREADY_PERIOD_S", 0.0))
             await dispatcher.start()
             caller = Caller(dispatcher.front)
             caller.send(request("r1"))
@@ -383,11 +385,13 @@
 
         async def large(request: web.BaseRequest) -> web.StreamResponse:
             return web.Response(
-                body=bytes(LARGE_BODY_BYTES), headers={REQUEST_ID: request.headers[REQUEST_ID]}
+                body=bytes(LARGE_BODY_BYTES), headers={REQUEST_ID_HEADER: request.headers[REQUEST_ID_HEADER]}
             )
 
         # A slow machine may take long to read the body, which must not cause a call to another worker here.
-        self.enterContext(mock.patch("heronstall.dataplane.forwarding.REQUEST_SILENT", SLOW_MACHINE_TIMEOUT))
+        self.enterContext(
+            mock.patch("heronstall.dataplane.forwarding.REQUEST_SILENCE_S", SLOW_MACHINE_TIMEOUT)
+        )
         answer = await self.response_at_grace_timeout(large, plain_routes(), has_received_part)
         self.assertTrue(answer.startswith(b"HTTP/1.1 200"), answer[:80])
         self.assertEqual(answer.count(b"HTTP/1.1 "), 1)
@@ -395,7 +399,7 @@
 
     async def test_interrupted_stream_does_not_look_complete(self) -> None:
         async def endless(request: web.BaseRequest) -> web.StreamResponse:
-            response = web.StreamResponse(headers={REQUEST_ID: request.headers[REQUEST_ID]})
+            response = web.StreamResponse(headers={REQUEST_ID_HEADER: request.headers[REQUEST_ID_HEADER]})
             await response.prepare(request)
             await response.write(b"id: 1\ndata: a\n\n")
             await self.worker_may_end.wait()
--- a/tests/tier/test_known_configuration.py
+++ b/tests/tier/test_known_configuration.py
@@ -8,10 +8,10 @@
 import unittest
 from unittest import mock
 
-from heronstall.dataplane.ingress import START_HOLD, Ingress
+from heronstall.dataplane.ingress import CONFIGURATION_WAIT_S, Ingress
 from heronstall.dataplane.routing import Routes
 from heronstall.distribution.freshness import KnowledgeLimits
-from tests.tier.test_dataplane import routes
+from tests.tier.test_dataplane import sample_routes
 
 LIMITS = KnowledgeLimits(refuse=1.2, serve=6.2)
 
@@ -20,11 +20,11 @@
     def setUp(self) -> None:
         self.age = 0.0
         forwarder = mock.Mock()
-        forwarder.carry = mock.AsyncMock(return_value=mock.Mock(status=200, prepared=True))
+        forwarder.forward = mock.AsyncMock(return_value=mock.Mock(status=200, prepared=True))
         deferred = mock.Mock()
         deferred.switch.busy = False
         self.ingress = Ingress(forwarder, mock.Mock(), deferred, random.Random(1), lambda: self.age, LIMITS)
-        self.ingress.routes = routes()
+        self.ingress.routes = sample_routes()
 
     async def status(self, path: str, age: float, more: dict[str, str] | None = None) -> int:
         self.age = age
@@ -48,7 +48,7 @@
         self.ingress.routes = Routes()
         began = time.monotonic()
         self.assertEqual(await self.status("/a/x", 0.0), 503)
-        self.assertLess(time.monotonic() - began, START_HOLD + 0.3)
+        self.assertLess(time.monotonic() - began, CONFIGURATION_WAIT_S + 0.3)
         self.assertFalse(self.ingress.may_serve)
 
     async def test_a_request_that_comes_just_before_the_first_configuration_waits_for_it(self) -> None:
@@ -56,14 +56,14 @@
         answer = asyncio.create_task(self.status("/a/x", 0.0))
         await asyncio.sleep(0.05)
         self.assertFalse(answer.done())
-        self.ingress.routes = routes()
+        self.ingress.routes = sample_routes()
         self.assertEqual(await answer, 200)
 
     async def test_half_of_a_short_deadline_bounds_that_wait(self) -> None:
         self.ingress.routes = Routes()
         began = time.monotonic()
         self.assertEqual(await self.status("/a/x", 0.0, {"Heronstall-Deadline-Ms": "100"}), 503)
-        self.assertLess(time.monotonic() - began, START_HOLD / 2)
+        self.assertLess(time.monotonic() - began, CONFIGURATION_WAIT_S / 2)
 
 
 if __name__ == "__main__":
--- a/tests/tier/test_overview.py
+++ b/tests/tier/test_overview.py
@@ -12,7 +12,7 @@
 from click.testing import CliRunner, Result
 
 from heronstall.cli.ctl import ctl
-from heronstall.overview import ask
+from heronstall.overview import collector
 from heronstall.overview.state import (
     BatchShardView,
     ControlNode,
@@ -20,7 +20,7 @@
     Overview,
     ReplicaView,
     ServiceView,
-    services_of,
+    service_views,
 )
 from heronstall.transport.frames import Kind, Status
 from heronstall.transport.links import LinkServer, Reply
@@ -103,14 +103,14 @@
 
 class OverviewTest(unittest.IsolatedAsyncioTestCase):
     def setUp(self) -> None:
-        for name, value in (("PAUSE", 0.0), ("ANSWER_WITHIN", 0.4)):
-            patch = mock.patch.object(ask, name, value)
+        for name, value in (("ROUND_DELAY_S", 0.0), ("REPLY_TIMEOUT_S", 0.4)):
+            patch = mock.patch.object(collector, name, value)
             patch.start()
             self.addCleanup(patch.stop)
 
     async def test_healthy_tier(self) -> None:
         async with FakeNodes(CORE=in_touch, OTHER_CORE=in_touch, OWNER=owner, FOLLOWER=follower) as nodes:
-            observed = await ask.overview([CORE])
+            observed = await collector.collect_overview([CORE])
         self.assertEqual((observed.revision, observed.dispatchers), (4, 2))
         self.assertEqual([node.state for node in observed.control], [NodeState.FINE] * 2)
         self.assertEqual(observed.control[0].versions, {"config": 9, "placement": 3, "workers-0": 5})
@@ -121,7 +121,7 @@
 
     async def test_silent_nodes_and_nodes_out_of_touch_are_named(self) -> None:
         async with FakeNodes(CORE=in_touch, OTHER_CORE=out_of_touch, FOLLOWER=follower):
-            problems = (await ask.overview([OTHER_CORE, CORE])).problems()
+            problems = (await collector.collect_overview([OTHER_CORE, CORE])).problems()
         self.assertIn(f"core node {OTHER_CORE} is out of touch", problems)
         self.assertIn("1 of 2 core nodes are in touch: no majority", problems)
         self.assertIn("batch-0 has no owner", problems)
@@ -137,13 +137,13 @@
         async with FakeNodes(
             CORE=in_touch, OTHER_CORE=in_touch, OWNER=follower_then_owner, FOLLOWER=follower
         ):
-            observed = await ask.overview([CORE])
+            observed = await collector.collect_overview([CORE])
         self.assertEqual([replica.owner for replica in observed.batch[0].replicas], [True, False])
 
     async def test_missing_contact_to_any_node_is_reported(self) -> None:
         async with FakeNodes(CORE=out_of_touch):
-            with self.assertRaisesRegex(ask.NoNode, CORE):
-                await ask.overview([CORE, OTHER_CORE])
+            with self.assertRaisesRegex(collector.NoCoreNodeError, CORE):
+                await collector.collect_overview([CORE, OTHER_CORE])
 
 
 class ProblemDetection(unittest.TestCase):
@@ -167,13 +167,13 @@
         document = {"routes": [{"traffic_split": traffic_split}, {"service": "s"}]}
         workers = [("s", "ready", 4), ("s", "draining", 4), ("u", "ready", 2)]
         expected = [ServiceView("s", 1, 1, 4, 2), ServiceView("t", routes=1), ServiceView("u", 1, 0, 2)]
-        self.assertEqual(services_of(document, workers), expected)
+        self.assertEqual(service_views(document, workers), expected)
 
 
 class CommandLine(unittest.TestCase):
     def run_status(self, observed: Callable[[Any], Coroutine[Any, Any, Overview]], *arguments: str) -> Result:
         """Runs `heronstall ctl status` with a given overview."""
-        with mock.patch.object(ask, "overview", observed):
+        with mock.patch.object(collector, "collect_overview", observed):
             return CliRunner().invoke(ctl, ["status", *arguments])
 
     @staticmethod
@@ -191,7 +191,7 @@
     @staticmethod
     async def no_node(_addresses: object) -> Overview:
         """No node answers."""
-        raise ask.NoNode("c:1")
+        raise collector.NoCoreNodeError("c:1")
 
     def test_healthy_tier_is_printed(self) -> None:
         result = self.run_status(self.healthy_tier, "--node", CORE)
