--- a/benchmarks/tier_capacity.py
+++ b/benchmarks/tier_capacity.py
@@ -27,13 +27,13 @@
 from scipy import stats
 
 from heronstall.batch import jobs as batch
-from heronstall.batch.items import put_items
+from heronstall.batch.items import set_items
 from heronstall.batch.jobs import BatchShard
-from heronstall.batch.leases import Leases
+from heronstall.batch.leases import LeaseQueue
 from heronstall.controlplane.state.worker_shard import WorkerShard, put
 from heronstall.dataplane.routing import read_routes
-from heronstall.distribution.view import View
-from heronstall.sessions.loads import WorkerLoad, pack
+from heronstall.distribution.view import ControlStateView
+from heronstall.sessions.loads import WorkerLoad, pack_loads
 from heronstall.sessions.table import Sessions
 from heronstall.transport import messages as m
 
@@ -92,7 +92,7 @@
 def loads(rng: random.Random, workers: int, busy: int) -> m.Loads:
     """A dispatcher's word of the workers where it has something."""
     chosen = rng.sample(range(workers), min(workers, busy))
-    return pack(WorkerLoad(f"i-{k:08x}", rng.randrange(1, 4), rng.randrange(3)) for k in chosen)
+    return pack_loads(WorkerLoad(f"i-{k:08x}", rng.randrange(1, 4), rng.randrange(3)) for k in chosen)
 
 
 def session(rng: random.Random, number: int, workers: int) -> m.Session:
@@ -117,15 +117,15 @@
         call = m.SyncRequest().parse(request)
         table.renew(0.0, call.session)
         reply = m.SyncReply(config_version=9, edges=100, control=["10.1.0.1:7720"] * 5)
-        reply.loads = pack(table.loads(0.0, call.session.name))
+        reply.loads = pack_loads(table.loads(0.0, call.session.name))
         return bytes(reply)
 
     reply = answer()
-    view, own = View(), session(rng, 1, workers)
+    view, own = ControlStateView(), session(rng, 1, workers)
 
     def pull() -> None:
-        bytes(m.SyncRequest(own, view.vector(), 600))
-        view.take(m.SyncReply().parse(reply))
+        bytes(m.SyncRequest(own, view.version_vector(), 600))
+        view.apply(m.SyncReply().parse(reply))
 
     return [
         ("core node: answer to a pull", cpu_us(answer, seconds), len(request) + len(reply)),
@@ -138,7 +138,7 @@
     own = Sessions()
     for number in range(dispatchers):
         own.renew(0.0, session(rng, number, TARGET_WORKERS))
-    table = bytes(m.SessionTable(own.told(0.1)))
+    table = bytes(m.SessionTable(own.recently_renewed(0.1)))
     other = Sessions()
 
     def take() -> None:
@@ -147,7 +147,7 @@
     return [
         (
             "core node: telling sessions",
-            cpu_us(lambda: bytes(m.SessionTable(own.told(0.1))), seconds),
+            cpu_us(lambda: bytes(m.SessionTable(own.recently_renewed(0.1))), seconds),
             len(table),
         ),
         ("core node: taking told sessions", cpu_us(take, seconds), len(table)),
@@ -167,7 +167,7 @@
         return bytes(m.SyncReply(workers=[delta]))
 
     told = tell()
-    taking = cpu_us(lambda: View().take(m.SyncReply().parse(told)), seconds)
+    taking = cpu_us(lambda: ControlStateView().apply(m.SyncReply().parse(told)), seconds)
     return [
         ("core node: the registry for a new dispatcher", cpu_us(tell, seconds), len(told)),
         ("dispatcher: taking the registry", taking, len(told)),
@@ -207,17 +207,17 @@
     ]
     body = rng.randbytes(600)
     given = [m.BatchItem(f"item-{k:08x}", "/lots/x", headers, body, 1200) for k in range(count)]
-    job = put_items(m.BatchJob("job", "r", "h", [], 0, 8000, 60_000, 3), given)
+    job = set_items(m.BatchJob("job", "r", "h", [], 0, 8000, 60_000, 3), given)
     request = bytes(m.SubmitRequest(job, 0, "batch-0"))
 
     def live() -> None:
         shard = BatchShard()
-        queue = Leases(shard)
+        queue = LeaseQueue(shard)
         shard.listener = queue
-        queue.lead(0.0, True)
-        shard.apply(1, batch.accept(m.SubmitRequest().parse(request).job))
+        queue.set_ownership(0.0, True)
+        shard.apply(1, batch.encode_accept(m.SubmitRequest().parse(request).job))
         held = []
-        while got := queue.take(1.0, "edge", 1):
+        while got := queue.lease_items(1.0, "edge", 1):
             record, name, number = got[0]
             leased = m.LeasedItem("job", "h", record.open_items[name].encoded, 8000, "r", number)
             bytes(m.LeaseReply([leased], [], queue.waiting))
@@ -226,7 +226,7 @@
             reports = [m.ItemReport("job", name, 1, b"x" * 800) for name in held[at : at + 10]]
             call = m.FinishRequest().parse(bytes(m.FinishRequest("edge", reports, "batch-0")))
             listed = [m.ItemResult(r.job, r.item, True, r.text) for r in call.reports]
-            shard.apply(2 + at, batch.results(listed))
+            shard.apply(2 + at, batch.encode_results(listed))
 
     return [("owner: a batch job's life", cpu_us(live, seconds), len(request))]
 
--- a/heronstall/batch/fields.py
+++ b/heronstall/batch/fields.py
@@ -7,6 +7,6 @@
 LENGTH_DELIMITED = 2  # wire type of texts, bytes and messages
 
 
-def embedded(number: int, encoded: bytes) -> bytes:
+def encode_length_delimited(number: int, encoded: bytes) -> bytes:
     """A field that holds a text, bytes or a message."""
     return encode_varint(number << 3 | LENGTH_DELIMITED) + encode_varint(len(encoded)) + encoded
--- a/heronstall/batch/items.py
+++ b/heronstall/batch/items.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
 
-from heronstall.batch.fields import embedded
+from heronstall.batch.fields import encode_length_delimited
 from heronstall.transport.messages import BatchItem, BatchJob
 
 ITEMS_FIELD, ITEM_IDS_FIELD = 4, 9  # of BatchJob
@@ -26,12 +26,12 @@
         return BatchItem().parse(self.encoded)
 
 
-def put_items(job: BatchJob, items: Iterable[BatchItem]) -> BatchJob:
+def set_items(job: BatchJob, items: Iterable[BatchItem]) -> BatchJob:
     """Set a job's items; returns the job."""
-    return put_stored(job, {item.id: StoredItem(bytes(item), item.tokens) for item in items})
+    return set_stored_items(job, {item.id: StoredItem(bytes(item), item.tokens) for item in items})
 
 
-def put_stored(job: BatchJob, items: Mapping[str, StoredItem]) -> BatchJob:
+def set_stored_items(job: BatchJob, items: Mapping[str, StoredItem]) -> BatchJob:
     """Set a job's items from encoded ones; returns the job."""
     job.items = [item.encoded for item in items.values()]
     job.item_ids = list(items)
@@ -41,9 +41,9 @@
 
 def encode_with_items(job: BatchJob, items: Mapping[str, StoredItem]) -> bytes:
     """The bytes of a job that has no items, with these, without a step of the message library for each."""
-    parts = [bytes(put_stored(job, {}))]
-    parts += [embedded(ITEMS_FIELD, item.encoded) for item in items.values()]
-    parts += [embedded(ITEM_IDS_FIELD, name.encode()) for name in items]
+    parts = [bytes(set_stored_items(job, {}))]
+    parts += [encode_length_delimited(ITEMS_FIELD, item.encoded) for item in items.values()]
+    parts += [encode_length_delimited(ITEM_IDS_FIELD, name.encode()) for name in items]
     parts.append(bytes(BatchJob(item_tokens=[item.tokens for item in items.values()])))
     return b"".join(parts)
 
--- a/heronstall/batch/jobs.py
+++ b/heronstall/batch/jobs.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass, field
 from enum import IntEnum
 
-from heronstall.batch.fields import embedded
-from heronstall.batch.items import StoredItem, encode_with_items, put_stored, stored_items
+from heronstall.batch.fields import encode_length_delimited
+from heronstall.batch.items import StoredItem, encode_with_items, set_stored_items, stored_items
 from heronstall.transport.messages import (
     BatchJob,
     BatchState,
@@ -34,33 +34,33 @@
     FORGET = 4
 
 
-def accept(job: BatchJob) -> bytes:
+def encode_accept(job: BatchJob) -> bytes:
     """The command that takes a job on."""
     return bytes([Command.ACCEPT]) + bytes(job)
 
 
-def results(found: list[ItemResult]) -> bytes:
+def encode_results(found: list[ItemResult]) -> bytes:
     """The command that lists results at the next positions of their jobs."""
     return bytes([Command.RESULTS]) + bytes(ItemResults(found))
 
 
-def end(job: str) -> bytes:
+def encode_end(job: str) -> bytes:
     """The command that ends a job."""
     return bytes([Command.END]) + job.encode()
 
 
-def forget(jobs: list[str]) -> bytes:
+def encode_forget(jobs: list[str]) -> bytes:
     """The command that drops jobs of which nothing is owed any more."""
     return bytes([Command.FORGET]) + bytes(JobNames(jobs))
 
 
-def _encoded(job: Job) -> bytes:
+def _encode_job_state(job: Job) -> bytes:
     """The JobState of a job."""
-    record = embedded(JOB_FIELD, encode_with_items(job.record, job.open_items))
+    record = encode_length_delimited(JOB_FIELD, encode_with_items(job.record, job.open_items))
     return record + bytes(JobState(results=job.results, ended=job.ended))
 
 
-def _size(item: StoredItem) -> int:
+def _item_memory(item: StoredItem) -> int:
     return len(item.encoded) + ITEM_OVERHEAD
 
 
@@ -80,7 +80,7 @@
         return len(self.results) + len(self.open_items)
 
     @property
-    def settled(self) -> bool:
+    def is_finished(self) -> bool:
         """Whether nothing of it is left to do."""
         return self.ended or not self.open_items
 
@@ -88,16 +88,16 @@
 class JobListener:
     """Told of what changes; by default it does nothing."""
 
-    def reset(self) -> None:
+    def on_reset(self) -> None:
         """All jobs may have changed."""
 
-    def accepted(self, job: Job) -> None:
+    def on_job_accepted(self, job: Job) -> None:
         """A job was taken on."""
 
-    def listed(self, job: Job, item: str) -> None:
+    def on_result_recorded(self, job: Job, item: str) -> None:
         """An item has its result."""
 
-    def ended(self, job: Job) -> None:
+    def on_job_ended(self, job: Job) -> None:
         """A job was ended."""
 
 
@@ -109,59 +109,61 @@
     ) -> None:
         self.jobs: dict[str, Job] = {}
         self.waiting_tokens: Counter[str] = Counter()  # by route
-        self.bytes = 0  # of bodies and texts, about
+        self.memory_bytes = 0  # of bodies and texts, about
         self.listener = JobListener()
-        self._steady, self._wall = steady, wall
+        self._steady_clock, self._wall_clock = steady, wall
 
     def apply(self, index: int, data: bytes) -> bool:
         """Take a command; whether it changed anything."""
         kind, body = data[0], data[1:]
         if kind == Command.ACCEPT:
-            return self._accept(BatchJob().parse(body))
+            return self._accept_job(BatchJob().parse(body))
         if kind == Command.RESULTS:
             for result in ItemResults().parse(body).results:
-                self._list(result)
+                self._record_result(result)
             return True
         if kind == Command.END:
-            return self._end(body.decode())
+            return self._end_job(body.decode())
         if kind == Command.FORGET:
-            return self._forget(JobNames().parse(body).jobs)
+            return self._forget_jobs(JobNames().parse(body).jobs)
         return False  # a newer node's command
 
     def dump(self) -> bytes:
         """The whole state."""
-        return b"".join(embedded(JOBS_FIELD, _encoded(job)) for job in self.jobs.values())
+        return b"".join(
+            encode_length_delimited(JOBS_FIELD, _encode_job_state(job)) for job in self.jobs.values()
+        )
 
     def restore(self, state: bytes) -> None:
         """Take a whole state."""
         self.jobs.clear()
         self.waiting_tokens.clear()
-        self.bytes = 0
+        self.memory_bytes = 0
         for kept in BatchState().parse(state).jobs:
-            job = self._new(kept.job)
+            job = self._add_job(kept.job)
             job.results, job.ended = list(kept.results), kept.ended
-            self.bytes += sum(len(r.text) + RESULT_OVERHEAD for r in job.results)
+            self.memory_bytes += sum(len(r.text) + RESULT_OVERHEAD for r in job.results)
             if not job.ended:
                 self.waiting_tokens[job.record.route] += sum(i.tokens for i in job.open_items.values())
-        self.listener.reset()
+        self.listener.on_reset()
 
-    def _new(self, record: BatchJob) -> Job:
-        age = max(0.0, self._wall() - record.accepted_unix_ms / 1000)
-        job = Job(record, self._steady() - age, stored_items(record))
-        put_stored(record, {})
+    def _add_job(self, record: BatchJob) -> Job:
+        age = max(0.0, self._wall_clock() - record.accepted_unix_ms / 1000)
+        job = Job(record, self._steady_clock() - age, stored_items(record))
+        set_stored_items(record, {})
         self.jobs[record.id] = job
-        self.bytes += sum(map(_size, job.open_items.values()))
+        self.memory_bytes += sum(map(_item_memory, job.open_items.values()))
         return job
 
-    def _accept(self, record: BatchJob) -> bool:
+    def _accept_job(self, record: BatchJob) -> bool:
         if record.id in self.jobs:
             return False
-        job = self._new(record)
+        job = self._add_job(record)
         self.waiting_tokens[record.route] += sum(item.tokens for item in job.open_items.values())
-        self.listener.accepted(job)
+        self.listener.on_job_accepted(job)
         return True
 
-    def _list(self, result: ItemResult) -> None:
+    def _record_result(self, result: ItemResult) -> None:
         job = self.jobs.get(result.job)
         if job is None:
             return
@@ -169,27 +171,27 @@
         if item is None:
             return  # a position never changes
         job.results.append(result)
-        self.bytes += len(result.text) + RESULT_OVERHEAD - _size(item)
+        self.memory_bytes += len(result.text) + RESULT_OVERHEAD - _item_memory(item)
         if not job.ended:
             self.waiting_tokens[job.record.route] -= item.tokens
-        self.listener.listed(job, result.item)
+        self.listener.on_result_recorded(job, result.item)
 
-    def _end(self, name: str) -> bool:
+    def _end_job(self, name: str) -> bool:
         job = self.jobs.get(name)
         if job is None or job.ended:
             return False
         job.ended = True
         self.waiting_tokens[job.record.route] -= sum(i.tokens for i in job.open_items.values())
-        self.listener.ended(job)
+        self.listener.on_job_ended(job)
         return True
 
-    def _forget(self, names: list[str]) -> bool:
+    def _forget_jobs(self, names: list[str]) -> bool:
         for name in names:
             job = self.jobs.pop(name, None)
             if job is None:
                 continue
-            self.bytes -= sum(len(r.text) + RESULT_OVERHEAD for r in job.results)
-            self.bytes -= sum(map(_size, job.open_items.values()))
+            self.memory_bytes -= sum(len(r.text) + RESULT_OVERHEAD for r in job.results)
+            self.memory_bytes -= sum(map(_item_memory, job.open_items.values()))
             if not job.ended:
                 self.waiting_tokens[job.record.route] -= sum(i.tokens for i in job.open_items.values())
         return True
--- a/heronstall/batch/outcomes.py
+++ b/heronstall/batch/outcomes.py
@@ -9,7 +9,7 @@
     """Numbers as they stand in ItemReport."""
 
     DONE = 1
-    UNDOABLE = 2
+    UNPROCESSABLE = 2
     FAILED = 3
     RETURNED = 4
     ROUTE_GONE = 5
--- a/heronstall/controlplane/core.py
+++ b/heronstall/controlplane/core.py
@@ -21,15 +21,15 @@
     command,
 )
 from heronstall.controlplane.state.worker_shard import WorkerShard
-from heronstall.distribution.freshness import TOLD_WITHIN
+from heronstall.distribution.freshness import MAX_STATE_STALENESS
 from heronstall.distribution.shards import BATCH_SHARDS, CONFIG, WORKER_SHARDS
 from heronstall.distribution.shards import worker_shard as shard_of_service
-from heronstall.ownership.placement import Candidate, first_placement, repaired
+from heronstall.ownership.placement import PlacementCandidate, initial_placements, repaired_placements
 from heronstall.replication import membership
 from heronstall.replication.protocol import address_of
 from heronstall.replication.replica import Replica
-from heronstall.sessions.loads import pack
-from heronstall.sessions.table import EXPIRE, Sessions
+from heronstall.sessions.loads import pack_loads
+from heronstall.sessions.table import SESSION_TIMEOUT, Sessions
 from heronstall.transport.frames import Kind, Status
 from heronstall.transport.links import Reply
 from heronstall.transport.messages import (
@@ -46,7 +46,7 @@
 log = structlog.get_logger()
 
 CHORES = 0.3  # seconds between rounds of chores
-SETTLE = EXPIRE + 0.5  # seconds of a process's life before a silent node counts as dead
+SETTLE = SESSION_TIMEOUT + 0.5  # seconds of a process's life before a silent node counts as dead
 LED_LEAST = 1.0  # seconds of leading before that: nodes that called the former leader call another by then
 READ_SEEDS_EVERY = 2.0  # seconds
 GATHER = 1.0  # seconds that a first placement waits for more storage nodes
@@ -84,7 +84,7 @@
         for group, hosted in self.host.groups.items():
             forms = self.settings.bootstrap and self.address in seeds and group not in known
             if forms and self.host.me.endswith("#0"):
-                hosted.replica.form(self.host.now(), tuple(sorted(f"{s}#0" for s in seeds)))
+                hosted.replica.bootstrap(self.host.now(), tuple(sorted(f"{s}#0" for s in seeds)))
         await self._begin(self._stay_in_touch(), self._chores())
 
     # ------------------------------------------------------------------ what the interface asks
@@ -154,7 +154,7 @@
 
     def live_stores(self) -> set[str]:
         """Replica identities of the storage nodes that have a session."""
-        return {s.replica for s in self.sessions.live(self.host.now(), "storage").values()}
+        return {s.replica for s in self.sessions.live_sessions(self.host.now(), "storage").values()}
 
     @property
     def copies(self) -> int:
@@ -202,11 +202,11 @@
             if news or left <= 0:
                 reply = self._sync_reply(versions)
                 if request.session.machine_class == "edge":
-                    reply.loads = pack(self.sessions.loads(self.host.now(), request.session.name))
-                    reply.edge_number = self.sessions.number(self.host.now(), request.session)
+                    reply.loads = pack_loads(self.sessions.loads(self.host.now(), request.session.name))
+                    reply.edge_number = self.sessions.rank(self.host.now(), request.session)
                 return Reply(Status.OK, bytes(reply))
             try:
-                async with asyncio.timeout(min(left, TOLD_WITHIN / 2)):
+                async with asyncio.timeout(min(left, MAX_STATE_STALENESS / 2)):
                     await self._news.wait()
             except TimeoutError:
                 continue
@@ -220,7 +220,7 @@
     def fresh(self) -> bool:
         """Whether this node's views hold all that was acknowledged until lately, so that they may be told."""
         now = self.host.now()
-        return all(h.replica.in_touch(now, TOLD_WITHIN) for h in self.host.groups.values())
+        return all(h.replica.is_fresh(now, MAX_STATE_STALENESS) for h in self.host.groups.values())
 
     def _news_since(self, versions: dict[str, int]) -> bool:
         state = self.config.state
@@ -242,7 +242,7 @@
             if delta is not None:
                 reply.workers.append(delta)
         reply.control = [address_of(m) for m in self.replica(CONFIG).log.members]
-        reply.edges = len(self.sessions.live(self.host.now(), "edge"))
+        reply.edges = len(self.sessions.live_sessions(self.host.now(), "edge"))
         return reply
 
     def _applied(self, group: str) -> None:
@@ -290,11 +290,11 @@
         seeds = [f"{seed}#" for seed in self.settings.seed_addresses]
         for hosted in self.host.groups.values():
             replica = hosted.replica
-            wanted = membership.wanted_voters(replica, self.copies, now, self.timing)
+            wanted = membership.desired_voters(replica, self.copies, now, self.timing)
             if wanted:
-                membership.step(replica, wanted, now, self.timing)
+                membership.advance_membership(replica, wanted, now, self.timing)
             others = [m for m in replica.log.members if m != self.host.me]
-            replica.ask_to_join(now, [*others, *(s for s in seeds if address_of(s) != self.address)])
+            replica.request_join(now, [*others, *(s for s in seeds if address_of(s) != self.address)])
         self.host.flush_soon()
 
     def _read_seeds(self, now: float) -> None:
@@ -305,7 +305,7 @@
 
     def _gossip(self) -> None:
         now = self.host.now()
-        table = bytes(SessionTable(self.sessions.told(now)))
+        table = bytes(SessionTable(self.sessions.recently_renewed(now)))
         self.sessions.expire(now)
         if table:
             for member in self.replica(CONFIG).log.members:
@@ -325,20 +325,20 @@
                     await self.host.propose(group, expired, COMMIT_WITHIN)
 
     async def _note_stores(self) -> None:
-        for session in self.sessions.live(self.host.now(), "storage").values():
+        for session in self.sessions.live_sessions(self.host.now(), "storage").values():
             known = self.config.store(session.name)
             if known is None or known.replica != session.replica:
                 stage = StoreStage.ACTIVE if known is None else known.stage
                 node = StoreNode(session.name, session.replica, session.zone, stage)
                 await self.host.propose(CONFIG, command(Command.STORE, node), COMMIT_WITHIN)
 
-    def _candidates(self) -> list[Candidate]:
+    def _candidates(self) -> list[PlacementCandidate]:
         """Storage nodes; before this node knows who lives, those that hold replicas count as living."""
         live = self.live_stores()
         if not self.settled():
             live |= {r for placement in self.config.state.placements for r in placement.replicas}
         return [
-            Candidate(s.replica, s.zone, s.replica in live, s.stage == StoreStage.ACTIVE)
+            PlacementCandidate(s.replica, s.zone, s.replica in live, s.stage == StoreStage.ACTIVE)
             for s in self.config.state.stores
         ]
 
@@ -347,15 +347,15 @@
         missing = [s for s in BATCH_SHARDS if not self.config.placement(s)]
         placed = {s: self.config.placement(s) for s in BATCH_SHARDS if s not in missing}
         changes: dict[str, tuple[str, ...]] = {}
-        usable = sum(n.usable for n in nodes)
+        usable = sum(n.is_usable for n in nodes)
         now = self.host.now()
         if missing and usable:
             self._placing_since = self._placing_since or now
             patience = GATHER if usable >= self.copies else 6 * GATHER
             if now - self._placing_since > patience:
-                changes = first_placement(missing, nodes, self.copies)
+                changes = initial_placements(missing, nodes, self.copies)
         else:
-            changes = repaired(placed, nodes, self.copies)
+            changes = repaired_placements(placed, nodes, self.copies)
         for shard, replicas in changes.items():
             log.info("place", shard=shard, replicas=list(replicas))
             placement = Placement(shard, list(replicas), shard in missing)
@@ -375,7 +375,7 @@
         """
         told: dict[str, tuple[int, tuple[str, ...]]] = {}
         present = self.config.state.placement_version
-        for session in self.sessions.live(self.host.now(), "storage").values():
+        for session in self.sessions.live_sessions(self.host.now(), "storage").values():
             if session.placement_version < present:
                 continue
             for status in session.shards:
--- a/heronstall/controlplane/hosting.py
+++ b/heronstall/controlplane/hosting.py
@@ -12,19 +12,19 @@
 
 import structlog
 
-from heronstall.replication.log import Image
+from heronstall.replication.log import PersistentState
 from heronstall.replication.protocol import (
-    MICROSECONDS,
+    MICROSECONDS_PER_SECOND,
     EntryKind,
     MessageKind,
     RecordKind,
     Timing,
     address_of,
-    microseconds,
+    to_microseconds,
 )
 from heronstall.replication.replica import Replica
-from heronstall.replication.state import Output
-from heronstall.storage.journal import Journal, Recovered
+from heronstall.replication.state import ReplicaOutput
+from heronstall.storage.journal import Journal, RecoveredJournal
 from heronstall.transport.frames import Kind
 from heronstall.transport.links import Links
 from heronstall.transport.messages import DiskRecord, GroupBatch, GroupImage, GroupMessage
@@ -97,7 +97,7 @@
         self._timing = timing
         self._limit = log_limit
         self._random = random.Random()
-        self._images: dict[str, Image] = {}
+        self._images: dict[str, PersistentState] = {}
         self._pending: list[DiskRecord] = []
         self._held: list[GroupMessage] = []
         self._flush_due = False
@@ -114,7 +114,7 @@
         """Run a replica of a group, from what the disk holds of it."""
         image = self._images.pop(group, None)
         replica = Replica(group, self.me, self._timing, self._random, self.now(), image)
-        replica.carry(machine.dump, tells_commit)
+        replica.configure(machine.dump, tells_commit)
         machine.restore(image.snapshot.state if image and image.snapshot else b"")
         self.groups[group] = Hosted(replica, machine)
         return replica
@@ -172,11 +172,11 @@
         Raises TimeoutError where no majority says so in time.
         """
         replica = self.groups[group].replica
-        asked_at = microseconds(self.now()) / MICROSECONDS
-        replica.ask_quorum(asked_at)
+        asked_at = to_microseconds(self.now()) / MICROSECONDS_PER_SECOND
+        replica.probe_quorum(asked_at)
         self.flush_soon()
         async with asyncio.timeout(within):
-            while replica.confirmed_at(self.now()) < asked_at:
+            while replica.fresh_as_of(self.now()) < asked_at:
                 await asyncio.sleep(CONFIRM_LOOK)
 
     def flush_soon(self) -> None:
@@ -190,12 +190,19 @@
         self._flush_due = False
         for _ in range(8):
             outputs = [(h, h.replica.take_output()) for h in self.groups.values()]
-            busy = any(o.early or o.records or o.late or o.install or o.apply for _, o in outputs)
+            busy = any(
+                o.messages_before_sync
+                or o.records
+                or o.messages_after_sync
+                or o.snapshot_to_install
+                or o.entries_to_apply
+                for _, o in outputs
+            )
             if not busy and not self._write_due():
                 break
-            self._send([m for _, o in outputs for m in o.early])
+            self._send([m for _, o in outputs for m in o.messages_before_sync])
             self._pending += [r for _, o in outputs for r in o.records]
-            self._held += [m for _, o in outputs for m in o.late]
+            self._held += [m for _, o in outputs for m in o.messages_after_sync]
             self._write_pending()
             for hosted, output in outputs:
                 self._apply(hosted, output)
@@ -217,17 +224,17 @@
         assert found.parts
         return found.parts[0].decode()
 
-    def _read_images(self, found: Recovered) -> None:
+    def _read_images(self, found: RecoveredJournal) -> None:
         assert found.parts is not None
         for part in found.parts[1:]:
             image = GroupImage().parse(part)
             snapshot = image.snapshot if image.snapshot.index else None
-            self._images[image.group] = Image(image.term, image.vote, snapshot, list(image.entries))
+            self._images[image.group] = PersistentState(image.term, image.vote, snapshot, list(image.entries))
         for payload in found.records:
             self._replay(DiskRecord().parse(payload))
 
     def _replay(self, record: DiskRecord) -> None:
-        image = self._images.setdefault(record.group, Image())
+        image = self._images.setdefault(record.group, PersistentState())
         if record.kind == RecordKind.VOTE:
             image.term, image.vote = record.term, record.vote
         elif record.kind == RecordKind.SNAPSHOT:
@@ -256,7 +263,7 @@
             self._pending.clear()
             now = self.now()
             for hosted in self.groups.values():
-                hosted.replica.synced(now)
+                hosted.replica.on_records_synced(now)
         held, self._held = self._held, []
         self._send(held)
 
@@ -273,15 +280,15 @@
             self._disk_after = self.now() + DISK_RETRY
             return
         for hosted in self.groups.values():
-            hosted.replica.log.compact(hosted.replica.applied - KEPT_ENTRIES)
+            hosted.replica.log.discard_up_to(hosted.replica.applied_index - KEPT_ENTRIES)
 
     @staticmethod
     def _group_image(group: str, hosted: Hosted) -> GroupImage:
         replica = hosted.replica
         image = GroupImage(group=group, term=replica.term, vote=replica.vote)
-        if replica.applied:
-            image.snapshot = replica.image(replica.applied, hosted.machine.dump())
-        image.entries = [e for e in replica.log.entries() if e.index > replica.applied]
+        if replica.applied_index:
+            image.snapshot = replica.snapshot_at(replica.applied_index, hosted.machine.dump())
+        image.entries = [e for e in replica.log.entries() if e.index > replica.applied_index]
         return image
 
     # ------------------------------------------------------------------ messages and state
@@ -296,16 +303,16 @@
         for address, batch in batches.items():
             self.links.to(address).send(Kind.GROUP, bytes(GroupBatch(messages=batch)))
 
-    def _apply(self, hosted: Hosted, output: Output) -> None:
-        if output.install is not None:
-            hosted.machine.restore(output.install.state)
-            self._drop_unknown(hosted, output.install.index)
-        for entry in output.apply:
+    def _apply(self, hosted: Hosted, output: ReplicaOutput) -> None:
+        if output.snapshot_to_install is not None:
+            hosted.machine.restore(output.snapshot_to_install.state)
+            self._drop_unknown(hosted, output.snapshot_to_install.index)
+        for entry in output.entries_to_apply:
             result = None
             if entry.kind == EntryKind.COMMAND:
                 result = hosted.machine.apply(entry.index, entry.data)
             self._settle(hosted, EntryId(entry.index, entry.term), result)
-        if output.install is not None or output.apply:
+        if output.snapshot_to_install is not None or output.entries_to_apply:
             self.on_applied(hosted.replica.group)
 
     @staticmethod
--- a/heronstall/controlplane/planning.py
+++ b/heronstall/controlplane/planning.py
@@ -28,7 +28,7 @@
         ready = self._ready(request.service, workers)
 
         def load(worker: str) -> Load:
-            return Load(self._sessions.at_worker(worker), max(1, workers[worker].capacity))
+            return Load(self._sessions.total_at_worker(worker), max(1, workers[worker].capacity))
 
         prompt = Prompt(request.part, request.shared, request.own)
         placed = planner.place(self._clock(), prompt, ready, load)
--- a/heronstall/controlplane/replica_node.py
+++ b/heronstall/controlplane/replica_node.py
@@ -43,7 +43,7 @@
     async def stop(self) -> None:
         """Hand the leaderships over and end."""
         for hosted in self.host.groups.values():
-            hosted.replica.hand_over(self.host.now())
+            hosted.replica.transfer_leadership(self.host.now())
         self.host.flush()
         await asyncio.sleep(LAST_WORDS)
         for task in self._tasks:
--- a/heronstall/controlplane/store.py
+++ b/heronstall/controlplane/store.py
@@ -13,13 +13,13 @@
 from heronstall.batch import jobs as batch
 from heronstall.batch.items import StoredItem, stored_items
 from heronstall.batch.jobs import BatchShard, Job, JobListener
-from heronstall.batch.leases import ITEM_LIMIT, Leases
+from heronstall.batch.leases import MAX_ITEMS_PER_CALL, LeaseQueue
 from heronstall.batch.outcomes import Outcome
 from heronstall.config import NodeSettings
 from heronstall.controlplane.hosting import Superseded
 from heronstall.controlplane.replica_node import ReplicaNode
 from heronstall.controlplane.waiting import LeaseCalls, NamedCalls
-from heronstall.distribution.view import View
+from heronstall.distribution.view import ControlStateView
 from heronstall.replication import membership
 from heronstall.transport.frames import Kind, Status
 from heronstall.transport.links import Reply
@@ -57,7 +57,7 @@
 
     def __init__(self) -> None:
         self.state = BatchShard()
-        self.leases = Leases(self.state)
+        self.leases = LeaseQueue(self.state)
         self.state.listener = self
         self.accepting: dict[str, asyncio.Future[Any]] = {}  # proposed jobs of which nothing is known yet
         self.accepting_tokens: Counter[str] = Counter()  # of these, by route
@@ -66,23 +66,23 @@
         self._changed: set[str] = set()  # jobs with news for their readers
         self._ended: set[str] = set()  # jobs whose items at dispatchers are to be ended
 
-    def reset(self) -> None:
+    def on_reset(self) -> None:
         """All jobs may have changed."""
-        self.leases.reset()
+        self.leases.on_reset()
         self.wake_all()
 
-    def accepted(self, job: Job) -> None:
+    def on_job_accepted(self, job: Job) -> None:
         """A job was taken on."""
-        self.leases.accepted(job)
+        self.leases.on_job_accepted(job)
 
-    def listed(self, job: Job, item: str) -> None:
+    def on_result_recorded(self, job: Job, item: str) -> None:
         """An item has its result."""
-        self.leases.listed(job, item)
+        self.leases.on_result_recorded(job, item)
         self._changed.add(job.record.id)
 
-    def ended(self, job: Job) -> None:
+    def on_job_ended(self, job: Job) -> None:
         """A job was ended."""
-        self.leases.ended(job)
+        self.leases.on_job_ended(job)
         self._changed.add(job.record.id)
         self._ended.add(job.record.id)
 
@@ -107,7 +107,7 @@
 
     def __init__(self, settings: NodeSettings) -> None:
         super().__init__(settings, LOG_LIMIT, DISK_PARTS)
-        self.view = View()
+        self.view = ControlStateView()
         self.shards: dict[str, OwnedShard] = {}
         self._calls: dict[Kind, tuple[type[Any], Callable[[OwnedShard, Any], Awaitable[Reply]]]] = {
             Kind.SUBMIT: (SubmitRequest, self._submit),
@@ -141,7 +141,7 @@
         for group, hosted in self.host.groups.items():
             replica = hosted.replica
             leader = self.host.me if replica.established else ""
-            settled = replica.log.members_index <= replica.commit
+            settled = replica.log.members_index <= replica.commit_index
             voters = list(replica.log.members) if settled else []
             statuses.append(ShardStatus(group, replica.term, voters, leader))
         return Session(
@@ -162,7 +162,7 @@
                 self._add(shard)
                 if placement.first:  # nobody has voted before; an identity without the group has not either
                     voters = tuple(sorted(placement.replicas))
-                    self.host.groups[shard].replica.form(self.host.now(), voters)
+                    self.host.groups[shard].replica.bootstrap(self.host.now(), voters)
         self.host.flush_soon()
 
     def _applied(self, group: str) -> None:
@@ -170,7 +170,7 @@
 
     def _role(self, group: str, leads: bool) -> None:
         term = self.host.groups[group].replica.term
-        self.shards[group].leases.lead(self.host.now(), leads, term)
+        self.shards[group].leases.set_ownership(self.host.now(), leads, term)
         self.shards[group].wake_all()
 
     async def _chores(self) -> None:
@@ -179,13 +179,13 @@
             now = self.host.now()
             for group, owned in self.shards.items():
                 replica = self.host.groups[group].replica
-                wanted = self.view.placement_of(group)
+                wanted = self.view.replicas_of(group)
                 if wanted:
-                    membership.step(replica, wanted, now, self.timing)
-                    replica.ask_to_join(now, [r for r in wanted if r != self.host.me])
+                    membership.advance_membership(replica, wanted, now, self.timing)
+                    replica.request_join(now, [r for r in wanted if r != self.host.me])
                 if not replica.holds_lease(now):
                     continue
-                if owned.leases.expire(now) + owned.leases.resume(now):
+                if owned.leases.expire_silent_holders(now) + owned.leases.resume_paused(now):
                     owned.wake()
                 try:
                     await self._clean(group, owned)
@@ -199,17 +199,17 @@
         old = [
             name
             for name, job in owned.state.jobs.items()
-            if job.settled and now - job.accepted_at > self.settings.bounds.status + late
+            if job.is_finished and now - job.accepted_at > self.settings.bounds.status + late
         ]
         if old:
-            await self.host.propose(group, batch.forget(old), COMMIT_WITHIN)
+            await self.host.propose(group, batch.encode_forget(old), COMMIT_WITHIN)
         dead: list[ItemResult] = []
         for name, job in owned.state.jobs.items():
             given_up = job.record.retention_ms / 1000 + late
             if not job.ended and job.open_items and now - job.accepted_at > given_up:
                 dead += [ItemResult(job=name, item=item) for item in job.open_items]
         if dead:
-            await self.host.propose(group, batch.results(dead), COMMIT_WITHIN)
+            await self.host.propose(group, batch.encode_results(dead), COMMIT_WITHIN)
 
     # ------------------------------------------------------------------ calls
 
@@ -255,7 +255,7 @@
             return Reply(Status.OVER_QUOTA)
         if not self._has_room(items):
             return Reply(Status.REFUSED)
-        decision = owned.accepting[job.id] = self.host.submit(request.shard, batch.accept(job))
+        decision = owned.accepting[job.id] = self.host.submit(request.shard, batch.encode_accept(job))
         owned.accepting_tokens[job.route] += tokens
 
         def decided(_: asyncio.Future[Any]) -> None:
@@ -280,7 +280,7 @@
 
     def _has_room(self, items: Collection[StoredItem]) -> bool:
         """Whether disk and memory can hold these items to their end, and their results."""
-        held = sum(o.state.bytes for o in self.shards.values())
+        held = sum(o.state.memory_bytes for o in self.shards.values())
         new = sum(2 * len(i.encoded) + 8 * i.tokens + 600 for i in items)
         on_disk = 2 * (held + new) + 2 * self.log_limit
         in_memory = 2 * (held + new)
@@ -296,7 +296,7 @@
             if job is None:
                 return Reply(Status.UNKNOWN)
             left = deadline - self.host.now()
-            if len(job.results) > request.start or left <= 0 or job.settled:
+            if len(job.results) > request.start or left <= 0 or job.is_finished:
                 return Reply(Status.OK, bytes(_page(job, request.start)))
             await owned.readers.wait(request.job, left)
         return self._elsewhere(request.shard)
@@ -313,7 +313,7 @@
         if job is None:
             return Reply(Status.UNSURE if request.job in owned.accepting else Status.UNKNOWN)
         if not job.ended:
-            await self.host.propose(request.shard, batch.end(request.job), COMMIT_WITHIN)
+            await self.host.propose(request.shard, batch.encode_end(request.job), COMMIT_WITHIN)
         return Reply(Status.OK)
 
     # ------------------------------------------------------------------ items at dispatchers
@@ -326,9 +326,9 @@
             return NOBODY_WAITS
         owned.lease_calls.replace(holder)
         while self._owned(request.shard) is owned:
-            leases.seen(self.host.now(), holder)
+            leases.record_contact(self.host.now(), holder)
             leases.claim(self.host.now(), holder, running)
-            given = leases.take(self.host.now(), holder, min(request.want, ITEM_LIMIT))
+            given = leases.lease_items(self.host.now(), holder, min(request.want, MAX_ITEMS_PER_CALL))
             ended = [name for name in request.jobs if self._over(owned, name)]
             left = deadline - self.host.now()
             if given or ended or left <= 0:
@@ -349,7 +349,7 @@
         if not request.call:
             return True  # from a dispatcher that does not number its calls
         kept = {(name.job, name.item) for name in (*request.held, *request.reported)}
-        if owned.leases.take_back(request.holder, kept):
+        if owned.leases.reclaim_lost_leases(request.holder, kept):
             owned.wake()
         return True
 
@@ -360,10 +360,10 @@
 
     async def _finish(self, owned: OwnedShard, request: FinishRequest) -> Reply:
         now, holder = self.host.now(), request.holder
-        owned.leases.seen(now, holder)
+        owned.leases.record_contact(now, holder)
         listed = [r for report in request.reports if (r := self._result(owned, now, holder, report))]
         if listed:
-            await self.host.propose(request.shard, batch.results(listed), COMMIT_WITHIN)
+            await self.host.propose(request.shard, batch.encode_results(listed), COMMIT_WITHIN)
         else:
             owned.wake()
         return Reply(Status.OK)
@@ -376,16 +376,16 @@
             return None
         key = (report.job, report.item)
         if report.outcome == Outcome.DONE:
-            owned.leases.finished(now, key)
+            owned.leases.record_run_time(now, key)
             return ItemResult(report.job, report.item, True, report.text)
-        if report.outcome in (Outcome.UNDOABLE, Outcome.ROUTE_GONE):
+        if report.outcome in (Outcome.UNPROCESSABLE, Outcome.ROUTE_GONE):
             return ItemResult(report.job, report.item)
         if report.outcome == Outcome.FAILED:
-            failures = owned.leases.failed(now, holder, key, report.lease)
+            failures = owned.leases.record_failure(now, holder, key, report.lease)
             if failures >= max(1, job.record.max_attempts):
                 return ItemResult(report.job, report.item)
             return None
-        owned.leases.give_back(holder, key, report.lease)
+        owned.leases.return_item(holder, key, report.lease)
         return None
 
 
--- a/heronstall/dataplane/batch_front.py
+++ b/heronstall/dataplane/batch_front.py
@@ -11,7 +11,7 @@
 import ujson
 from aiohttp import web
 
-from heronstall.batch.items import put_items
+from heronstall.batch.items import set_items
 from heronstall.dataplane.forwarding import REQUEST_ID, failure, refusal
 from heronstall.dataplane.misses import MissLog
 from heronstall.dataplane.routing import Route
@@ -106,7 +106,7 @@
             max_attempts=route.max_attempts,
         )
         shard = batch_shard(route.host)
-        call = SubmitRequest(put_items(job, items), route.max_queued_tokens, shard)
+        call = SubmitRequest(set_items(job, items), route.max_queued_tokens, shard)
         reply = await self._shards.call(shard, Kind.SUBMIT, bytes(call), SUBMIT_WITHIN, hold=0.8)
         if reply.status == Status.OK:
             return web.Response(status=202)
--- a/heronstall/dataplane/batch_runner.py
+++ b/heronstall/dataplane/batch_runner.py
@@ -12,7 +12,7 @@
 import structlog
 from multidict import CIMultiDict
 
-from heronstall.batch.leases import ITEM_LIMIT
+from heronstall.batch.leases import MAX_ITEMS_PER_CALL
 from heronstall.batch.outcomes import Outcome
 from heronstall.dataplane.admission import Admission
 from heronstall.dataplane.attempts import ITEM_SILENT, Attempt
@@ -157,7 +157,7 @@
     async def _poll(self, shard: str) -> None:
         while not self.stopping:
             freed = self._place_free
-            most = self._most.get(shard, ITEM_LIMIT)
+            most = self._most.get(shard, MAX_ITEMS_PER_CALL)
             want = min(most, self._want(shard))
             began = time.monotonic()
             reply = await self._call_for_items(shard, want, freed)
@@ -168,7 +168,7 @@
                 self._most[shard] = max(1, most // 2)  # what was lost is sent again: less at a time
                 await asyncio.sleep(POLL_PAUSE)
                 continue
-            self._most[shard] = min(ITEM_LIMIT, 2 * most)
+            self._most[shard] = min(MAX_ITEMS_PER_CALL, 2 * most)
             self._polled_at[shard] = began
             leases = LeaseReply().parse(reply.body)
             for job in leases.ended:
@@ -347,7 +347,7 @@
             well = True
             return outcome
         except UnsendablePath:
-            return Outcome.UNDOABLE
+            return Outcome.UNPROCESSABLE
         except (aiohttp.ClientError, ConnectionError, TimeoutError):
             admission.failed(worker)
             return None
@@ -370,7 +370,7 @@
         if answer.status != 200:
             await answer.read()
             if answer.status == 422:
-                return Outcome.UNDOABLE
+                return Outcome.UNPROCESSABLE
             if answer.status == 500:
                 return Outcome.FAILED
             if answer.status == 503:
--- a/heronstall/dataplane/ingress.py
+++ b/heronstall/dataplane/ingress.py
@@ -17,7 +17,7 @@
 from heronstall.dataplane.deferred import DeferredLane
 from heronstall.dataplane.forwarding import DEADLINE, STARTING, Broken, Forwarder, Passage, failure, refusal
 from heronstall.dataplane.routing import Routes, RouteType
-from heronstall.distribution.freshness import KnowledgeLimits
+from heronstall.distribution.freshness import StalenessLimits
 
 log = structlog.get_logger()
 
@@ -48,7 +48,7 @@
         deferred: DeferredLane,
         rng: random.Random,
         knowledge_age: Callable[[], float],
-        limits: KnowledgeLimits,
+        limits: StalenessLimits,
     ) -> None:
         self._routes = Routes()
         self._configured = asyncio.Event()
@@ -73,7 +73,7 @@
     @property
     def may_serve(self) -> bool:
         """Whether a configuration is known, and none that is much newer can be in force."""
-        return bool(self.routes.revision) and self._knowledge_age() < self._limits.serve
+        return bool(self.routes.revision) and self._knowledge_age() < self._limits.service_limit
 
     @property
     def active(self) -> int:
@@ -137,7 +137,7 @@
             return await self._batch_call(request, host, path)
         route = self.routes.find(host, path)
         if route is None:
-            newest = self._knowledge_age() < self._limits.refuse
+            newest = self._knowledge_age() < self._limits.unknown_route_limit
             return failure(404) if newest else refusal(STARTING)
         if route.type is RouteType.BATCH:
             in_hand.begun = True
--- a/heronstall/dataplane/node.py
+++ b/heronstall/dataplane/node.py
@@ -22,9 +22,9 @@
 from heronstall.dataplane.shard_client import ShardClient
 from heronstall.dataplane.subset import Seat
 from heronstall.dataplane.workers import WorkerPool
-from heronstall.distribution.freshness import KnowledgeLimits
-from heronstall.distribution.view import View
-from heronstall.sessions.loads import pack
+from heronstall.distribution.freshness import StalenessLimits
+from heronstall.distribution.view import ControlStateView
+from heronstall.sessions.loads import pack_loads
 from heronstall.transport.http_server import HttpServer
 from heronstall.transport.links import Links
 from heronstall.transport.messages import Session
@@ -46,7 +46,7 @@
         self.settings = settings
         rng = random.Random()
         self.links = Links()
-        self.view = View()
+        self.view = ControlStateView()
         self.pool = WorkerPool()
         self.admission = Admission(self.pool, rng, settings.zone)
         shards = ShardClient(self.links, self.view)
@@ -69,7 +69,7 @@
             self.deferred,
             rng,
             lambda: time.monotonic() - self.puller.known_at,
-            KnowledgeLimits.within(bounds.config_apply, bounds.max_skew, bounds.recover),
+            StalenessLimits.from_bounds(bounds.config_apply, bounds.max_skew, bounds.recover),
         )
 
         def seeds() -> list[str]:
@@ -146,11 +146,11 @@
             machine_class="edge",
             address=address,
             zone=self.settings.zone,
-            loads=pack(self.pool.loads()),
+            loads=pack_loads(self.pool.loads()),
         )
 
     def _answered(self) -> None:
-        self.pool.seat = Seat(self.view.edge_number, self.view.edges)
+        self.pool.seat = Seat(self.view.dispatcher_rank, self.view.dispatcher_count)
         self.pool.take_loads(self.view.loads)
 
     def _news(self, changed: set[str]) -> None:
--- a/heronstall/dataplane/placing.py
+++ b/heronstall/dataplane/placing.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 
 from heronstall.dataplane.prefixes import SharedPrefix
-from heronstall.distribution.view import View
+from heronstall.distribution.view import ControlStateView
 from heronstall.transport.frames import Kind, Status
 from heronstall.transport.links import Links
 from heronstall.transport.messages import PlaceReply, PlaceRequest
@@ -34,7 +34,9 @@
 class PromptPlacer:
     """Where this dispatcher's large prompts go."""
 
-    def __init__(self, links: Links, view: View, clock: Callable[[], float] = time.monotonic) -> None:
+    def __init__(
+        self, links: Links, view: ControlStateView, clock: Callable[[], float] = time.monotonic
+    ) -> None:
         self._links, self._view, self._clock = links, view, clock
         self._failed_at: dict[str, float] = {}
         self._heard: dict[str, tuple[int, float]] = {}  # by service: tokens read, seconds to the first event
@@ -69,6 +71,8 @@
         """The core node that all dispatchers ask for a service, of those that answer here."""
         now = self._clock()
         answering = [
-            node for node in self._view.control if now - self._failed_at.get(node, -LEFT_OUT) >= LEFT_OUT
+            node
+            for node in self._view.control_addresses
+            if now - self._failed_at.get(node, -LEFT_OUT) >= LEFT_OUT
         ]
         return max(answering, key=lambda node: zlib.crc32(f"{service}|{node}".encode()), default=None)
--- a/heronstall/dataplane/shard_client.py
+++ b/heronstall/dataplane/shard_client.py
@@ -5,7 +5,7 @@
 import asyncio
 import time
 
-from heronstall.distribution.view import View
+from heronstall.distribution.view import ControlStateView
 from heronstall.replication.protocol import address_of
 from heronstall.transport.frames import Kind, Status
 from heronstall.transport.links import LOST, Links, Reply
@@ -18,7 +18,7 @@
 class ShardClient:
     """Finds the owner of a shard among its replicas."""
 
-    def __init__(self, links: Links, view: View) -> None:
+    def __init__(self, links: Links, view: ControlStateView) -> None:
         self._links, self._view = links, view
         self._owner: dict[str, str] = {}
         self._next = 0
@@ -59,7 +59,7 @@
         known = self._owner.get(shard)
         if known is not None:
             return address_of(known)
-        replicas = self._view.placement_of(shard)
+        replicas = self._view.replicas_of(shard)
         if not replicas:
             return None
         self._next += 1
--- a/heronstall/distribution/freshness.py
+++ b/heronstall/distribution/freshness.py
@@ -9,12 +9,12 @@
 
 from dataclasses import dataclass
 
-TOLD_WITHIN = 0.6  # seconds
-MARGIN = 0.2  # seconds between the decision by what is known and its effect
+MAX_STATE_STALENESS = 0.6  # seconds
+DECISION_MARGIN = 0.2  # seconds between the decision by what is known and its effect
 
 
 @dataclass(frozen=True)
-class KnowledgeLimits:
+class StalenessLimits:
     """Ages of the known configuration, in seconds, from which a dispatcher answers 503.
 
     `refuse`: to a request for which no route is known; a newer configuration may have one.
@@ -23,11 +23,11 @@
     nothing newer can be in force, and a loss of the core stops no traffic.
     """
 
-    refuse: float
-    serve: float
+    unknown_route_limit: float
+    service_limit: float
 
     @classmethod
-    def within(cls, config_apply: float, max_skew: float, recover: float) -> KnowledgeLimits:
+    def from_bounds(cls, config_apply: float, max_skew: float, recover: float) -> StalenessLimits:
         """The limits that keep an acknowledged configuration's bounds, all in seconds."""
-        refuse = max(0.0, config_apply - TOLD_WITHIN - MARGIN)
+        refuse = max(0.0, config_apply - MAX_STATE_STALENESS - DECISION_MARGIN)
         return cls(refuse, refuse + max_skew + recover)
--- a/heronstall/distribution/view.py
+++ b/heronstall/distribution/view.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from heronstall.sessions.loads import WorkerLoad, unpack
+from heronstall.sessions.loads import WorkerLoad, unpack_loads
 from heronstall.transport.messages import Placement, ShardVersion, SyncReply, Worker, WorkerChange
 
 
-class View:
+class ControlStateView:
     """Configuration, placements and workers as this node knows them."""
 
     def __init__(self) -> None:
@@ -14,16 +14,16 @@
         self.document = b""
         self.placements: dict[str, Placement] = {}
         self.workers: dict[str, dict[str, Worker]] = {}
-        self.control: tuple[str, ...] = ()
-        self.edges = 1
-        self.edge_number = 0  # this dispatcher's place among the live ones, from 1; 0: not told
+        self.control_addresses: tuple[str, ...] = ()
+        self.dispatcher_count = 1
+        self.dispatcher_rank = 0  # this dispatcher's place among the live ones, from 1; 0: not told
         self.loads: dict[str, WorkerLoad] = {}  # what the other dispatchers have at each worker
 
-    def vector(self) -> list[ShardVersion]:
+    def version_vector(self) -> list[ShardVersion]:
         """What this node holds, for its next pull."""
         return [ShardVersion(shard, version) for shard, version in self.versions.items()]
 
-    def take(self, reply: SyncReply) -> set[str]:
+    def apply(self, reply: SyncReply) -> set[str]:
         """Take an answer; the names of what has changed."""
         changed: set[str] = set()
         if reply.config_version > self.versions.get("config", 0) and reply.document:
@@ -37,24 +37,24 @@
         for delta in reply.workers:
             if delta.version > self.versions.get(delta.shard, 0):
                 self.versions[delta.shard] = delta.version
-                self._take_workers(delta.shard, delta.complete, list(delta.changes))
+                self._apply_workers(delta.shard, delta.complete, list(delta.changes))
                 changed.add("workers")
-        self.control = tuple(reply.control) or self.control
-        self.edges = max(1, reply.edges)
-        self.edge_number = reply.edge_number
-        self.loads = {load.worker: load for load in unpack(reply.loads)}
+        self.control_addresses = tuple(reply.control) or self.control_addresses
+        self.dispatcher_count = max(1, reply.edges)
+        self.dispatcher_rank = reply.edge_number
+        self.loads = {load.worker: load for load in unpack_loads(reply.loads)}
         return changed
 
     def all_workers(self) -> dict[str, Worker]:
         """Workers by identity, over all shards."""
         return {name: worker for shard in self.workers.values() for name, worker in shard.items()}
 
-    def placement_of(self, shard: str) -> tuple[str, ...]:
+    def replicas_of(self, shard: str) -> tuple[str, ...]:
         """The replicas of a batch shard."""
         placement = self.placements.get(shard)
         return tuple(placement.replicas) if placement else ()
 
-    def _take_workers(self, shard: str, complete: bool, changes: list[WorkerChange]) -> None:
+    def _apply_workers(self, shard: str, complete: bool, changes: list[WorkerChange]) -> None:
         table = self.workers.setdefault(shard, {})
         if complete:
             table.clear()
--- a/heronstall/model/serving/fleet.py
+++ b/heronstall/model/serving/fleet.py
@@ -24,7 +24,7 @@
 from heronstall.model.serving.engine import MICROSECONDS, Engine, EngineRequest, PromptPart
 from heronstall.model.serving.load import Deployment, Draws, RequestKind
 from heronstall.placement.reading import Load, Prompt, ReadingPlanner
-from heronstall.sessions.loads import pack
+from heronstall.sessions.loads import pack_loads
 from heronstall.sessions.table import Sessions
 from heronstall.transport.messages import Session, Worker
 
@@ -262,7 +262,7 @@
             self.time.now / MICROSECONDS,
             prompt,
             list(self.engines),
-            lambda name: Load(self._sessions.at_worker(name), places),
+            lambda name: Load(self._sessions.total_at_worker(name), places),
         )
         assert placed is not None
         request.placed_tokens = placed.tokens
@@ -270,7 +270,7 @@
 
     def _pull(self, dispatcher: ModelDispatcher, number: int) -> None:
         now, name = self.time.now / MICROSECONDS, str(number)
-        session = Session(name=name, machine_class="edge", loads=pack(dispatcher.pool.loads()))
+        session = Session(name=name, machine_class="edge", loads=pack_loads(dispatcher.pool.loads()))
         self._sessions.renew(now, session)
         dispatcher.pool.take_loads({load.worker: load for load in self._sessions.loads(now, name)})
 
--- a/heronstall/overview/ask.py
+++ b/heronstall/overview/ask.py
@@ -6,7 +6,7 @@
 import json
 from collections.abc import AsyncIterator, Sequence
 
-from heronstall.distribution.view import View
+from heronstall.distribution.view import ControlStateView
 from heronstall.overview.state import (
     BatchShardView,
     ControlNode,
@@ -46,7 +46,7 @@
     document = json.loads(view.document) if view.document else {}
     return Overview(
         revision=int(document.get("revision", 0)),
-        dispatchers=view.edges,
+        dispatchers=view.dispatcher_count,
         control=list(control),
         batch=sorted(batch, key=lambda shard: shard.shard),
         services=services_of(document, workers),
@@ -61,15 +61,15 @@
         yield turn
 
 
-async def _first_view(links: Links, addresses: Sequence[str]) -> tuple[View, list[str]] | None:
+async def _first_view(links: Links, addresses: Sequence[str]) -> tuple[ControlStateView, list[str]] | None:
     """All that one node tells, and the core nodes that it names; asked in rounds until one is in touch."""
     async for _ in _rounds():
         for address in addresses:
             reply = await _sync(links, address)
             if isinstance(reply, SyncReply):
-                view = View()
-                view.take(reply)
-                view.edges = reply.edges
+                view = ControlStateView()
+                view.apply(reply)
+                view.dispatcher_count = reply.edges
                 return view, sorted(reply.control)
     return None
 
--- a/heronstall/replication/following.py
+++ b/heronstall/replication/following.py
@@ -2,16 +2,16 @@
 
 from __future__ import annotations
 
-from heronstall.replication.leases import Leases
+from heronstall.replication.leases import ReadLeases
 from heronstall.replication.protocol import MessageKind
 from heronstall.replication.state import ReplicaState
 from heronstall.transport.messages import GroupMessage, LogEntry, Snapshot
 
 
-class Following:
+class Follower:
     """A replica that follows a leader."""
 
-    def __init__(self, state: ReplicaState, leases: Leases) -> None:
+    def __init__(self, state: ReplicaState, leases: ReadLeases) -> None:
         self._state, self._leases = state, leases
 
     def on_append(self, now: float, m: GroupMessage) -> None:
@@ -19,20 +19,20 @@
         state = self._state
         known = state.log.term_at(m.log_index)
         if m.log_index < state.log.base_index:
-            self.reply(now, m, True, state.commit)
+            self.send_reply(now, m, True, state.commit_index)
             return
         if known != m.log_term:
-            hint = min(state.log.last, m.log_index - 1)
-            self.reply(now, m, False, hint)
+            hint = min(state.log.last_index, m.log_index - 1)
+            self.send_reply(now, m, False, hint)
             return
-        self._take_entries(m.entries)
+        self._store_entries(m.entries)
         last = m.log_index + len(m.entries)
-        state.commit = max(state.commit, min(m.commit, last))
-        if m.confirms and m.commit <= state.commit:
-            self._leases.confirm(now, m.confirms)
-        self.reply(now, m, True, last)
+        state.commit_index = max(state.commit_index, min(m.commit, last))
+        if m.confirms and m.commit <= state.commit_index:
+            self._leases.record_confirmation(now, m.confirms)
+        self.send_reply(now, m, True, last)
 
-    def _take_entries(self, entries: list[LogEntry]) -> None:
+    def _store_entries(self, entries: list[LogEntry]) -> None:
         state = self._state
         new: list[LogEntry] = []
         for entry in entries:
@@ -40,7 +40,7 @@
             if known == entry.term:
                 continue
             if known is not None:
-                state.log.cut(entry.index)
+                state.log.truncate_from(entry.index)
             state.log.append(entry)
             new.append(entry)
         if new:
@@ -49,23 +49,23 @@
     def on_snapshot(self, now: float, m: GroupMessage) -> None:
         """Take a snapshot. A log that holds its last entry stays: what lies beyond may be acknowledged."""
         state, snapshot = self._state, m.snapshot
-        if snapshot.index > state.commit:
+        if snapshot.index > state.commit_index:
             if state.log.term_at(snapshot.index) == snapshot.term:
-                state.commit = snapshot.index
+                state.commit_index = snapshot.index
             else:
-                self.install(snapshot)
-        self.reply(now, m, True, state.commit)
+                self.install_snapshot(snapshot)
+        self.send_reply(now, m, True, state.commit_index)
 
-    def install(self, snapshot: Snapshot) -> None:
+    def install_snapshot(self, snapshot: Snapshot) -> None:
         """Hold a snapshot in place of a log that is too short for it, or differs from it."""
         state = self._state
-        state.log.replace(snapshot)
-        state.commit = state.applied = snapshot.index
-        state.output.install = snapshot
-        state.output.apply = []
+        state.log.reset_to_snapshot(snapshot)
+        state.commit_index = state.applied_index = snapshot.index
+        state.output.snapshot_to_install = snapshot
+        state.output.entries_to_apply = []
         state.record_snapshot(snapshot)
 
-    def reply(self, now: float, m: GroupMessage, granted: bool, index: int) -> None:
+    def send_reply(self, now: float, m: GroupMessage, granted: bool, index: int) -> None:
         """Answer a leader, with a mark of this replica's clock."""
         self._state.send(
             m.sender,
@@ -73,5 +73,5 @@
             granted=granted,
             log_index=index,
             round=m.round,
-            asked=self._leases.mark(now),
+            asked=self._leases.clock_mark(now),
         )
--- a/heronstall/replication/log.py
+++ b/heronstall/replication/log.py
@@ -10,7 +10,7 @@
 
 
 @dataclass
-class Image:
+class PersistentState:
     """What a replica has on disk at its start."""
 
     term: int = 0
@@ -29,10 +29,10 @@
         voters = tuple(snapshot.voters) if snapshot else ()
         self._members: list[tuple[int, tuple[str, ...]]] = [(self.base_index, voters)]
         for entry in self._entries:
-            self._note_members(entry)
+            self._track_members(entry)
 
     @property
-    def last(self) -> int:
+    def last_index(self) -> int:
         """Index of the last entry."""
         return self.base_index + len(self._entries)
 
@@ -59,7 +59,7 @@
         """The term of an entry; None where it is not known here."""
         if index == self.base_index:
             return self.base_term
-        if not self.base_index < index <= self.last:
+        if not self.base_index < index <= self.last_index:
             return None
         return self._entries[index - self.base_index - 1].term
 
@@ -67,7 +67,7 @@
         """The entry of an index that is held here."""
         return self._entries[index - self.base_index - 1]
 
-    def after(self, index: int, most_bytes: int) -> list[LogEntry]:
+    def entries_after(self, index: int, most_bytes: int) -> list[LogEntry]:
         """Entries that follow an index, at least one if there is one, up to so many bytes."""
         found: list[LogEntry] = []
         size = 0
@@ -81,15 +81,15 @@
     def append(self, entry: LogEntry) -> None:
         """Add the next entry."""
         self._entries.append(entry)
-        self._note_members(entry)
+        self._track_members(entry)
 
-    def cut(self, index: int) -> None:
+    def truncate_from(self, index: int) -> None:
         """Forget the entries from an index on."""
         del self._entries[index - self.base_index - 1 :]
         while len(self._members) > 1 and self._members[-1][0] >= index:
             self._members.pop()
 
-    def compact(self, index: int) -> None:
+    def discard_up_to(self, index: int) -> None:
         """Forget the entries up to an index, which a snapshot covers."""
         if index <= self.base_index:
             return
@@ -101,7 +101,7 @@
         self.base_index, self.base_term = index, term
         self._members = [(index, voters), *later]
 
-    def replace(self, snapshot: Snapshot) -> None:
+    def reset_to_snapshot(self, snapshot: Snapshot) -> None:
         """Hold nothing but a snapshot."""
         self.base_index, self.base_term = snapshot.index, snapshot.term
         self._entries = []
@@ -111,6 +111,6 @@
         """All entries that are held."""
         return list(self._entries)
 
-    def _note_members(self, entry: LogEntry) -> None:
+    def _track_members(self, entry: LogEntry) -> None:
         if entry.kind == EntryKind.MEMBERS:
             self._members.append((entry.index, tuple(Members().parse(entry.data).voters)))
--- a/heronstall/replication/protocol.py
+++ b/heronstall/replication/protocol.py
@@ -17,7 +17,7 @@
     APPEND_REPLY = 6
     SNAPSHOT = 7
     JOIN = 8
-    TAKE_OVER = 9
+    TRANSFER_LEADERSHIP = 9
 
 
 class EntryKind(IntEnum):
@@ -40,26 +40,26 @@
 class Timing:
     """Times in seconds. A lease is shorter than the least election time-out, so that it ends first."""
 
-    heartbeat: float = 0.12
-    election_least: float = 0.45
-    election_most: float = 0.8
-    restart_round: float = 0.12  # between the pre-votes of a replica that has just started again
-    lease: float = 0.36
-    resend_snapshot: float = 2.0
-    join: float = 0.7
-    dead: float = 2.0  # silence after which a member gives way to a learner that is whole
+    heartbeat_interval: float = 0.12
+    election_timeout_min: float = 0.45
+    election_timeout_max: float = 0.8
+    restart_pre_vote_interval: float = 0.12  # between the pre-votes of a replica that has just started again
+    lease_duration: float = 0.36
+    snapshot_resend_interval: float = 2.0
+    join_interval: float = 0.7
+    dead_member_timeout: float = 2.0  # silence after which a member gives way to a learner that is whole
 
 
-APPEND_BYTES = 1024 * 1024  # of entries in one message
-MICROSECONDS = 1e6  # a second; times in messages are whole microseconds of the clock of one node
+MAX_APPEND_BYTES = 1024 * 1024  # of entries in one message
+MICROSECONDS_PER_SECOND = 1e6  # a second; times in messages are whole microseconds of the clock of one node
 
 
-def microseconds(seconds: float) -> int:
+def to_microseconds(seconds: float) -> int:
     """A time as messages carry it."""
-    return int(seconds * MICROSECONDS)
+    return int(seconds * MICROSECONDS_PER_SECOND)
 
 
-def quorum(voters: int) -> int:
+def quorum_size(voters: int) -> int:
     """How many of so many voters decide."""
     return voters // 2 + 1
 
--- a/heronstall/replication/state.py
+++ b/heronstall/replication/state.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from heronstall.replication.log import Image, Log
+from heronstall.replication.log import Log, PersistentState
 from heronstall.replication.protocol import MessageKind, RecordKind, Timing
 from heronstall.transport.messages import DiskRecord, GroupMessage, LogEntry, Snapshot
 
@@ -23,50 +23,50 @@
 
 
 @dataclass
-class Output:
+class ReplicaOutput:
     """What a driver has to do, in this order."""
 
-    early: list[GroupMessage] = field(default_factory=list)
+    messages_before_sync: list[GroupMessage] = field(default_factory=list)
     records: list[DiskRecord] = field(default_factory=list)
-    late: list[GroupMessage] = field(default_factory=list)
-    install: Snapshot | None = None
-    apply: list[LogEntry] = field(default_factory=list)
+    messages_after_sync: list[GroupMessage] = field(default_factory=list)
+    snapshot_to_install: Snapshot | None = None
+    entries_to_apply: list[LogEntry] = field(default_factory=list)
 
 
 class ReplicaState:
     """The state of one replica, its records on disk and its messages. Times are seconds of its own clock."""
 
     def __init__(
-        self, group: str, me: str, timing: Timing, rng: random.Random, now: float, image: Image
+        self, group: str, me: str, timing: Timing, rng: random.Random, now: float, image: PersistentState
     ) -> None:
-        self.group, self.me = group, me
-        self.timing, self.random = timing, rng
+        self.group, self.identity = group, me
+        self.timing, self.rng = timing, rng
         self.term, self.vote = image.term, image.vote
         self.log = Log(image.snapshot, image.entries)
-        self.commit = self.applied = self.log.base_index
-        self.durable = self.log.last  # last entry known to be on this disk
+        self.commit_index = self.applied_index = self.log.base_index
+        self.durable_index = self.log.last_index  # last entry known to be on this disk
         self.role = Role.FOLLOWER
-        self.leader = ""
-        self.heard_at = now  # of the leader; a restarted replica may have promised a lease
-        self.term_start = 0  # index of the first entry of the own leadership
-        self.output = Output()
+        self.leader_identity = ""
+        self.last_leader_contact_at = now  # of the leader; a restarted replica may have promised a lease
+        self.term_start_index = 0  # index of the first entry of the own leadership
+        self.output = ReplicaOutput()
 
     @property
-    def leads(self) -> bool:
+    def is_leader(self) -> bool:
         """Whether this replica believes that it leads."""
         return self.role is Role.LEADER
 
     @property
     def other_voters(self) -> list[str]:
         """The members but this replica."""
-        return [voter for voter in self.log.members if voter != self.me]
+        return [voter for voter in self.log.members if voter != self.identity]
 
-    def take_output(self) -> Output:
+    def take_output(self) -> ReplicaOutput:
         """What is to be done now; nothing of it comes twice."""
-        out, self.output = self.output, Output()
-        while self.applied < self.commit:
-            self.applied += 1
-            out.apply.append(self.log.entry(self.applied))
+        out, self.output = self.output, ReplicaOutput()
+        while self.applied_index < self.commit_index:
+            self.applied_index += 1
+            out.entries_to_apply.append(self.log.entry(self.applied_index))
         return out
 
     # ------------------------------------------------------------------ on disk
@@ -108,11 +108,11 @@
         """Send a message: `early` before what is recorded is on disk, otherwise after it."""
         message = GroupMessage(
             group=self.group,
-            sender=self.me,
+            sender=self.identity,
             recipient=recipient,
             term=self.term if term is None else term,
             kind=kind,
-            log_index=self.log.last if log_index is None else log_index,
+            log_index=self.log.last_index if log_index is None else log_index,
             log_term=self.log.last_term if log_term is None else log_term,
             entries=entries or [],
             commit=commit,
@@ -124,4 +124,4 @@
         )
         if snapshot is not None:
             message.snapshot = snapshot
-        (self.output.early if early else self.output.late).append(message)
+        (self.output.messages_before_sync if early else self.output.messages_after_sync).append(message)
--- a/heronstall/sessions/loads.py
+++ b/heronstall/sessions/loads.py
@@ -9,8 +9,8 @@
 from heronstall.transport.messages import Loads
 
 SEPARATOR = "\0"
-MOST = 0xFFFF  # that one count holds
-COUNTS = 3  # of a worker
+MAX_COUNT = 0xFFFF  # that one count holds
+COUNTS_PER_WORKER = 3  # of a worker
 
 
 class WorkerLoad(NamedTuple):
@@ -25,21 +25,21 @@
     failing: int = 0
 
 
-def pack(loads: Iterable[WorkerLoad]) -> Loads:
+def pack_loads(loads: Iterable[WorkerLoad]) -> Loads:
     """The message of some loads. A worker whose id holds the separator is left out."""
     told = [load for load in loads if SEPARATOR not in load.worker]
-    counts = [min(count, MOST) for load in told for count in load[1:]]
+    counts = [min(count, MAX_COUNT) for load in told for count in load[1:]]
     return Loads(
         workers=SEPARATOR.join(load.worker for load in told), counts=struct.pack(f"<{len(counts)}H", *counts)
     )
 
 
-def unpack(message: Loads) -> Iterator[WorkerLoad]:
+def unpack_loads(message: Loads) -> Iterator[WorkerLoad]:
     """The loads of a message; none where it is malformed."""
     workers = message.workers.split(SEPARATOR) if message.workers else []
-    size = struct.calcsize(f"<{COUNTS * len(workers)}H")
+    size = struct.calcsize(f"<{COUNTS_PER_WORKER * len(workers)}H")
     if len(message.counts) != size:
         return
-    counts = struct.iter_unpack(f"<{COUNTS}H", message.counts)
+    counts = struct.iter_unpack(f"<{COUNTS_PER_WORKER}H", message.counts)
     for worker, (requests, items, failing) in zip(workers, counts, strict=True):
         yield WorkerLoad(worker, requests, items, failing)
--- a/heronstall/sessions/table.py
+++ b/heronstall/sessions/table.py
@@ -4,11 +4,11 @@
 
 from collections import Counter
 
-from heronstall.sessions.loads import WorkerLoad, unpack
+from heronstall.sessions.loads import WorkerLoad, unpack_loads
 from heronstall.transport.messages import Session
 
-EXPIRE = 2.5  # seconds of silence that end a session
-TOLD_WITHIN = 1.0  # seconds: sessions renewed here so lately are told to the other control nodes
+SESSION_TIMEOUT = 2.5  # seconds of silence that end a session
+GOSSIP_WINDOW = 1.0  # seconds: sessions renewed here so lately are told to the other control nodes
 
 
 class Sessions:
@@ -19,58 +19,60 @@
     """
 
     def __init__(self) -> None:
-        self._known: dict[str, tuple[float, Session]] = {}
-        self._renewed: dict[str, float] = {}
-        self._counted: dict[str, tuple[WorkerLoad, ...]] = {}  # by dispatcher: what stands in the sums
-        self._told_of: Counter[str] = Counter()  # by worker: dispatchers that say something of it
+        self._latest: dict[str, tuple[float, Session]] = {}
+        self._renewed_at: dict[str, float] = {}
+        self._counted_loads: dict[str, tuple[WorkerLoad, ...]] = {}  # by dispatcher: what stands in the sums
+        self._reporting_dispatchers: Counter[str] = (
+            Counter()
+        )  # by worker: dispatchers that say something of it
         self._requests: Counter[str] = Counter()  # by worker
         self._items: Counter[str] = Counter()
         self._failing: Counter[str] = Counter()
 
     def renew(self, now: float, session: Session) -> None:
         """A node has spoken to this control node."""
-        self._note(now, session)
-        self._renewed[session.name] = now
+        self._store(now, session)
+        self._renewed_at[session.name] = now
 
     def merge(self, now: float, sessions: list[Session]) -> None:
         """Take what another control node tells."""
         for session in sessions:
             at = now - session.age_ms / 1000
-            known = self._known.get(session.name)
+            known = self._latest.get(session.name)
             if known is None or at > known[0]:
-                self._note(at, session)
+                self._store(at, session)
 
-    def told(self, now: float) -> list[Session]:
+    def recently_renewed(self, now: float) -> list[Session]:
         """What the other control nodes are told."""
         news = []
-        for name, at in self._renewed.items():
-            if now - at < TOLD_WITHIN:
-                session = self._known[name][1]
+        for name, at in self._renewed_at.items():
+            if now - at < GOSSIP_WINDOW:
+                session = self._latest[name][1]
                 session.age_ms = int((now - at) * 1000)
                 news.append(session)
         return news
 
-    def live(self, now: float, machine_class: str) -> dict[str, Session]:
+    def live_sessions(self, now: float, machine_class: str) -> dict[str, Session]:
         """The live sessions of a class of machines, by node name."""
         return {
             name: session
-            for name, (at, session) in self._known.items()
-            if session.machine_class == machine_class and now - at < EXPIRE
+            for name, (at, session) in self._latest.items()
+            if session.machine_class == machine_class and now - at < SESSION_TIMEOUT
         }
 
-    def number(self, now: float, session: Session) -> int:
+    def rank(self, now: float, session: Session) -> int:
         """A live node's place among those of its class, by name, from 1."""
-        live = self.live(now, session.machine_class)
+        live = self.live_sessions(now, session.machine_class)
         return 1 + sum(name < session.name for name in live)
 
     def loads(self, now: float, without: str) -> list[WorkerLoad]:
         """What all dispatchers but one have at each worker, by their latest word."""
-        for name in [n for n in self._counted if now - self._known[n][0] >= EXPIRE]:
-            self._count(self._counted.pop(name), -1)
-        mine = {load.worker: load for load in self._counted.get(without, ())}
+        for name in [n for n in self._counted_loads if now - self._latest[n][0] >= SESSION_TIMEOUT]:
+            self._add_to_totals(self._counted_loads.pop(name), -1)
+        mine = {load.worker: load for load in self._counted_loads.get(without, ())}
         nothing = WorkerLoad("")
         found = []
-        for worker in self._told_of:
+        for worker in self._reporting_dispatchers:
             less = mine.get(worker, nothing)
             load = WorkerLoad(
                 worker=worker,
@@ -82,34 +84,34 @@
                 found.append(load)
         return found
 
-    def at_worker(self, worker: str) -> int:
+    def total_at_worker(self, worker: str) -> int:
         """Requests and items that all dispatchers have at a worker, by their latest word."""
         return self._requests[worker] + self._items[worker]
 
     def expire(self, now: float) -> None:
         """Forget sessions that ended long ago."""
-        for name in [n for n, (at, _) in self._known.items() if now - at > 20 * EXPIRE]:
-            del self._known[name]
-            self._renewed.pop(name, None)
-            former = self._counted.pop(name, None)
+        for name in [n for n, (at, _) in self._latest.items() if now - at > 20 * SESSION_TIMEOUT]:
+            del self._latest[name]
+            self._renewed_at.pop(name, None)
+            former = self._counted_loads.pop(name, None)
             if former is not None:
-                self._count(former, -1)
+                self._add_to_totals(former, -1)
 
-    def _note(self, at: float, session: Session) -> None:
-        self._known[session.name] = (at, session)
-        former = self._counted.pop(session.name, None)
+    def _store(self, at: float, session: Session) -> None:
+        self._latest[session.name] = (at, session)
+        former = self._counted_loads.pop(session.name, None)
         if former is not None:
-            self._count(former, -1)
+            self._add_to_totals(former, -1)
         if session.machine_class == "edge":
-            self._counted[session.name] = tuple(unpack(session.loads))
-            self._count(self._counted[session.name], 1)
+            self._counted_loads[session.name] = tuple(unpack_loads(session.loads))
+            self._add_to_totals(self._counted_loads[session.name], 1)
 
-    def _count(self, loads: tuple[WorkerLoad, ...], sign: int) -> None:
+    def _add_to_totals(self, loads: tuple[WorkerLoad, ...], sign: int) -> None:
         for load in loads:
             self._requests[load.worker] += sign * load.requests
             self._items[load.worker] += sign * load.items
             self._failing[load.worker] += sign * load.failing
-            self._told_of[load.worker] += sign
-            if not self._told_of[load.worker]:
-                for sums in (self._requests, self._items, self._failing, self._told_of):
+            self._reporting_dispatchers[load.worker] += sign
+            if not self._reporting_dispatchers[load.worker]:
+                for sums in (self._requests, self._items, self._failing, self._reporting_dispatchers):
                     del sums[load.worker]
--- a/heronstall/transport/pulling.py
+++ b/heronstall/transport/pulling.py
@@ -13,7 +13,7 @@
 
 import structlog
 
-from heronstall.distribution.view import View
+from heronstall.distribution.view import ControlStateView
 from heronstall.transport.frames import Kind, Status
 from heronstall.transport.links import LOST, Links
 from heronstall.transport.messages import Session, SyncReply, SyncRequest
@@ -74,7 +74,7 @@
     def __init__(
         self,
         links: Links,
-        view: View,
+        view: ControlStateView,
         session: Callable[[], Session],
         seeds: Callable[[], list[str]],
         news: Callable[[set[str]], None],
@@ -124,7 +124,7 @@
         if len(self._calls) >= CALLS_MOST:
             return
         now, busy = time.monotonic(), set(self._calls)
-        members = self._view.control or tuple(self._seeds)
+        members = self._view.control_addresses or tuple(self._seeds)
         if self._at and self._at not in busy:
             address: str | None = self._at
         else:
@@ -158,14 +158,14 @@
     async def _pull(self, address: str, hold: float) -> bool:
         """One call, held for so many seconds where there is no news; whether its answer helped."""
         began = time.monotonic()
-        request = SyncRequest(self._session(), self._view.vector(), int(hold * 1000))
+        request = SyncRequest(self._session(), self._view.version_vector(), int(hold * 1000))
         reply = await self._links.to(address).call(Kind.SYNC, bytes(request), hold + ANSWER_WITHIN)
         if reply is LOST:
             self._links.to(address).drop()
         if reply.status != Status.OK:
             return False
         self.known_at = max(self.known_at, began)
-        changed = self._view.take(SyncReply().parse(reply.body))
+        changed = self._view.apply(SyncReply().parse(reply.body))
         self._answered()
         if changed:
             self._news(changed)
--- a/tests/tier/cluster.py
+++ b/tests/tier/cluster.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from heronstall.replication.log import Image
+from heronstall.replication.log import PersistentState
 from heronstall.replication.protocol import EntryKind, RecordKind, Timing
 from heronstall.replication.replica import Replica
 from heronstall.replication.state import Role
@@ -48,8 +48,8 @@
 
     synced: list[DiskRecord] = field(default_factory=list)
 
-    def image(self) -> Image | None:
-        image = Image()
+    def image(self) -> PersistentState | None:
+        image = PersistentState()
         for record in self.synced:
             if record.kind == RecordKind.VOTE:
                 image.term, image.vote = record.term, record.vote
@@ -102,7 +102,7 @@
         self.nodes = {name: self._boot(name, 0, Disk()) for name in names}
         first = tuple(f"{name}#0" for name in names)
         for node in self.nodes.values():
-            node.replica.form(self.clock(node.name), first)
+            node.replica.bootstrap(self.clock(node.name), first)
             self.settle(node)
 
     def clock(self, name: str) -> float:
@@ -145,7 +145,7 @@
     def rejoin(self, name: str) -> None:
         node = self.nodes[name]
         others = [n.identity for n in self.nodes.values() if n is not node]
-        node.replica.ask_to_join(self.clock(name), others)
+        node.replica.request_join(self.clock(name), others)
         self.settle(node)
 
     def members(self, name: str) -> None:
@@ -153,9 +153,9 @@
         from heronstall.replication import membership
 
         replica, now = self.nodes[name].replica, self.clock(name)
-        wanted = membership.wanted_voters(replica, len(self.nodes), now, self.timing)
+        wanted = membership.desired_voters(replica, len(self.nodes), now, self.timing)
         if wanted:
-            membership.step(replica, wanted, now, self.timing)
+            membership.advance_membership(replica, wanted, now, self.timing)
         self.settle(self.nodes[name])
 
     # ------------------------------------------------------------------ how a node carries it out
@@ -163,19 +163,25 @@
     def settle(self, node: Node) -> None:
         for _ in range(8):
             out = node.replica.take_output()
-            self.network += out.early
+            self.network += out.messages_before_sync
             if not self.sync_first:
-                self.network += out.late
+                self.network += out.messages_after_sync
             node.disk.synced += out.records
             if out.records:
-                node.replica.synced(self.clock(node.name))
+                node.replica.on_records_synced(self.clock(node.name))
             if self.sync_first:
-                self.network += out.late
-            if out.install is not None:
-                node.machine.restore(out.install.state)
-            for entry in out.apply:
+                self.network += out.messages_after_sync
+            if out.snapshot_to_install is not None:
+                node.machine.restore(out.snapshot_to_install.state)
+            for entry in out.entries_to_apply:
                 self._apply(node, entry.index, entry.term, entry.kind, entry.data)
-            if not (out.early or out.late or out.records or out.apply or out.install):
+            if not (
+                out.messages_before_sync
+                or out.messages_after_sync
+                or out.records
+                or out.entries_to_apply
+                or out.snapshot_to_install
+            ):
                 break
         self._check_leader(node)
 
@@ -217,7 +223,7 @@
         machine = Machine()
         image = disk.image()
         replica = self.made(GROUP, f"{name}#{incarnation}", self.timing, self.rng, self.clock(name), image)
-        replica.carry(machine.dump)
+        replica.configure(machine.dump)
         if image is not None and image.snapshot is not None:
             machine.restore(image.snapshot.state)
         return Node(name, incarnation, disk, replica, machine)
--- a/tests/tier/core_simulation.py
+++ b/tests/tier/core_simulation.py
@@ -26,9 +26,9 @@
 from heronstall.controlplane.api import ControlApi
 from heronstall.controlplane.core import Core
 from heronstall.controlplane.replica_node import ReplicaNode
-from heronstall.distribution.freshness import KnowledgeLimits
+from heronstall.distribution.freshness import StalenessLimits
 from heronstall.distribution.shards import CONFIG
-from heronstall.distribution.view import View
+from heronstall.distribution.view import ControlStateView
 from heronstall.transport.frames import Kind
 from heronstall.transport.links import LOST, Links, Reply
 from heronstall.transport.messages import Session
@@ -305,7 +305,7 @@
         wanted = {core.host.me for core in cores}
         return len(cores) == self.size and all(
             set(hosted.replica.log.members) == wanted
-            and hosted.replica.log.members_index <= hosted.replica.commit
+            and hosted.replica.log.members_index <= hosted.replica.commit_index
             for core in cores
             for hosted in core.host.groups.values()
         )
@@ -315,7 +315,7 @@
         return "; ".join(
             f"{core.host.me} {name}: {replica.role.value} of {replica.term}, "
             f"{sorted(replica.log.members)} at {replica.log.members_index}, "
-            f"committed {replica.commit}, learners {sorted(replica.learners)}"
+            f"committed {replica.commit_index}, learners {sorted(replica.learners)}"
             for core in (m.core for m in self.machines.values())
             if core
             for name, replica in ((name, hosted.replica) for name, hosted in core.host.groups.items())
@@ -410,11 +410,11 @@
 
     def __init__(self, tier: SimulatedCore, ip: str) -> None:
         self.name = f"{ip}:{PORT}"
-        self.view = View()
+        self.view = ControlStateView()
         links = cast(Links, SimulatedLinks(tier.network, self.name))
         seeds = [s.rpartition(":")[0] + f":{PORT}" for s in tier.seeds]
         session = Session(name=ip, machine_class="edge", address=self.name, zone="z")
-        self.limits = KnowledgeLimits.within(CONFIG_APPLY, MAX_SKEW, RECOVER)
+        self.limits = StalenessLimits.from_bounds(CONFIG_APPLY, MAX_SKEW, RECOVER)
         self.puller = Puller(links, self.view, lambda: session, lambda: seeds, lambda _: None)
         self.task = asyncio.create_task(self.puller.run())
 
@@ -424,7 +424,7 @@
 
     def may_refuse(self, now: float) -> bool:
         """Whether it would answer 404."""
-        return bool(self.view.document) and now - self.puller.known_at < self.limits.refuse
+        return bool(self.view.document) and now - self.puller.known_at < self.limits.unknown_route_limit
 
 
 def document(revision: int, content: str) -> bytes:
--- a/tests/tier/lease_model.py
+++ b/tests/tier/lease_model.py
@@ -15,9 +15,9 @@
 from unittest import mock
 
 from heronstall.batch import jobs as batch
-from heronstall.batch.items import put_items
+from heronstall.batch.items import set_items
 from heronstall.batch.jobs import BatchShard
-from heronstall.batch.leases import FAILED_PAUSE_MOST, SETTLE, Leases
+from heronstall.batch.leases import CLAIM_WINDOW, MAX_RETRY_DELAY, LeaseQueue
 from heronstall.batch.outcomes import Outcome
 from heronstall.controlplane.store import OwnedShard, Store
 from heronstall.dataplane.batch_runner import BatchRunner, Running
@@ -82,13 +82,13 @@
 class Owner:
     """The shard's leader."""
 
-    def __init__(self, items: int, leases: type[Leases]) -> None:
+    def __init__(self, items: int, leases: type[LeaseQueue]) -> None:
         self.now = 1000.0
         self.state = BatchShard(lambda: self.now, lambda: self.now)
         listed = [BatchItem(id=f"i{k}", path="/p", tokens=1) for k in range(items)]
         record = BatchJob(id=JOB, host="h", completion_ms=8000, max_attempts=MAX_ATTEMPTS)
-        put_items(record, listed)
-        self.state.apply(1, batch.accept(record))
+        set_items(record, listed)
+        self.state.apply(1, batch.encode_accept(record))
         self.applied = 1
         self.term = 1
         self.heard_failures: frozenset[tuple[str, int]] = frozenset()  # items and leases, in this term
@@ -99,8 +99,8 @@
     def lead(self) -> None:
         """Own the shard from now on, and let the dispatchers' time to claim pass."""
         self.heard_failures = frozenset()
-        self.leases.lead(self.now, True, self.term)
-        self.now += SETTLE + 0.1
+        self.leases.set_ownership(self.now, True, self.term)
+        self.now += CLAIM_WINDOW + 0.1
 
     @property
     def shard(self) -> OwnedShard:
@@ -112,10 +112,12 @@
         request = LeaseRequest().parse(body)
         if not Store._begin_call(self.shard, request):
             return ()
-        self.now += FAILED_PAUSE_MOST  # every pause after a failure is over: its item may be given again
-        self.leases.seen(self.now, EDGE)
+        self.now += MAX_RETRY_DELAY  # every pause after a failure is over: its item may be given again
+        self.leases.record_contact(self.now, EDGE)
         self.leases.claim(self.now, EDGE, {(h.job, h.item): h.lease for h in request.held})
-        return tuple((item, number) for _, item, number in self.leases.take(self.now, EDGE, request.want))
+        return tuple(
+            (item, number) for _, item, number in self.leases.lease_items(self.now, EDGE, request.want)
+        )
 
     def report(self, entries: tuple[tuple[str, Outcome, int], ...]) -> None:
         """Take a report and list what it ends."""
@@ -126,18 +128,18 @@
         found = [r for report in reports if (r := Store._result(self.shard, self.now, EDGE, report))]
         if found:
             self.applied += 1
-            self.state.apply(self.applied, batch.results(found))
+            self.state.apply(self.applied, batch.encode_results(found))
 
     def key(self) -> tuple[Any, ...]:
         """What tells two states apart."""
         queue = self.leases
         return (
             self.term,
-            tuple(queue._place),
-            tuple(sorted((k, v.holder, v.number) for k, v in queue._leased.items())),
-            tuple(sorted(queue._calls.items())),
-            tuple(sorted(queue._failures.items())),
-            tuple(sorted(queue._reported.items())),
+            tuple(queue._queue_positions),
+            tuple(sorted((k, v.holder, v.lease_number) for k, v in queue._leases.items())),
+            tuple(sorted(queue._latest_calls.items())),
+            tuple(sorted(queue._failure_counts.items())),
+            tuple(sorted(queue._latest_reported.items())),
             tuple((r.item, r.succeeded) for r in self.state.jobs[JOB].results),
         )
 
@@ -293,7 +295,7 @@
 
 def check_counts(world: World) -> None:
     """Each failure that the owner was told counts, none twice; no item is dead without enough of them."""
-    failures = world.owner.leases._failures
+    failures = world.owner.leases._failure_counts
     for item in world.owner.state.jobs[JOB].open_items:
         heard = sum(failed == item for failed, _ in world.owner.heard_failures)
         if failures[JOB, item] != heard:
@@ -333,7 +335,7 @@
     return replace(world, messages=())
 
 
-def explore(items: int, bounds: Bounds, most: int, leases: type[Leases] = Leases) -> int:
+def explore(items: int, bounds: Bounds, most: int, leases: type[LeaseQueue] = LeaseQueue) -> int:
     """Check all states breadth first, `most` at the most; how many."""
     first = World(Owner(items, leases))
     seen = {first.key()}
@@ -352,7 +354,7 @@
     return len(seen)
 
 
-def walk(items: int, bounds: Bounds, seed: int, length: int, leases: type[Leases] = Leases) -> World:
+def walk(items: int, bounds: Bounds, seed: int, length: int, leases: type[LeaseQueue] = LeaseQueue) -> World:
     """Check the states of one random walk; the last."""
     rng = random.Random(seed)
     world = World(Owner(items, leases))
--- a/tests/tier/rough_cluster.py
+++ b/tests/tier/rough_cluster.py
@@ -10,7 +10,7 @@
 from collections import defaultdict
 from dataclasses import dataclass, field
 
-from heronstall.distribution.freshness import TOLD_WITHIN
+from heronstall.distribution.freshness import MAX_STATE_STALENESS
 from heronstall.replication.protocol import MessageKind
 from heronstall.replication.replica import Replica
 from heronstall.transport.messages import DiskRecord, GroupMessage
@@ -88,9 +88,9 @@
         """A slot is written: the log before it goes."""
         replica = self.nodes[name].replica
         if not self.condition(name).unsynced:
-            snapshot = replica.image(replica.applied, self.nodes[name].machine.dump())
+            snapshot = replica.snapshot_at(replica.applied_index, self.nodes[name].machine.dump())
             self.nodes[name].disk.compact(replica.term, replica.vote, snapshot, replica.log.entries())
-            replica.log.compact(replica.applied)
+            replica.log.discard_up_to(replica.applied_index)
 
     def sync(self, name: str) -> None:
         """A slow disk has done what it was told."""
@@ -99,7 +99,7 @@
             return
         node.disk.synced += condition.unsynced
         condition.unsynced = []
-        node.replica.synced(self.clock(name))
+        node.replica.on_records_synced(self.clock(name))
         self.network += condition.held
         condition.held = []
         self.settle(node)
@@ -167,25 +167,31 @@
         condition = self.condition(node.name)
         for _ in range(8):
             out = node.replica.take_output()
-            self.network += out.early
+            self.network += out.messages_before_sync
             condition.unsynced += out.records
-            condition.held += out.late
+            condition.held += out.messages_after_sync
             if not condition.slow_disk:
                 node.disk.synced += condition.unsynced
                 if condition.unsynced:
-                    node.replica.synced(self.clock(node.name))
+                    node.replica.on_records_synced(self.clock(node.name))
                 condition.unsynced = []
             if not condition.unsynced:
                 self.note_promises(node, condition.held)
                 self.network += condition.held
                 condition.held = []
-            if out.install is not None:
-                node.machine.restore(out.install.state)
-            for entry in out.apply:
+            if out.snapshot_to_install is not None:
+                node.machine.restore(out.snapshot_to_install.state)
+            for entry in out.entries_to_apply:
                 before = len(self.acknowledged)
                 self._apply(node, entry.index, entry.term, entry.kind, entry.data)
                 self.acknowledged_at += [(self.now, c) for c in self.acknowledged[before:]]
-            if not (out.early or out.late or out.records or out.apply or out.install):
+            if not (
+                out.messages_before_sync
+                or out.messages_after_sync
+                or out.records
+                or out.entries_to_apply
+                or out.snapshot_to_install
+            ):
                 break
         self.check(node)
 
@@ -205,15 +211,15 @@
     def check(self, node: Node) -> None:
         replica = node.replica
         promised = self.promised[node.identity].get(replica.term, 0)
-        if replica.log.last < promised:
-            raise Violation(f"{node.identity} acknowledged {promised} and holds {replica.log.last}")
+        if replica.log.last_index < promised:
+            raise Violation(f"{node.identity} acknowledged {promised} and holds {replica.log.last_index}")
         self._check_leader(node)
         self.check_told(node)
 
     def check_told(self, node: Node) -> None:
         """What is told to readers holds all that was acknowledged until so long ago."""
-        if node.replica.in_touch(self.clock(node.name), TOLD_WITHIN):
-            due = [c for at, c in self.acknowledged_at if self.now - at > TOLD_WITHIN * SLACK]
+        if node.replica.is_fresh(self.clock(node.name), MAX_STATE_STALENESS):
+            due = [c for at, c in self.acknowledged_at if self.now - at > MAX_STATE_STALENESS * SLACK]
             missing = [c for c in due if c not in node.machine.commands]
             if missing:
                 raise Violation(f"{node.identity} tells its state and has not {missing}")
--- a/tests/tier/store_simulation.py
+++ b/tests/tier/store_simulation.py
@@ -22,7 +22,7 @@
 from typing import Any, cast
 from unittest import mock
 
-from heronstall.batch.items import put_items
+from heronstall.batch.items import set_items
 from heronstall.batch.outcomes import Outcome
 from heronstall.config import NodeSettings
 from heronstall.controlplane.store import Store
@@ -230,7 +230,10 @@
             if store is None or not wanted <= set(running) or len(wanted) < core.copies:
                 return False
             log = store.host.groups[shard].replica.log
-            if set(log.members) != wanted or log.members_index > store.host.groups[shard].replica.commit:
+            if (
+                set(log.members) != wanted
+                or log.members_index > store.host.groups[shard].replica.commit_index
+            ):
                 return False
         return True
 
@@ -238,7 +241,7 @@
         """What each storage node knows of the shards, for a report."""
         return "; ".join(
             f"{store.host.me} {name}: {hosted.replica.role.value} of {hosted.replica.term}, "
-            f"{sorted(hosted.replica.log.members)}, committed {hosted.replica.commit}"
+            f"{sorted(hosted.replica.log.members)}, committed {hosted.replica.commit_index}"
             for store in (m.store for m in self.stores.values())
             if store
             for name, hosted in store.host.groups.items()
@@ -410,7 +413,7 @@
                 retention_ms=600_000,
                 max_attempts=MAX_ATTEMPTS,
             )
-            status = await self._dispatcher().submit(put_items(job, items), shard)
+            status = await self._dispatcher().submit(set_items(job, items), shard)
             told.statuses[f"submit: {status.name}"] += 1
             if status == Status.OK:
                 if name in told.refused:
--- a/tests/tier/test_attempt_ends.py
+++ b/tests/tier/test_attempt_ends.py
@@ -364,7 +364,7 @@
         return await runner._attempt(item, self.pool.by_id["w1"])
 
     async def test_anothers_answer_says_nothing_of_an_item(self) -> None:
-        for status, own in ((422, Outcome.UNDOABLE), (500, Outcome.FAILED), (503, None), (421, None)):
+        for status, own in ((422, Outcome.UNPROCESSABLE), (500, Outcome.FAILED), (503, None), (421, None)):
             with self.subTest(status):
                 self.assertEqual(await self.outcome(answer(status)), own)
                 self.assertIsNone(await self.outcome(answer(status, name=OTHER)))
--- a/tests/tier/test_control.py
+++ b/tests/tier/test_control.py
@@ -22,10 +22,10 @@
 from heronstall.controlplane.state.operator_config import checked, patched
 from heronstall.controlplane.state.worker_shard import REMOVED_KEPT, WorkerShard
 from heronstall.distribution.shards import WORKER_SHARDS
-from heronstall.distribution.view import View
-from heronstall.ownership.placement import Candidate, first_placement, repaired
-from heronstall.sessions.loads import WorkerLoad, pack, unpack
-from heronstall.sessions.table import EXPIRE, Sessions
+from heronstall.distribution.view import ControlStateView
+from heronstall.ownership.placement import PlacementCandidate, initial_placements, repaired_placements
+from heronstall.sessions.loads import WorkerLoad, pack_loads, unpack_loads
+from heronstall.sessions.table import SESSION_TIMEOUT, Sessions
 from heronstall.transport.frames import Kind, Status
 from heronstall.transport.links import LOST, Reply
 from heronstall.transport.messages import (
@@ -167,7 +167,7 @@
         self.assertTrue(self.put(6, "b", 2))
 
     def test_deltas_hold_what_is_newer_and_lead_to_the_same_view(self) -> None:
-        view = View()
+        view = ControlStateView()
         for index in range(1, 40):
             name = f"w{index % 7}"
             if index % 5:
@@ -177,7 +177,7 @@
             if index % 3 == 0:
                 delta = self.shard.since("s", view.versions.get("s", 0))
                 assert delta is not None
-                view.take(SyncReply(workers=[WorkerDelta().parse(bytes(delta))]))
+                view.apply(SyncReply(workers=[WorkerDelta().parse(bytes(delta))]))
                 self.assertEqual(set(view.all_workers()), set(self.shard.workers))
         self.assertIsNone(self.shard.since("s", self.shard.version))
 
@@ -300,19 +300,19 @@
 
 class Pulling(unittest.TestCase):
     def test_no_version_goes_back(self) -> None:
-        view = View()
-        view.take(SyncReply(config_version=5, document=b"new"))
-        self.assertEqual(view.take(SyncReply(config_version=4, document=b"old")), set())
+        view = ControlStateView()
+        view.apply(SyncReply(config_version=5, document=b"new"))
+        self.assertEqual(view.apply(SyncReply(config_version=4, document=b"old")), set())
         self.assertEqual(view.document, b"new")
         change = WorkerChange(version=3, worker=Worker(id="a"), id="a")
-        view.take(SyncReply(workers=[WorkerDelta("w", 3, True, [change])]))
-        view.take(SyncReply(workers=[WorkerDelta("w", 2, True, [])]))
+        view.apply(SyncReply(workers=[WorkerDelta("w", 3, True, [change])]))
+        view.apply(SyncReply(workers=[WorkerDelta("w", 2, True, [])]))
         self.assertEqual(set(view.all_workers()), {"a"})
 
     def test_an_empty_placement_counts_as_known(self) -> None:
-        view = View()
-        self.assertIn("placement", view.take(SyncReply(placement_version=2)))
-        self.assertEqual(view.take(SyncReply(placement_version=2)), set())
+        view = ControlStateView()
+        self.assertIn("placement", view.apply(SyncReply(placement_version=2)))
+        self.assertEqual(view.apply(SyncReply(placement_version=2)), set())
 
 
 class SessionTables(unittest.TestCase):
@@ -320,39 +320,39 @@
         table = Sessions()
         table.renew(10.0, Session(name="a", machine_class="edge", replica="new"))
         table.merge(10.0, [Session(name="a", machine_class="edge", replica="old", age_ms=500)])
-        self.assertEqual(table.live(10.0, "edge")["a"].replica, "new")
-        self.assertEqual(table.live(10.1 + EXPIRE, "edge"), {})
+        self.assertEqual(table.live_sessions(10.0, "edge")["a"].replica, "new")
+        self.assertEqual(table.live_sessions(10.1 + SESSION_TIMEOUT, "edge"), {})
         table.merge(20.0, [Session(name="a", machine_class="edge", age_ms=100)])
-        self.assertEqual(set(table.live(20.0, "edge")), {"a"})
+        self.assertEqual(set(table.live_sessions(20.0, "edge")), {"a"})
 
     def test_only_own_and_late_renewals_are_told(self) -> None:
         table = Sessions()
         table.renew(10.0, Session(name="a", machine_class="edge"))
         table.merge(10.0, [Session(name="b", machine_class="edge")])
-        self.assertEqual([s.name for s in table.told(10.2)], ["a"])
-        self.assertEqual(table.told(15.0), [])
+        self.assertEqual([s.name for s in table.recently_renewed(10.2)], ["a"])
+        self.assertEqual(table.recently_renewed(15.0), [])
 
     def test_live_nodes_of_a_class_are_numbered_by_name(self) -> None:
         table = Sessions()
         edges = [Session(name=f"e{k}", machine_class="edge") for k in (2, 0, 1)]
         for session in [*edges, Session(name="a", machine_class="storage")]:
             table.renew(10.0, session)
-        self.assertEqual([table.number(10.0, session) for session in edges], [3, 1, 2])
-        table.renew(10.0 + EXPIRE, edges[0])
-        table.renew(10.0 + EXPIRE, edges[2])
-        self.assertEqual([table.number(10.1 + EXPIRE, e) for e in (edges[0], edges[2])], [2, 1])
+        self.assertEqual([table.rank(10.0, session) for session in edges], [3, 1, 2])
+        table.renew(10.0 + SESSION_TIMEOUT, edges[0])
+        table.renew(10.0 + SESSION_TIMEOUT, edges[2])
+        self.assertEqual([table.rank(10.1 + SESSION_TIMEOUT, e) for e in (edges[0], edges[2])], [2, 1])
 
     def test_loads_come_back_as_they_were(self) -> None:
         given = [WorkerLoad("w1", 3, 0, 1), WorkerLoad("\u00e9:8000", 0, 65_535, 0), WorkerLoad("", 1)]
-        self.assertEqual(list(unpack(Loads().parse(bytes(pack(given))))), given)
-        self.assertEqual(list(unpack(Loads())), [])
-        self.assertEqual(list(unpack(pack([WorkerLoad("w", 70_000)]))), [WorkerLoad("w", 65_535)])
+        self.assertEqual(list(unpack_loads(Loads().parse(bytes(pack_loads(given))))), given)
+        self.assertEqual(list(unpack_loads(Loads())), [])
+        self.assertEqual(list(unpack_loads(pack_loads([WorkerLoad("w", 70_000)]))), [WorkerLoad("w", 65_535)])
         self.assertEqual(
-            list(unpack(pack([WorkerLoad("a\0b", 1), WorkerLoad("c", 2)]))), [WorkerLoad("c", 2)]
+            list(unpack_loads(pack_loads([WorkerLoad("a\0b", 1), WorkerLoad("c", 2)]))), [WorkerLoad("c", 2)]
         )
 
     def test_malformed_loads_say_nothing(self) -> None:
-        self.assertEqual(list(unpack(Loads(workers="a\0b", counts=b"\0" * 6))), [])
+        self.assertEqual(list(unpack_loads(Loads(workers="a\0b", counts=b"\0" * 6))), [])
 
     def test_sums_of_loads_follow_each_word_and_each_end(self) -> None:
         """As a count from scratch, over drawn renewals, tellings and silences."""
@@ -367,7 +367,7 @@
                 WorkerLoad(f"w{k}", rng.randrange(3), rng.randrange(3), rng.randrange(2))
                 for k in range(rng.randrange(4))
             ]
-            session = Session(name=name, machine_class="edge", loads=pack(loads))
+            session = Session(name=name, machine_class="edge", loads=pack_loads(loads))
             if rng.random() < 0.5:
                 table.renew(now, session)
                 latest[name] = (now, loads)
@@ -380,7 +380,7 @@
             without = f"edge-{rng.randrange(6)}"
             wanted: Counter[tuple[str, str]] = Counter()
             for other, (at, told) in latest.items():
-                if other != without and now - at < EXPIRE:
+                if other != without and now - at < SESSION_TIMEOUT:
                     for load in told:
                         wanted[load.worker, "requests"] += load.requests
                         wanted[load.worker, "items"] += load.items
@@ -393,14 +393,14 @@
             self.assertEqual(+found, +wanted)
 
 
-def node(name: str, zone: str, live: bool = True, active: bool = True) -> Candidate:
-    return Candidate(name, zone, live, active)
+def node(name: str, zone: str, live: bool = True, active: bool = True) -> PlacementCandidate:
+    return PlacementCandidate(name, zone, live, active)
 
 
 class Placements(unittest.TestCase):
     def test_zones_and_nodes_share_evenly(self) -> None:
         nodes = [node(f"n{k}", f"z{k % 4}") for k in range(8)]
-        placed = first_placement([f"s{k}" for k in range(8)], nodes, 3)
+        placed = initial_placements([f"s{k}" for k in range(8)], nodes, 3)
         zones = {n.replica: n.zone for n in nodes}
         for replicas in placed.values():
             self.assertEqual(len({zones[r] for r in replicas}), 3)
@@ -415,19 +415,19 @@
             node("d", "1"),
             node("e", "2"),
         ]
-        once = repaired({"s": ("a", "b", "c")}, nodes, 3)["s"]
+        once = repaired_placements({"s": ("a", "b", "c")}, nodes, 3)["s"]
         self.assertEqual((len(once), len({"a", "b"} & set(once))), (3, 1))
-        twice = repaired({"s": once}, nodes, 3)["s"]
+        twice = repaired_placements({"s": once}, nodes, 3)["s"]
         self.assertEqual(set(twice), {"c", "d", "e"})
-        self.assertEqual(repaired({"s": twice}, nodes, 3), {})
+        self.assertEqual(repaired_placements({"s": twice}, nodes, 3), {})
 
     def test_nobody_is_given_up_without_another(self) -> None:
         nodes = [node("a", "1", live=False), node("b", "2"), node("c", "3")]
-        self.assertEqual(repaired({"s": ("a", "b", "c")}, nodes, 3), {})
+        self.assertEqual(repaired_placements({"s": ("a", "b", "c")}, nodes, 3), {})
 
     def test_too_few_copies_are_filled_up(self) -> None:
         nodes = [node("a", "1"), node("b", "2"), node("c", "3")]
-        self.assertEqual(set(repaired({"s": ("a", "b")}, nodes, 3)["s"]), {"a", "b", "c"})
+        self.assertEqual(set(repaired_placements({"s": ("a", "b")}, nodes, 3)["s"]), {"a", "b", "c"})
 
 
 if __name__ == "__main__":
--- a/tests/tier/test_core_simulation.py
+++ b/tests/tier/test_core_simulation.py
@@ -85,14 +85,14 @@
 def slow_timing(timing: Timing) -> None:
     """Planted: a member counts as dead after six seconds."""
     for name, value in {
-        "heartbeat": 0.12,
-        "election_least": 0.45,
-        "election_most": 0.8,
-        "restart_round": 0.12,
-        "lease": 0.36,
-        "resend_snapshot": 2.0,
-        "join": 0.7,
-        "dead": 6.0,
+        "heartbeat_interval": 0.12,
+        "election_timeout_min": 0.45,
+        "election_timeout_max": 0.8,
+        "restart_pre_vote_interval": 0.12,
+        "lease_duration": 0.36,
+        "snapshot_resend_interval": 2.0,
+        "join_interval": 0.7,
+        "dead_member_timeout": 6.0,
     }.items():
         object.__setattr__(timing, name, value)
 
--- a/tests/tier/test_early_elections.py
+++ b/tests/tier/test_early_elections.py
@@ -5,7 +5,7 @@
 import unittest
 
 from heronstall.replication.elections import Elections
-from heronstall.replication.protocol import MessageKind, Timing, quorum
+from heronstall.replication.protocol import MessageKind, Timing, quorum_size
 from heronstall.replication.replica import Replica
 from heronstall.replication.state import Role
 from tests.tier.cluster import Cluster, Violation, is_found
@@ -141,7 +141,7 @@
             others = set(cluster.nodes) - {leader.name}
             for name in others:
                 cluster.restart(name)
-            self.assertIsNone(led_within(cluster, Timing().lease, only=others), seed)
+            self.assertIsNone(led_within(cluster, Timing().lease_duration, only=others), seed)
             self.assertIsNotNone(led_within(cluster, 3.0, only=others), seed)
 
 
@@ -165,9 +165,9 @@
 
 
 class MajorityIsEnough(Elections):
-    def nobody_leads(self) -> bool:
+    def no_voter_can_lead(self) -> bool:
         members = self._state.log.members
-        return len(self._leaderless & set(members)) + 1 >= quorum(len(members))
+        return len(self._unable_to_lead & set(members)) + 1 >= quorum_size(len(members))
 
 
 class MajorityDeniesLeading(Replica):
--- a/tests/tier/test_hosting.py
+++ b/tests/tier/test_hosting.py
@@ -78,7 +78,7 @@
             self.start(name, bootstrap=True)
         voters = tuple(host.me for host in self.hosts.values())
         for host in self.hosts.values():
-            host.groups[GROUP].replica.form(self.now, voters)
+            host.groups[GROUP].replica.bootstrap(self.now, voters)
             host.flush()
 
     def start(self, name: str, bootstrap: bool = False) -> None:
@@ -181,7 +181,7 @@
         self.turn()
         leader = self.leader()
         hosted = leader.groups[GROUP]
-        older = EntryId(hosted.replica.log.last + 1, hosted.replica.term - 1)
+        older = EntryId(hosted.replica.log.last_index + 1, hosted.replica.term - 1)
         hosted.waiting[older] = asyncio.get_running_loop().create_future()
         younger = leader.submit(GROUP, b"one")
         hosted.waiting.pop(older).cancel()
@@ -236,7 +236,7 @@
             host = GroupHost("a:1", Path(folder), cast(Links, Wire([])), Timing(), True, 1 << 20)
             machine = Commands()
             replica = host.add(GROUP, machine)
-            replica.form(now, (host.me,))
+            replica.bootstrap(now, (host.me,))
             while not replica.established:
                 now += TICK
                 replica.tick(now)
@@ -265,10 +265,10 @@
         with self.refuse(full):
             self.assertEqual(await self.commit(b"one"), 1)
             self.turn(0.5)
-            progress = leader.groups[GROUP].replica.others
-            self.assertLess(progress[full.me].match, progress[other.me].match)
+            progress = leader.groups[GROUP].replica.peer_progress
+            self.assertLess(progress[full.me].match_index, progress[other.me].match_index)
         self.turn(DISK_RETRY + 0.5)
-        self.assertEqual(progress[full.me].match, progress[other.me].match)
+        self.assertEqual(progress[full.me].match_index, progress[other.me].match_index)
         self.assertEqual(self.everywhere(), [[b"one"]] * 3)
 
     async def test_two_full_disks_of_three_commit_nothing(self) -> None:
--- a/tests/tier/test_known_configuration.py
+++ b/tests/tier/test_known_configuration.py
@@ -10,10 +10,10 @@
 
 from heronstall.dataplane.ingress import START_HOLD, Ingress
 from heronstall.dataplane.routing import Routes
-from heronstall.distribution.freshness import KnowledgeLimits
+from heronstall.distribution.freshness import StalenessLimits
 from tests.tier.test_dataplane import routes
 
-LIMITS = KnowledgeLimits(refuse=1.2, serve=6.2)
+LIMITS = StalenessLimits(unknown_route_limit=1.2, service_limit=6.2)
 
 
 class Answers(unittest.IsolatedAsyncioTestCase):
--- a/tests/tier/test_lease_messages.py
+++ b/tests/tier/test_lease_messages.py
@@ -5,7 +5,7 @@
 import unittest
 from collections.abc import Set
 
-from heronstall.batch.leases import ItemKey, Leases
+from heronstall.batch.leases import ItemKey, LeaseQueue
 from tests.tier.lease_model import Bounds, Broken, explore, walk
 
 STATES = 1_500
@@ -15,33 +15,33 @@
 WALK_LENGTH = 90
 
 
-class KeepsLostLeases(Leases):
+class KeepsLostLeases(LeaseQueue):
     """Planted: leases that never reached the dispatcher stay with it."""
 
-    def take_back(self, holder: str, kept: Set[ItemKey]) -> int:
+    def reclaim_lost_leases(self, holder: str, kept: Set[ItemKey]) -> int:
         return 0
 
 
-class CountsCurrentLeasesAlone(Leases):
+class CountsCurrentLeasesAlone(LeaseQueue):
     """Planted: a failure does not count where the owner has taken the lease back meanwhile."""
 
-    def failed(self, now: float, holder: str, key: ItemKey, number: int = 0) -> int:
-        if self.give_back(holder, key, number):
-            self._failures[key] += 1
-        return self._failures[key]
+    def record_failure(self, now: float, holder: str, key: ItemKey, number: int = 0) -> int:
+        if self.return_item(holder, key, number):
+            self._failure_counts[key] += 1
+        return self._failure_counts[key]
 
 
-class CountsEachReport(Leases):
+class CountsEachReport(LeaseQueue):
     """Planted: a report that comes twice counts twice."""
 
-    def failed(self, now: float, holder: str, key: ItemKey, number: int = 0) -> int:
-        self._failures[key] += 1
-        self.give_back(holder, key, number)
-        return self._failures[key]
+    def record_failure(self, now: float, holder: str, key: ItemKey, number: int = 0) -> int:
+        self._failure_counts[key] += 1
+        self.return_item(holder, key, number)
+        return self._failure_counts[key]
 
 
 class Messages(unittest.TestCase):
-    def search(self, leases: type[Leases]) -> None:
+    def search(self, leases: type[LeaseQueue]) -> None:
         """Look everywhere for a broken promise."""
         explore(1, Bounds(), STATES, leases)
         for seed in range(WALKS):
--- a/tests/tier/test_pulling.py
+++ b/tests/tier/test_pulling.py
@@ -10,8 +10,8 @@
 from typing import Any, cast
 from unittest import mock
 
-from heronstall.distribution.freshness import MARGIN, TOLD_WITHIN, KnowledgeLimits
-from heronstall.distribution.view import View
+from heronstall.distribution.freshness import DECISION_MARGIN, MAX_STATE_STALENESS, StalenessLimits
+from heronstall.distribution.view import ControlStateView
 from heronstall.transport.frames import Kind, Status
 from heronstall.transport.links import LOST, Links, Reply
 from heronstall.transport.messages import Session, SyncReply, SyncRequest
@@ -84,7 +84,11 @@
     @staticmethod
     async def begun(nodes: ControlNodes, seeds: str = "abc") -> Puller:
         puller = Puller(
-            cast(Links, nodes), View(), lambda: Session(name="e"), lambda: list(seeds), lambda _: None
+            cast(Links, nodes),
+            ControlStateView(),
+            lambda: Session(name="e"),
+            lambda: list(seeds),
+            lambda _: None,
         )
         task = asyncio.create_task(puller.run())
         puller_tasks.append(task)
@@ -220,7 +224,7 @@
         async def run() -> None:
             nodes = ControlNodes("abc")
             puller = await self.begun(nodes)
-            with mock.patch.object(View, "take", side_effect=ValueError("malformed")):
+            with mock.patch.object(ControlStateView, "apply", side_effect=ValueError("malformed")):
                 await asyncio.sleep(1.0)
             nodes.version = 2
             self.assertLess(await self.seconds_to(puller, 2), HOLD + 0.3)
@@ -264,10 +268,10 @@
 
 class Limits(unittest.TestCase):
     def test_what_is_refused_is_known_to_be_refused_within_the_bound(self) -> None:
-        limits = KnowledgeLimits.within(config_apply=2.0, max_skew=5.0, recover=12.0)
-        self.assertLessEqual(limits.refuse + TOLD_WITHIN + MARGIN, 2.0 + 1e-9)
-        self.assertAlmostEqual(limits.serve, limits.refuse + 17.0)
-        self.assertEqual(KnowledgeLimits.within(0.5, 1.0, 2.0).refuse, 0.0)
+        limits = StalenessLimits.from_bounds(config_apply=2.0, max_skew=5.0, recover=12.0)
+        self.assertLessEqual(limits.unknown_route_limit + MAX_STATE_STALENESS + DECISION_MARGIN, 2.0 + 1e-9)
+        self.assertAlmostEqual(limits.service_limit, limits.unknown_route_limit + 17.0)
+        self.assertEqual(StalenessLimits.from_bounds(0.5, 1.0, 2.0).unknown_route_limit, 0.0)
 
 
 if __name__ == "__main__":
--- a/tests/tier/test_reading_plan.py
+++ b/tests/tier/test_reading_plan.py
@@ -10,7 +10,7 @@
 from heronstall.controlplane.planning import SERVICES_MOST, ReadingPlans
 from heronstall.dataplane.placing import LEFT_OUT, PART_BYTES, PlacedPrompt, PromptPlacer
 from heronstall.dataplane.prefixes import NOTHING, shared_prefix
-from heronstall.distribution.view import View
+from heronstall.distribution.view import ControlStateView
 from heronstall.placement.reading import (
     HELD_FOR,
     LOOKED_AT,
@@ -20,7 +20,7 @@
     ReadingPlanner,
     affinity,
 )
-from heronstall.sessions.loads import WorkerLoad, pack
+from heronstall.sessions.loads import WorkerLoad, pack_loads
 from heronstall.sessions.table import Sessions
 from heronstall.transport.frames import Kind, Status
 from heronstall.transport.links import LOST, Reply
@@ -146,7 +146,7 @@
 
     def test_the_dispatchers_words_on_loads_count(self) -> None:
         for edge in ("e1", "e2"):
-            loads = pack([WorkerLoad("w1", 3, 2)])
+            loads = pack_loads([WorkerLoad("w1", 3, 2)])
             self.sessions.renew(10.0, Session(name=edge, machine_class="edge", loads=loads))
         reply = self.plans.answer(PlaceRequest("lm", "p", 9000, 100), self.workers)
         self.assertEqual(PlaceReply().parse(reply.body).worker, "w2")
@@ -178,10 +178,10 @@
 
     def setUp(self) -> None:
         self.now = 100.0
-        self.view = View()
-        self.view.control = ("c1", "c2", "c3")
+        self.view = ControlStateView()
+        self.view.control_addresses = ("c1", "c2", "c3")
         good = Reply(Status.OK, bytes(PlaceReply("w7", 16_200)))
-        self.links = FakeLinks(dict.fromkeys(self.view.control, good))
+        self.links = FakeLinks(dict.fromkeys(self.view.control_addresses, good))
         self.placer = PromptPlacer(self.links, self.view, lambda: self.now)  # type: ignore[arg-type]
 
     async def test_the_question_and_its_answer(self) -> None:
@@ -210,7 +210,7 @@
                 self.assertIsNone(await self.placer.place("lm", self.PREFIX, 16_200))
                 self.assertIsNotNone(await self.placer.place("lm", self.PREFIX, 16_200))
                 self.assertNotEqual(self.links.asked[-1][0], first)
-        self.links.replies = dict.fromkeys(self.view.control, LOST)
+        self.links.replies = dict.fromkeys(self.view.control_addresses, LOST)
         self.now += LEFT_OUT
         asked = len(self.links.asked)
         for _ in range(10):
@@ -218,7 +218,7 @@
         self.assertEqual(len(self.links.asked) - asked, 3, "each once, then nobody for a while")
 
     async def test_no_control_node_is_known(self) -> None:
-        self.view.control = ()
+        self.view.control_addresses = ()
         self.assertIsNone(await self.placer.place("lm", self.PREFIX, 16_200))
 
     async def test_a_long_name_is_cut(self) -> None:
--- a/tests/tier/test_replication.py
+++ b/tests/tier/test_replication.py
@@ -6,9 +6,9 @@
 import unittest
 
 from heronstall.replication.elections import Elections
-from heronstall.replication.leading import Leading
-from heronstall.replication.leases import Leases
-from heronstall.replication.protocol import APPEND_BYTES, MessageKind
+from heronstall.replication.leading import Leader
+from heronstall.replication.leases import ReadLeases
+from heronstall.replication.protocol import MAX_APPEND_BYTES, MessageKind
 from heronstall.replication.replica import Replica
 from heronstall.replication.state import ReplicaState, Role
 from heronstall.transport.messages import GroupMessage
@@ -41,7 +41,9 @@
     counts: dict[tuple[str, ...], int] = {}
     for node in cluster.nodes.values():
         log = node.replica.log
-        committed = log.members_at(node.replica.commit) if node.replica.commit >= log.base_index else ()
+        committed = (
+            log.members_at(node.replica.commit_index) if node.replica.commit_index >= log.base_index else ()
+        )
         counts[committed] = counts.get(committed, 0) + 1
     best = max(counts, key=lambda v: counts[v])
     return best if counts[best] * 2 > len(cluster.nodes) else ()
@@ -59,20 +61,20 @@
     state_type = UnwrittenVotes
 
 
-class AnyTerm(Leading):
-    def advance(self, now: float) -> None:
-        index = self._followers.quorum_match(self._state.log.members, self._state.durable)
-        self._state.commit = max(self._state.commit, index)
+class AnyTerm(Leader):
+    def advance_commit(self, now: float) -> None:
+        index = self._progress.quorum_match_index(self._state.log.members, self._state.durable_index)
+        self._state.commit_index = max(self._state.commit_index, index)
 
 
 class CommitsByCount(Replica):
     """Planted: commits entries of former terms by count."""
 
-    leading_type = AnyTerm
+    leader_type = AnyTerm
 
 
 class VotesByAddress(Elections):
-    def won(self) -> bool:
+    def has_quorum(self) -> bool:
         names = {v.partition("#")[0] for v in self._votes}
         return len(names) * 2 > len(self._state.log.members)
 
@@ -83,13 +85,13 @@
     elections_type = VotesByAddress
 
     def receive(self, now: float, m: GroupMessage) -> None:
-        if m.recipient.partition("#")[0] == self.me.partition("#")[0]:
-            m.recipient = self.me
+        if m.recipient.partition("#")[0] == self.identity.partition("#")[0]:
+            m.recipient = self.identity
         super().receive(now, m)
 
 
-class EndlessLeases(Leases):
-    def holds(self, now: float) -> bool:
+class EndlessLeases(ReadLeases):
+    def holds_lease(self, now: float) -> bool:
         return self.established
 
 
@@ -183,13 +185,13 @@
         """An entry of term 2 reaches a majority in a later term; a leader that lacks it then wins."""
         cluster = Cluster(3, 11, made)
         self.lead(cluster, "n0", "n1")
-        cluster.propose("n0", size=APPEND_BYTES)  # so large that it travels alone
+        cluster.propose("n0", size=MAX_APPEND_BYTES)  # so large that it travels alone
         cluster.restart("n0")
         self.lead(cluster, "n2", "n1")  # its first entry stays with it
         cluster.restart("n2")
         self.lead(cluster, "n0", "n1")
         old = cluster.nodes["n0"].replica.log
-        while cluster.nodes["n1"].replica.log.last < old.last - 1:
+        while cluster.nodes["n1"].replica.log.last_index < old.last_index - 1:
             cluster.pass_time(0.15)
             cluster.tick("n0")
             for _ in range(6):
@@ -274,7 +276,7 @@
         for _ in range(5):
             self.cluster.propose(leader.name)
             self.cluster.run(0.05, only={leader.name, self.gone})
-        leader.replica.log.compact(leader.replica.applied)
+        leader.replica.log.discard_up_to(leader.replica.applied_index)
         self.held: list[GroupMessage] = []
         self.snapshots = 0
 
@@ -297,7 +299,7 @@
 
     def test_the_leader_stays_and_sends_one_snapshot(self) -> None:
         term = self.leader.replica.term
-        self.run_without_snapshots(0.9 * self.cluster.timing.resend_snapshot)
+        self.run_without_snapshots(0.9 * self.cluster.timing.snapshot_resend_interval)
         self.assertEqual(self.snapshots, 1)
         self.assertTrue(self.leader.replica.holds_lease(self.cluster.now))
         self.assertEqual(self.leader.replica.term, term)
@@ -319,7 +321,7 @@
         self.assertEqual(self.snapshots, 1)
 
     def test_a_lost_snapshot_is_sent_again(self) -> None:
-        self.run_without_snapshots(1.2 * self.cluster.timing.resend_snapshot)
+        self.run_without_snapshots(1.2 * self.cluster.timing.snapshot_resend_interval)
         self.assertEqual(self.snapshots, 2)
         self.cluster.network.append(self.held[-1])
         self.cluster.run(0.5, only={self.leader.name, self.behind})
@@ -388,7 +390,7 @@
         cluster = self.settled()
         leader = cluster.leader()
         assert leader is not None
-        leader.replica.hand_over(cluster.now)
+        leader.replica.transfer_leadership(cluster.now)
         cluster.settle(leader)
         cluster.run(0.3)
         after = cluster.leader()
--- a/tests/tier/test_rough_walks.py
+++ b/tests/tier/test_rough_walks.py
@@ -5,9 +5,9 @@
 import copy
 import unittest
 
-from heronstall.replication.following import Following
-from heronstall.replication.leading import Leading
-from heronstall.replication.leases import Leases
+from heronstall.replication.following import Follower
+from heronstall.replication.leading import Leader
+from heronstall.replication.leases import ReadLeases
 from heronstall.replication.progress import Progress
 from heronstall.replication.replica import Replica
 from heronstall.transport.messages import GroupMessage
@@ -82,23 +82,23 @@
     return f"{m.sender} to {m.recipient}: {m.kind} at {m.log_index}, {len(m.entries)} entries"
 
 
-class ReplacesLog(Following):
+class ReplacesLog(Follower):
     def on_snapshot(self, now: float, m: GroupMessage) -> None:
-        if m.snapshot.index > self._state.commit:
-            self.install(m.snapshot)
-        self.reply(now, m, True, self._state.commit)
+        if m.snapshot.index > self._state.commit_index:
+            self.install_snapshot(m.snapshot)
+        self.send_reply(now, m, True, self._state.commit_index)
 
 
 class ForgetsBeyondSnapshots(Replica):
     """Planted: a snapshot replaces what lies beyond it."""
 
-    following_type = ReplacesLog
+    follower_type = ReplacesLog
 
 
-class CommittedIsEnough(Leases):
+class CommittedIsEnough(ReadLeases):
     @property
     def established(self) -> bool:
-        return self._state.leads and self._state.commit >= self._state.term_start
+        return self._state.is_leader and self._state.commit_index >= self._state.term_start_index
 
 
 class ServesWhatIsNotApplied(Replica):
@@ -107,11 +107,11 @@
     leases_type = CommittedIsEnough
 
 
-class TimeOfArrival(Leases):
-    def in_touch(self, now: float, within: float) -> bool:
-        if self._state.leads:
-            return now - self.quorum_round(now) < within
-        return bool(self._state.leader) and now - self._state.heard_at < within
+class TimeOfArrival(ReadLeases):
+    def is_fresh(self, now: float, within: float) -> bool:
+        if self._state.is_leader:
+            return now - self.quorum_acked_send_time(now) < within
+        return bool(self._state.leader_identity) and now - self._state.last_leader_contact_at < within
 
 
 class BelievesLateMessages(Replica):
@@ -120,36 +120,36 @@
     leases_type = TimeOfArrival
 
 
-class SendsMarksBack(Leading):
+class SendsMarksBack(Leader):
     def send_entries(self, now: float, replica: str, progress: Progress) -> None:
-        with_lease = self._leases.holds
-        self._leases.holds = lambda now: True  # type: ignore[method-assign]
+        with_lease = self._leases.holds_lease
+        self._leases.holds_lease = lambda now: True  # type: ignore[method-assign]
         super().send_entries(now, replica, progress)
-        self._leases.holds = with_lease  # type: ignore[method-assign]
+        self._leases.holds_lease = with_lease  # type: ignore[method-assign]
 
 
 class ConfirmsWithoutLease(Replica):
     """Planted: a leader that may be deposed says that its followers know all."""
 
-    leading_type = SendsMarksBack
+    leader_type = SendsMarksBack
 
 
-class BelievesMarksAtOnce(Following):
+class BelievesMarksAtOnce(Follower):
     def on_append(self, now: float, m: GroupMessage) -> None:
         if m.confirms:
-            marked = self._leases.marked_at(now, m.confirms)
-            self._leases._confirmed_at = max(self._leases._confirmed_at, marked)
+            marked = self._leases.clock_mark_time(now, m.confirms)
+            self._leases._fresh_as_of = max(self._leases._fresh_as_of, marked)
         super().on_append(now, m)
 
 
 class ConfirmedThoughBehind(Replica):
     """Planted: a follower counts as informed before it has what the leader has committed."""
 
-    following_type = BelievesMarksAtOnce
+    follower_type = BelievesMarksAtOnce
 
 
-class MarksByClockAlone(Leases):
-    def marked_at(self, now: float, mark: int) -> float:
+class MarksByClockAlone(ReadLeases):
+    def clock_mark_time(self, now: float, mark: int) -> float:
         return now
 
 
@@ -159,8 +159,8 @@
     leases_type = MarksByClockAlone
 
 
-class EndlessLeases(Leases):
-    def holds(self, now: float) -> bool:
+class EndlessLeases(ReadLeases):
+    def holds_lease(self, now: float) -> bool:
         return self.established
 
 
--- a/tests/tier/test_second_losses.py
+++ b/tests/tier/test_second_losses.py
@@ -54,11 +54,11 @@
     def members(self, name: str) -> None:
         replica = self.nodes[name].replica
         if self.wanted is None:
-            voters = membership.wanted_voters(replica, self.size, self.now, self.timing)
+            voters = membership.desired_voters(replica, self.size, self.now, self.timing)
         else:
             voters = tuple(self.nodes[w].identity for w in self.wanted)
         if voters:
-            membership.step(replica, voters, self.now, self.timing)
+            membership.advance_membership(replica, voters, self.now, self.timing)
         self.settle(self.nodes[name])
 
     def rejoin(self, name: str) -> None:
@@ -72,7 +72,7 @@
     def settled_voters(self) -> set[str]:
         """Names of the voters by the leader's word, once committed; none where nobody leads."""
         leader = self.leader()
-        if leader is None or leader.replica.log.members_index > leader.replica.commit:
+        if leader is None or leader.replica.log.members_index > leader.replica.commit_index:
             return set()
         return {m.partition("#")[0] for m in leader.replica.log.members}
 
@@ -153,7 +153,7 @@
     def whole(group: Group) -> bool:
         identities = {n.identity for name, n in group.nodes.items() if name in group.alive()}
         leader = group.leader()
-        if leader is None or leader.replica.log.members_index > leader.replica.commit:
+        if leader is None or leader.replica.log.members_index > leader.replica.commit_index:
             return False
         return set(leader.replica.log.members) == identities
 
@@ -234,13 +234,13 @@
             if not replica.established:
                 return
             for other in (w for w in wanted if w not in replica.log.members):
-                if other not in replica.others:
-                    replica.teach(now, other)
-                elif replica.others[other].match >= replica.commit:
-                    replica.propose_members(now, (*replica.log.members, other))
+                if other not in replica.peer_progress:
+                    replica.replicate_to(now, other)
+                elif replica.peer_progress[other].match_index >= replica.commit_index:
+                    replica.propose_membership(now, (*replica.log.members, other))
 
         with (
-            mock.patch.object(membership, "step", adds_first),
+            mock.patch.object(membership, "advance_membership", adds_first),
             self.assertRaises(Violation),
         ):
             self.assert_borne(self.repaired(3, False), lambda g: len(g.settled_voters()) >= 3)
--- a/tests/tier/test_store.py
+++ b/tests/tier/test_store.py
@@ -10,8 +10,8 @@
 from typing import Any
 from unittest import mock
 
-from heronstall.batch.items import put_items
-from heronstall.batch.leases import FAILED_PAUSE
+from heronstall.batch.items import set_items
+from heronstall.batch.leases import RETRY_DELAY
 from heronstall.batch.outcomes import Outcome
 from heronstall.config import node_settings
 from heronstall.controlplane.store import Store
@@ -67,7 +67,7 @@
         self.addCleanup(clock.stop)
         self.owned = self.store._add(SHARD)
         self.replica = self.store.host.groups[SHARD].replica
-        self.replica.form(self.now, (self.store.host.me,))
+        self.replica.bootstrap(self.now, (self.store.host.me,))
         self.now += 5
         self.replica.tick(self.now)
         self.store.host.flush()
@@ -84,7 +84,7 @@
         listed = [BatchItem(id=f"{name}-{k}", path="/p", body=b"b", tokens=10) for k in range(items)]
         job = BatchJob(id=name, route="r", host="h", completion_ms=8000, retention_ms=60_000)
         job.max_attempts = attempts
-        put_items(job, listed)
+        set_items(job, listed)
         status, _ = await self.call(Kind.SUBMIT, SubmitRequest(job, most, SHARD))
         return status
 
@@ -156,7 +156,7 @@
         await self.report(first, Outcome.FAILED)
         self.assertEqual(await self.read("a"), [])
         self.assertEqual(await self.lease(1), [])
-        self.now += FAILED_PAUSE
+        self.now += RETRY_DELAY
         (second,) = await self.lease(1)
         await self.report(second, Outcome.FAILED)
         self.assertEqual(await self.read("a"), [("a-0", False, b"")])
@@ -164,7 +164,7 @@
     async def test_what_cannot_be_done_is_dead_at_once(self) -> None:
         await self.submit("a", 1)
         (item,) = await self.lease(1)
-        await self.report(item, Outcome.UNDOABLE)
+        await self.report(item, Outcome.UNPROCESSABLE)
         self.assertEqual(await self.read("a"), [("a-0", False, b"")])
 
     async def test_an_ended_job_gives_out_nothing_and_stays_readable(self) -> None:
--- a/tests/tier/test_store_simulation.py
+++ b/tests/tier/test_store_simulation.py
@@ -15,7 +15,7 @@
 
 from heronstall.controlplane.core import Core
 from heronstall.controlplane.store import Store
-from heronstall.replication.leases import Leases
+from heronstall.replication.leases import ReadLeases
 from heronstall.storage.journal import Journal
 from heronstall.transport.frames import Status
 from heronstall.transport.links import Reply
@@ -48,7 +48,7 @@
     """Planted: the log is written and not synced."""
 
     def sync(journal: Journal) -> None:
-        journal._synced = journal._length
+        journal._synced_length = journal._log_length
 
     with mock.patch.object(Journal, "sync", sync):
         yield
@@ -66,7 +66,7 @@
         lambda: mock.patch.object(Store, "_decided", staticmethod(decided_at_once)), 2
     ),
     "an owner answers before it has applied its log": Planted(
-        lambda: mock.patch.object(Leases, "established", property(lambda leases: leases._state.leads)), 1
+        lambda: mock.patch.object(ReadLeases, "established", property(lambda leases: leases._state.leads)), 1
     ),
     "a machine counts as emptied at once": Planted(
         lambda: mock.patch.object(Core, "_emptied", lambda core, replica: True), 3
