--- a/heronstall/replication/replica.py
+++ b/heronstall/replication/replica.py
@@ -16,9 +16,9 @@
 from typing import ClassVar
 
 from heronstall.replication.elections import Elections
-from heronstall.replication.following import Follower
+from heronstall.replication.follower import Follower
 from heronstall.replication.joining import JoinRequests
-from heronstall.replication.leading import Leader
+from heronstall.replication.leader import Leader
 from heronstall.replication.leases import ReadLeases
 from heronstall.replication.log import Log, PersistentState
 from heronstall.replication.progress import Progress, ProgressTracker
--- a/tests/tier/test_replication.py
+++ b/tests/tier/test_replication.py
@@ -6,7 +6,7 @@
 import unittest
 
 from heronstall.replication.elections import Elections
-from heronstall.replication.leading import Leader
+from heronstall.replication.leader import Leader
 from heronstall.replication.leases import ReadLeases
 from heronstall.replication.protocol import MAX_APPEND_BYTES, MessageKind
 from heronstall.replication.replica import Replica
--- a/tests/tier/test_rough_walks.py
+++ b/tests/tier/test_rough_walks.py
@@ -5,8 +5,8 @@
 import copy
 import unittest
 
-from heronstall.replication.following import Follower
-from heronstall.replication.leading import Leader
+from heronstall.replication.follower import Follower
+from heronstall.replication.leader import Leader
 from heronstall.replication.leases import ReadLeases
 from heronstall.replication.progress import Progress
 from heronstall.replication.replica import Replica
