--- a/heronstall/replication/__init__.py
+++ b/heronstall/replication/__init__.py
@@ -1,1 +1,1 @@
-"""Replica groups: an agreed log of commands kept by a quorum, free of I/O, whatever the commands are."""
+"""Replica groups: a replicated log of opaque commands, agreed on by a quorum. Performs no I/O."""
--- a/heronstall/replication/leader.py
+++ b/heronstall/replication/leader.py
@@ -1,4 +1,4 @@
-"""What a leader does: appends commands, sends its log, commits what a quorum has, and teaches learners."""
+"""The leader role: appends commands, replicates the log, commits what a quorum stores and feeds learners."""
 
 from __future__ import annotations
 
@@ -18,24 +18,27 @@
 
 
 class Leader:
-    """A replica's leadership. A leader that is no member any more is told `step_down`."""
+    """The leader role of a replica. Calls `step_down` once the leader is no longer a member."""
 
     def __init__(
         self,
         state: ReplicaState,
-        followers: ProgressTracker,
+        progress: ProgressTracker,
         leases: ReadLeases,
         step_down: Callable[[float], None],
     ) -> None:
-        self._state, self._progress, self._leases = state, followers, leases
+        self._state, self._progress, self._leases = state, progress, leases
         self._step_down = step_down
         self.dump_state: Callable[[], bytes] = lambda: b""
-        self.broadcasts_commits = True  # followers serve reads and want to know at once what is committed
-        self.learners: dict[str, float] = {}  # by identity: when it asked to join
+        self.broadcasts_commits = True  # whether followers learn of commits at once, to serve reads
+        self.learners: dict[str, float] = {}  # by replica identity: time of the join request
         self._last_broadcast_at = NEVER
 
     def start_leading(self, now: float) -> None:
-        """An election is won: entries of former terms are committed with the first one of this term."""
+        """Starts leading after a won election.
+
+        Appends an empty entry; committing it also commits the entries of earlier terms.
+        """
         state = self._state
         self._progress.reset(state.other_voters, state.log.last_index + 1, now)
         self._last_broadcast_at = now
@@ -43,7 +46,7 @@
         self.append(now, EntryKind.EMPTY, b"")
 
     def append(self, now: float, kind: EntryKind, data: bytes) -> int | None:
-        """Append an entry and send it; its index, or None where this is not the leader."""
+        """Appends and replicates an entry. Returns its index, or None if this replica does not lead."""
         state = self._state
         if not state.is_leader:
             return None
@@ -56,7 +59,10 @@
         return entry.index
 
     def advance_commit(self, now: float) -> None:
-        """Commit what a quorum has on disk, by count only entries of the own term."""
+        """Commits the entries that a quorum has on disk.
+
+        Only entries of the current term are committed by counting replicas.
+        """
         state = self._state
         index = self._progress.quorum_match_index(state.log.members, state.durable_index)
         if index > state.commit_index and state.log.term_at(index) == state.term:
@@ -67,20 +73,20 @@
                 self._step_down(now)
 
     def snapshot_at(self, index: int, state: bytes) -> Snapshot:
-        """A snapshot message for the state as it was after an entry that is still held here."""
+        """Returns a snapshot of `state` as of the entry at `index`, which must still be in the log."""
         log = self._state.log
         term = log.term_at(index)
         assert term is not None
         return Snapshot(index=index, term=term, voters=list(log.members_at(index)), state=state)
 
-    # ------------------------------------------------------------------ sending
+    # ------------------------------------------------------------------ replication
 
     def heartbeat_due(self, now: float) -> bool:
-        """Whether a round of messages is due though nothing is new."""
+        """Returns whether a heartbeat is due."""
         return now - self._last_broadcast_at >= self._state.timing.heartbeat_interval
 
     def broadcast(self, now: float) -> None:
-        """Send each replica what it lacks, or a heartbeat."""
+        """Sends each replica the entries that it lacks, or a heartbeat."""
         self._last_broadcast_at = now
         for replica, progress in self._progress.peers.items():
             if self._snapshot_in_flight(now, progress):
@@ -89,14 +95,15 @@
                 self.send_entries(now, replica, progress)
 
     def _snapshot_in_flight(self, now: float, progress: Progress) -> bool:
-        """Whether a replica needs a snapshot, and has been sent one not long ago."""
+        """Returns whether a replica needs a snapshot and was sent one recently."""
         missing = self._state.log.term_at(progress.next_index - 1) is None
         return missing and now - progress.snapshot_sent_at < self._state.timing.snapshot_resend_interval
 
     def _send_heartbeat(self, now: float, replica: str) -> None:
-        """Send no entries, and nothing that the replica could accept before it has the snapshot.
+        """Sends a heartbeat without entries that the replica can accept before it has its snapshot.
 
-        Its answer counts for the quorum: a leader whose other voters are all taking snapshots stays leader.
+        Its reply counts towards the quorum, so a leader stays leader while all its other voters receive
+        snapshots.
         """
         log = self._state.log
         self._state.send(
@@ -104,86 +111,90 @@
             MessageKind.APPEND,
             log_index=log.base_index,
             log_term=log.base_term,
-            round=to_microseconds(now),
-            early=True,
+            sent_at_us=to_microseconds(now),
+            before_sync=True,
         )
 
     def send_entries(self, now: float, replica: str, progress: Progress) -> None:
-        """Send the entries that a replica lacks, or a snapshot where they are not held any more."""
+        """Sends the entries that a replica lacks, or a snapshot if they are no longer in the log."""
         state = self._state
-        before = progress.next_index - 1
-        term = state.log.term_at(before)
-        if term is None:
+        previous_index = progress.next_index - 1
+        previous_term = state.log.term_at(previous_index)
+        if previous_term is None:
             self._send_snapshot(now, replica, progress)
             return
-        entries = state.log.entries_after(before, MAX_APPEND_BYTES)
+        entries = state.log.entries_after(previous_index, MAX_APPEND_BYTES)
         state.send(
             replica,
             MessageKind.APPEND,
-            log_index=before,
-            log_term=term,
+            log_index=previous_index,
+            log_term=previous_term,
             entries=entries,
             commit=state.commit_index,
-            round=to_microseconds(now),
-            confirms=progress.latest_clock_mark if self._leases.holds_lease(now) else 0,
-            early=True,
+            sent_at_us=to_microseconds(now),
+            confirmed_mark=progress.latest_clock_mark if self._leases.holds_lease(now) else 0,
+            before_sync=True,
         )
         progress.next_index += len(entries)
 
     def _send_snapshot(self, now: float, replica: str, progress: Progress) -> None:
         if self._snapshot_in_flight(now, progress):
             return
-        applied = self._state.applied_index
-        progress.snapshot_sent_at, progress.snapshot_index = now, applied
-        snapshot = self.snapshot_at(applied, self.dump_state())
+        applied_index = self._state.applied_index
+        progress.snapshot_sent_at, progress.snapshot_index = now, applied_index
+        snapshot = self.snapshot_at(applied_index, self.dump_state())
         self._state.send(
-            replica, MessageKind.SNAPSHOT, snapshot=snapshot, round=to_microseconds(now), early=True
+            replica,
+            MessageKind.SNAPSHOT,
+            snapshot=snapshot,
+            sent_at_us=to_microseconds(now),
+            before_sync=True,
         )
-        progress.next_index = applied + 1
+        progress.next_index = applied_index + 1
 
-    def on_append_reply(self, now: float, m: GroupMessage) -> None:
-        """Note how far a replica is, and send it what it lacks."""
-        progress = self._progress.peers.get(m.sender)
+    def on_append_reply(self, now: float, message: GroupMessage) -> None:
+        """Updates the progress of a replica and sends it the entries that it still lacks."""
+        progress = self._progress.peers.get(message.sender)
         if not self._state.is_leader or progress is None:
             return
         progress.last_contact_at = now
-        progress.acked_send_time = max(progress.acked_send_time, m.round / MICROSECONDS_PER_SECOND)
-        progress.latest_clock_mark = m.asked
-        if not m.granted:
-            self._resend_entries(now, m, progress)
+        progress.acked_send_time = max(progress.acked_send_time, message.round / MICROSECONDS_PER_SECOND)
+        progress.latest_clock_mark = message.asked
+        if not message.granted:
+            self._resend_entries(now, message, progress)
             return
-        if m.log_index >= progress.snapshot_index:
+        if message.log_index >= progress.snapshot_index:
             progress.snapshot_sent_at = NEVER
-        if m.log_index > progress.match_index:
-            progress.match_index = m.log_index
-            progress.next_index = max(progress.next_index, m.log_index + 1)
+        if message.log_index > progress.match_index:
+            progress.match_index = message.log_index
+            progress.next_index = max(progress.next_index, message.log_index + 1)
             self.advance_commit(now)
         if progress.next_index <= self._state.log.last_index:
-            self.send_entries(now, m.sender, progress)
+            self.send_entries(now, message.sender, progress)
 
-    def _resend_entries(self, now: float, m: GroupMessage, progress: Progress) -> None:
-        """A replica lacks what was sent before: go back to where its log ends."""
-        if m.round / MICROSECONDS_PER_SECOND < progress.resent_at:
+    def _resend_entries(self, now: float, message: GroupMessage, progress: Progress) -> None:
+        """Resends entries from the end of a replica's log after it has rejected an append."""
+        if message.round / MICROSECONDS_PER_SECOND < progress.resent_at:
             return
         progress.resent_at = to_microseconds(now) / MICROSECONDS_PER_SECOND
-        progress.next_index = max(1, min(progress.next_index - 1, m.log_index + 1))
-        self.send_entries(now, m.sender, progress)
+        progress.next_index = max(1, min(progress.next_index - 1, message.log_index + 1))
+        self.send_entries(now, message.sender, progress)
 
     # ------------------------------------------------------------------ learners
 
     def add_learner(self, now: float, replica: str) -> None:
-        """A replica that is no member asks to be taught."""
+        """Starts replicating to a replica that asked to join and is not a member."""
         self.learners[replica] = now
         self.replicate_to(now, replica)
 
     def replicate_to(self, now: float, replica: str) -> None:
-        """Send the log to a replica that is no member yet."""
+        """Starts replicating the log to a replica that is not a member."""
         if self._state.is_leader and replica not in self._progress.peers:
             progress = self._progress.peers[replica] = Progress(next_index=self._state.log.last_index + 1)
             self.send_entries(now, replica, progress)
 
     def remove_learner(self, replica: str) -> None:
-        """Stop sending to a replica that is no member."""
+        """Stops replicating to a replica that is not a member."""
         self.learners.pop(replica, None)
         if replica not in self._state.log.members:
             self._progress.peers.pop(replica, None)
--- a/heronstall/replication/progress.py
+++ b/heronstall/replication/progress.py
@@ -1,4 +1,4 @@
-"""What a leader knows of the other replicas, and what a quorum of them has."""
+"""What a leader knows of the other replicas, and what a quorum of them stores."""
 
 from __future__ import annotations
 
@@ -15,44 +15,54 @@
 
     next_index: int
     match_index: int = 0
-    acked_send_time: float = NEVER  # latest time of sending of a message that it has answered
+    acked_send_time: float = NEVER  # send time of the latest message that it has answered
     last_contact_at: float = NEVER
-    snapshot_sent_at: float = NEVER  # when a snapshot was sent that it has not acknowledged
-    snapshot_index: int = 0  # the last entry that this snapshot covers
-    resent_at: float = NEVER  # when entries were last sent again; earlier messages' refusals say nothing new
-    latest_clock_mark: int = 0  # the mark in its latest reply, sent back to it with what is committed
+    snapshot_sent_at: float = NEVER  # when a snapshot was sent that is not yet acknowledged
+    snapshot_index: int = 0  # last index covered by that snapshot
+    resent_at: float = NEVER  # when entries were last resent; rejections of earlier messages are ignored
+    latest_clock_mark: int = 0  # the clock mark in its latest reply, returned to it with the commit index
 
 
 class ProgressTracker:
-    """The progress of all replicas that a leader sends to, voters and learners; of nobody at a follower."""
+    """The progress of all replicas that a leader sends to, voters and learners. Empty on a follower."""
 
-    def __init__(self, me: str) -> None:
-        self._own_identity = me
+    def __init__(self, own_identity: str) -> None:
+        self._own_identity = own_identity
         self.peers: dict[str, Progress] = {}
 
     def reset(self, voters: Sequence[str], next_index: int, now: float) -> None:
-        """A leadership begins: a quorum voted just now; no lease follows before it answers."""
+        """Starts a new leadership.
+
+        The quorum has just voted, which counts as contact; a lease still requires that it answers a message.
+        """
         self.peers = {
-            r: Progress(next_index=next_index, last_contact_at=now, acked_send_time=now) for r in voters
+            voter: Progress(next_index=next_index, last_contact_at=now, acked_send_time=now)
+            for voter in voters
         }
 
-    def quorum_match_index(self, voters: Sequence[str], own: int) -> int:
-        """The last entry that a quorum has on disk; `own`: the last one that this replica has."""
-        matches = [own if v == self._own_identity else self._match_index_of(v) for v in voters]
-        matches.sort(reverse=True)
-        return matches[quorum_size(len(matches)) - 1] if matches else 0
+    def quorum_match_index(self, voters: Sequence[str], own_index: int) -> int:
+        """Returns the last index that a quorum has on disk; `own_index` is this replica's."""
+        match_indexes = [
+            own_index if voter == self._own_identity else self._match_index_of(voter) for voter in voters
+        ]
+        match_indexes.sort(reverse=True)
+        return match_indexes[quorum_size(len(match_indexes)) - 1] if match_indexes else 0
 
     def quorum_acked_send_time(self, voters: Sequence[str], now: float) -> float:
-        """Sending time of the latest messages that a quorum has answered."""
-        rounds = [now if v == self._own_identity else self._acked_send_time_of(v) for v in voters]
-        rounds.sort(reverse=True)
-        return rounds[quorum_size(len(rounds)) - 1] if rounds else NEVER
+        """Returns the send time of the latest messages that a quorum has answered."""
+        send_times = [
+            now if voter == self._own_identity else self._acked_send_time_of(voter) for voter in voters
+        ]
+        send_times.sort(reverse=True)
+        return send_times[quorum_size(len(send_times)) - 1] if send_times else NEVER
 
     def most_up_to_date(self, voters: Sequence[str]) -> str | None:
-        """The other voter that has most of the log, the latest heard of among equals."""
-        able = [r for r in voters if r in self.peers]
+        """Returns the other voter that has most of the log; among equals, the one heard from last."""
+        candidates = [voter for voter in voters if voter in self.peers]
         return max(
-            able, key=lambda r: (self.peers[r].match_index, self.peers[r].last_contact_at), default=None
+            candidates,
+            key=lambda voter: (self.peers[voter].match_index, self.peers[voter].last_contact_at),
+            default=None,
         )
 
     def _match_index_of(self, replica: str) -> int:
--- a/heronstall/replication/protocol.py
+++ b/heronstall/replication/protocol.py
@@ -1,4 +1,4 @@
-"""Constants and figures of the replication protocol."""
+"""Constants and message kinds of the replication protocol."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class MessageKind(IntEnum):
-    """What a GroupMessage says."""
+    """Kinds of a GroupMessage."""
 
     PRE_VOTE = 1
     PRE_VOTE_REPLY = 2
@@ -21,7 +21,7 @@
 
 
 class EntryKind(IntEnum):
-    """What a log entry carries."""
+    """Kinds of a log entry."""
 
     EMPTY = 0
     COMMAND = 1
@@ -29,7 +29,7 @@
 
 
 class RecordKind(IntEnum):
-    """What a record on disk says of a group."""
+    """Kinds of a record of a group on disk."""
 
     VOTE = 1
     ENTRIES = 2
@@ -38,32 +38,32 @@
 
 @dataclass(frozen=True)
 class Timing:
-    """Times in seconds. A lease is shorter than the least election time-out, so that it ends first."""
+    """Durations in seconds. The lease is shorter than the minimum election timeout, so it expires first."""
 
     heartbeat_interval: float = 0.12
     election_timeout_min: float = 0.45
     election_timeout_max: float = 0.8
-    restart_pre_vote_interval: float = 0.12  # between the pre-votes of a replica that has just started again
+    restart_pre_vote_interval: float = 0.12  # between the pre-votes of a replica that has just restarted
     lease_duration: float = 0.36
     snapshot_resend_interval: float = 2.0
     join_interval: float = 0.7
-    dead_member_timeout: float = 2.0  # silence after which a member gives way to a learner that is whole
+    dead_member_timeout: float = 2.0  # silence after which a caught-up learner replaces a member
 
 
-MAX_APPEND_BYTES = 1024 * 1024  # of entries in one message
-MICROSECONDS_PER_SECOND = 1e6  # a second; times in messages are whole microseconds of the clock of one node
+MAX_APPEND_BYTES = 1024 * 1024  # bytes of entries in one message
+MICROSECONDS_PER_SECOND = 1e6  # times in messages are whole microseconds of one node's clock
 
 
 def to_microseconds(seconds: float) -> int:
-    """A time as messages carry it."""
+    """Converts a time in seconds to the whole microseconds used in messages."""
     return int(seconds * MICROSECONDS_PER_SECOND)
 
 
-def quorum_size(voters: int) -> int:
-    """How many of so many voters decide."""
-    return voters // 2 + 1
+def quorum_size(voter_count: int) -> int:
+    """Returns the number of voters that form a quorum."""
+    return voter_count // 2 + 1
 
 
 def address_of(replica: str) -> str:
-    """The address in a replica's identity `ADDRESS#INCARNATION`."""
+    """Returns the address in a replica identity of the form `ADDRESS#INCARNATION`."""
     return replica.partition("#")[0]
--- a/heronstall/replication/replica.py
+++ b/heronstall/replication/replica.py
@@ -1,12 +1,14 @@
-"""One replica of a group, put together from its parts.
+"""One replica of a group, assembled from its parts.
 
-Free of I/O: `tick`, `receive`, `propose` and `synced` take the time and change the state; `take_output`
-hands out what is to be written, sent and applied. The order that its driver must keep: send the early
-messages, write and sync the records, call `synced`, then send the late messages.
+The replica performs no I/O. `tick`, `receive`, `propose` and `on_records_synced` take the time and change the
+state; `take_output` returns what to write, send and apply. The driver must keep this order: send the messages
+of `messages_before_sync`, write and sync the records, call `on_records_synced`, then send the messages of
+`messages_after_sync`.
 
-Safety rests on four rules. A vote and an entry are on disk before they are told of. A replica without its
-disk has a new identity, thus no vote until it is made a member. A leader commits by count only entries of
-its own term. One member is added or removed at a time, the former change committed first.
+Safety rests on four rules. A vote or an entry is on disk before it is acknowledged. A replica that has lost
+its disk gets a new identity, so it has no vote until it is made a member. A leader commits only entries of
+its own term by counting replicas. One member is added or removed at a time, after the previous change is
+committed.
 """
 
 from __future__ import annotations
@@ -28,7 +30,7 @@
 
 
 class Replica:
-    """A member, or a learner, of a replica group."""
+    """A member or a learner of a replica group."""
 
     state_type: ClassVar[type[ReplicaState]] = ReplicaState
     leases_type: ClassVar[type[ReadLeases]] = ReadLeases
@@ -39,25 +41,27 @@
     def __init__(
         self,
         group: str,
-        me: str,
+        identity: str,
         timing: Timing,
         rng: random.Random,
         now: float,
-        image: PersistentState | None = None,
+        persisted: PersistentState | None = None,
     ) -> None:
-        state = self._state = self.state_type(group, me, timing, rng, now, image or PersistentState())
-        self.group, self.identity = group, me
-        self._progress = ProgressTracker(me)
+        state = self._state = self.state_type(
+            group, identity, timing, rng, now, persisted or PersistentState()
+        )
+        self.group, self.identity = group, identity
+        self._progress = ProgressTracker(identity)
         self._leases = self.leases_type(state, self._progress, now)
         self._leader = self.leader_type(state, self._progress, self._leases, self._step_down)
         self._follower = self.follower_type(state, self._leases)
         self._join_requests = JoinRequests(state, now)
         self._elections = self.elections_type(state, now, self._become_follower, self._become_leader)
 
-    # ------------------------------------------------------------------ what the driver calls
+    # ------------------------------------------------------------------ inputs from the driver
 
     def tick(self, now: float) -> None:
-        """Let time pass."""
+        """Handles the timeouts that have expired."""
         state = self._state
         if state.is_leader:
             if now - self._leases.quorum_acked_send_time(now) > state.timing.election_timeout_max:
@@ -70,50 +74,50 @@
             else:
                 self._elections.reset_election_timeout(now)
 
-    def receive(self, now: float, m: GroupMessage) -> None:
-        """Take a message of another replica."""
-        if m.group != self.group:
+    def receive(self, now: float, message: GroupMessage) -> None:
+        """Handles a message of another replica."""
+        if message.group != self.group:
             return
-        if m.recipient != self.identity and m.kind != MessageKind.JOIN:
-            self._join_requests.record_contact(m)
+        if message.recipient != self.identity and message.kind != MessageKind.JOIN:
+            self._join_requests.record_contact(message)
             return
-        if m.kind == MessageKind.PRE_VOTE:
-            self._elections.on_pre_vote(now, m)
-        elif m.kind == MessageKind.JOIN:
-            self._on_join(now, m)
-        elif m.kind == MessageKind.PRE_VOTE_REPLY:
-            self._elections.on_pre_vote_reply(now, m)
-        elif m.kind == MessageKind.VOTE:
-            self._elections.on_vote(now, m)
-        elif m.term < self._state.term:
-            if m.kind in (MessageKind.APPEND, MessageKind.SNAPSHOT):
-                self._follower.send_reply(now, m, False, self._state.log.last_index)
+        if message.kind == MessageKind.PRE_VOTE:
+            self._elections.on_pre_vote(now, message)
+        elif message.kind == MessageKind.JOIN:
+            self._on_join(now, message)
+        elif message.kind == MessageKind.PRE_VOTE_REPLY:
+            self._elections.on_pre_vote_reply(now, message)
+        elif message.kind == MessageKind.VOTE:
+            self._elections.on_vote(now, message)
+        elif message.term < self._state.term:
+            if message.kind in (MessageKind.APPEND, MessageKind.SNAPSHOT):
+                self._follower.send_reply(now, message, False, self._state.log.last_index)
         else:
-            self._on_current(now, m)
-
-    def _on_current(self, now: float, m: GroupMessage) -> None:
-        """Take a message of this term or a later one."""
-        if m.term > self._state.term:
-            self._become_follower(now, m.term, "")
-        if m.kind == MessageKind.VOTE_REPLY:
-            self._elections.on_vote_reply(now, m)
-        elif m.kind == MessageKind.APPEND:
-            self._accept_leader(now, m)
-            self._follower.on_append(now, m)
-        elif m.kind == MessageKind.SNAPSHOT:
-            self._accept_leader(now, m)
-            self._follower.on_snapshot(now, m)
-        elif m.kind == MessageKind.APPEND_REPLY:
-            self._leader.on_append_reply(now, m)
-        elif m.kind == MessageKind.TRANSFER_LEADERSHIP:
-            self._elections.on_transfer_leadership(now, m)
+            self._on_current(now, message)
+
+    def _on_current(self, now: float, message: GroupMessage) -> None:
+        """Handles a message of the current or a later term."""
+        if message.term > self._state.term:
+            self._become_follower(now, message.term, "")
+        if message.kind == MessageKind.VOTE_REPLY:
+            self._elections.on_vote_reply(now, message)
+        elif message.kind == MessageKind.APPEND:
+            self._accept_leader(now, message)
+            self._follower.on_append(now, message)
+        elif message.kind == MessageKind.SNAPSHOT:
+            self._accept_leader(now, message)
+            self._follower.on_snapshot(now, message)
+        elif message.kind == MessageKind.APPEND_REPLY:
+            self._leader.on_append_reply(now, message)
+        elif message.kind == MessageKind.TRANSFER_LEADERSHIP:
+            self._elections.on_transfer_leadership(now, message)
 
     def propose(self, now: float, data: bytes) -> int | None:
-        """Append a command; its index, or None where this is not the leader."""
+        """Appends a command. Returns its index, or None if this replica is not the leader."""
         return self._leader.append(now, EntryKind.COMMAND, data)
 
     def propose_membership(self, now: float, voters: tuple[str, ...]) -> bool:
-        """Add or remove one voter. False where that is not possible now."""
+        """Adds or removes one voter. Returns False if that is not possible now."""
         log = self._state.log
         if not self.established or log.members_index > self._state.commit_index:
             return False
@@ -122,19 +126,19 @@
         return self._leader.append(now, EntryKind.MEMBERS, bytes(Members(list(voters)))) is not None
 
     def on_records_synced(self, now: float) -> None:
-        """All records taken so far are on disk."""
+        """Records that all records handed out so far are on disk."""
         self._state.durable_index = self._state.log.last_index
         if self._state.is_leader:
             self._leader.advance_commit(now)
 
     def take_output(self) -> ReplicaOutput:
-        """What is to be done now; nothing of it comes twice."""
+        """Returns what the driver has to do now. Nothing is returned twice."""
         output = self._state.take_output()
         self._leases.on_entries_applied()
         return output
 
     def bootstrap(self, now: float, voters: tuple[str, ...]) -> None:
-        """Begin a new group: all its first members are told the same voters."""
+        """Creates a new group. All its initial members must be given the same voters."""
         snapshot = Snapshot(index=1, term=0, voters=list(voters), state=b"")
         state = self._state
         state.log.reset_to_snapshot(snapshot)
@@ -143,52 +147,52 @@
         self._elections.schedule_first_election(now)
 
     def request_join(self, now: float, replicas: list[str]) -> None:
-        """Tell members that this replica is none of the group's and wants to learn, if it is so."""
+        """Asks members for the log if this replica is not a member or has lost contact with the group."""
         self._join_requests.request_join(now, replicas)
 
     def transfer_leadership(self, now: float) -> None:
-        """Have the best-informed other member take over, before a planned end."""
+        """Hands the leadership to the most up-to-date voter, before a planned shutdown."""
         state = self._state
         if not state.is_leader:
             return
-        best = self._progress.most_up_to_date(state.log.members)
-        if best is not None:
-            state.send(best, MessageKind.TRANSFER_LEADERSHIP, early=True)
-            self._step_down(now)  # no lease is held beside the new leader's
+        successor = self._progress.most_up_to_date(state.log.members)
+        if successor is not None:
+            state.send(successor, MessageKind.TRANSFER_LEADERSHIP, before_sync=True)
+            self._step_down(now)  # the old leader must not hold a lease beside the new one
 
     def replicate_to(self, now: float, replica: str) -> None:
-        """Send the log to a replica that is no member yet."""
+        """Starts replicating the log to a replica that is not a member."""
         self._leader.replicate_to(now, replica)
 
     def remove_learner(self, replica: str) -> None:
-        """Stop sending to a replica that is no member."""
+        """Stops replicating to a replica that is not a member."""
         self._leader.remove_learner(replica)
 
     def probe_quorum(self, now: float) -> None:
-        """Send a round of messages now, so that `confirmed_at` moves on after one exchange."""
+        """Sends messages to all replicas now, so that `fresh_as_of` advances after one round trip."""
         if self._state.is_leader:
             self._leader.broadcast(now)
 
-    # ------------------------------------------------------------------ what others ask
+    # ------------------------------------------------------------------ queries
 
     @property
     def term(self) -> int:
-        """The latest term that this replica knows of."""
+        """The latest term known to this replica."""
         return self._state.term
 
     @property
     def vote(self) -> str:
-        """Whom it has voted for in this term; empty: nobody."""
+        """The candidate that got this replica's vote in the current term; empty if none."""
         return self._state.vote
 
     @property
     def log(self) -> Log:
-        """Its log."""
+        """The log."""
         return self._state.log
 
     @property
     def commit_index(self) -> int:
-        """Index of the last entry that it knows to be committed."""
+        """Index of the last entry known to be committed."""
         return self._state.commit_index
 
     @property
@@ -198,38 +202,38 @@
 
     @property
     def role(self) -> Role:
-        """What it is in its group."""
+        """The current role in the group."""
         return self._state.role
 
     @property
     def peer_progress(self) -> dict[str, Progress]:
-        """By identity: a leader's knowledge of the replicas that it sends to."""
+        """By identity: the progress of the replicas that a leader sends to."""
         return self._progress.peers
 
     @property
     def learners(self) -> dict[str, float]:
-        """By identity: when a replica that is no member asked to join."""
+        """By identity: when a replica that is not a member asked to join."""
         return self._leader.learners
 
     @property
     def established(self) -> bool:
-        """Leader, and all that was acknowledged before its term is in the state."""
+        """Whether this replica leads and its state contains everything acknowledged before its term."""
         return self._leases.established
 
     def holds_lease(self, now: float) -> bool:
-        """Whether reads here see all that any leader has acknowledged."""
+        """Returns whether reads from the local state see everything that any leader has acknowledged."""
         return self._leases.holds_lease(now)
 
     def fresh_as_of(self, now: float) -> float:
-        """Own time up to which the state here holds all that any leader had acknowledged."""
+        """Returns the local time up to which the state contains everything acknowledged by any leader."""
         return self._leases.fresh_as_of(now)
 
-    def is_fresh(self, now: float, within: float) -> bool:
-        """Whether the state here holds all that was acknowledged until `within` seconds ago."""
-        return self._leases.is_fresh(now, within)
+    def is_fresh(self, now: float, max_staleness: float) -> bool:
+        """Returns whether the state contains everything acknowledged until `max_staleness` seconds ago."""
+        return self._leases.is_fresh(now, max_staleness)
 
     def leader_hint(self, now: float) -> str:
-        """The leader's identity, where one was heard of lately."""
+        """Returns the leader's identity, or an empty string if there was no recent contact with a leader."""
         state = self._state
         if state.is_leader:
             return self.identity
@@ -240,14 +244,14 @@
         )
 
     def snapshot_at(self, index: int, state: bytes) -> Snapshot:
-        """A snapshot message for the state as it was after an entry that is still held here."""
+        """Returns a snapshot of `state` as of the entry at `index`, which must still be in the log."""
         return self._leader.snapshot_at(index, state)
 
-    def configure(self, dump: Callable[[], bytes], tells_commit: bool = True) -> None:
-        """Say what a snapshot holds, and whether followers are to know at once what is committed."""
-        self._leader.dump_state, self._leader.broadcasts_commits = dump, tells_commit
+    def configure(self, dump_state: Callable[[], bytes], broadcasts_commits: bool = True) -> None:
+        """Sets the function that dumps the state for snapshots, and whether commits are broadcast at once."""
+        self._leader.dump_state, self._leader.broadcasts_commits = dump_state, broadcasts_commits
 
-    # ------------------------------------------------------------------ changes of role
+    # ------------------------------------------------------------------ role changes
 
     def _become_follower(self, now: float, term: int, leader: str) -> None:
         state = self._state
@@ -267,18 +271,18 @@
         self._state.role, self._state.leader_identity = Role.LEADER, self.identity
         self._leader.start_leading(now)
 
-    def _accept_leader(self, now: float, m: GroupMessage) -> None:
-        """A leader's message has come."""
+    def _accept_leader(self, now: float, message: GroupMessage) -> None:
+        """Records a message from the current leader."""
         state = self._state
         if state.role is not Role.FOLLOWER:
-            self._become_follower(now, m.term, m.sender)
-        state.leader_identity = m.sender
+            self._become_follower(now, message.term, message.sender)
+        state.leader_identity = message.sender
         state.last_leader_contact_at = now
         self._elections.reset_election_timeout(now)
 
-    def _on_join(self, now: float, m: GroupMessage) -> None:
+    def _on_join(self, now: float, message: GroupMessage) -> None:
         state = self._state
         if not state.is_leader:
-            self._join_requests.forward_to_leader(m, self.leader_hint(now))
-        elif m.sender not in state.log.members:
-            self._leader.add_learner(now, m.sender)
+            self._join_requests.forward_to_leader(message, self.leader_hint(now))
+        elif message.sender not in state.log.members:
+            self._leader.add_learner(now, message.sender)
--- a/heronstall/replication/state.py
+++ b/heronstall/replication/state.py
@@ -1,4 +1,4 @@
-"""What all parts of a replica share: identity, term, vote, log, role, and what its driver has to do."""
+"""State shared by all parts of a replica: identity, term, vote, log, role and pending output."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from heronstall.replication.protocol import MessageKind, RecordKind, Timing
 from heronstall.transport.messages import DiskRecord, GroupMessage, LogEntry, Snapshot
 
-NEVER = -1e9  # a time before any
+NEVER = -1e9  # earlier than any time
 
 
 class Role(Enum):
-    """What a replica is in its group."""
+    """The role of a replica in its group."""
 
     FOLLOWER = "follower"
     PRE_CANDIDATE = "pre-candidate"
@@ -24,7 +24,7 @@
 
 @dataclass
 class ReplicaOutput:
-    """What a driver has to do, in this order."""
+    """What the driver has to do, in the order of the fields."""
 
     messages_before_sync: list[GroupMessage] = field(default_factory=list)
     records: list[DiskRecord] = field(default_factory=list)
@@ -34,21 +34,27 @@
 
 
 class ReplicaState:
-    """The state of one replica, its records on disk and its messages. Times are seconds of its own clock."""
+    """The state of one replica, its records to write and its messages. Times are seconds of its own clock."""
 
     def __init__(
-        self, group: str, me: str, timing: Timing, rng: random.Random, now: float, image: PersistentState
+        self,
+        group: str,
+        identity: str,
+        timing: Timing,
+        rng: random.Random,
+        now: float,
+        persisted: PersistentState,
     ) -> None:
-        self.group, self.identity = group, me
+        self.group, self.identity = group, identity
         self.timing, self.rng = timing, rng
-        self.term, self.vote = image.term, image.vote
-        self.log = Log(image.snapshot, image.entries)
+        self.term, self.vote = persisted.term, persisted.vote
+        self.log = Log(persisted.snapshot, persisted.entries)
         self.commit_index = self.applied_index = self.log.base_index
-        self.durable_index = self.log.last_index  # last entry known to be on this disk
+        self.durable_index = self.log.last_index  # last entry known to be on the local disk
         self.role = Role.FOLLOWER
         self.leader_identity = ""
-        self.last_leader_contact_at = now  # of the leader; a restarted replica may have promised a lease
-        self.term_start_index = 0  # index of the first entry of the own leadership
+        self.last_leader_contact_at = now  # also set at the start: it may have promised a lease before
+        self.term_start_index = 0  # index of the first entry of its own leadership
         self.output = ReplicaOutput()
 
     @property
@@ -58,30 +64,30 @@
 
     @property
     def other_voters(self) -> list[str]:
-        """The members but this replica."""
+        """The voters except this replica."""
         return [voter for voter in self.log.members if voter != self.identity]
 
     def take_output(self) -> ReplicaOutput:
-        """What is to be done now; nothing of it comes twice."""
-        out, self.output = self.output, ReplicaOutput()
+        """Returns what the driver has to do now. Nothing is returned twice."""
+        output, self.output = self.output, ReplicaOutput()
         while self.applied_index < self.commit_index:
             self.applied_index += 1
-            out.entries_to_apply.append(self.log.entry(self.applied_index))
-        return out
+            output.entries_to_apply.append(self.log.entry(self.applied_index))
+        return output
 
-    # ------------------------------------------------------------------ on disk
+    # ------------------------------------------------------------------ records on disk
 
     def record_vote(self) -> None:
-        """Write term and vote."""
+        """Queues a record of the term and the vote."""
         record = DiskRecord(group=self.group, kind=RecordKind.VOTE, term=self.term, vote=self.vote)
         self.output.records.append(record)
 
     def record_entries(self, entries: list[LogEntry]) -> None:
-        """Write entries of the log."""
+        """Queues a record of log entries."""
         self.output.records.append(DiskRecord(group=self.group, kind=RecordKind.ENTRIES, entries=entries))
 
     def record_snapshot(self, snapshot: Snapshot) -> None:
-        """Write a snapshot in place of the log before it."""
+        """Queues a record of a snapshot that replaces the log before it."""
         record = DiskRecord(group=self.group, kind=RecordKind.SNAPSHOT, snapshot=snapshot)
         self.output.records.append(record)
 
@@ -99,13 +105,16 @@
         commit: int = 0,
         granted: bool = False,
         leaderless: bool = False,
-        round: int = 0,
-        asked: int = 0,
-        confirms: int = 0,
+        sent_at_us: int = 0,
+        clock_mark: int = 0,
+        confirmed_mark: int = 0,
         snapshot: Snapshot | None = None,
-        early: bool = False,
+        before_sync: bool = False,
     ) -> None:
-        """Send a message: `early` before what is recorded is on disk, otherwise after it."""
+        """Queues a message.
+
+        With `before_sync` it may be sent before the queued records are on disk, otherwise only after that.
+        """
         message = GroupMessage(
             group=self.group,
             sender=self.identity,
@@ -118,10 +127,10 @@
             commit=commit,
             granted=granted,
             leaderless=leaderless,
-            round=round,
-            asked=asked,
-            confirms=confirms,
+            round=sent_at_us,
+            asked=clock_mark,
+            confirms=confirmed_mark,
         )
         if snapshot is not None:
             message.snapshot = snapshot
-        (self.output.messages_before_sync if early else self.output.messages_after_sync).append(message)
+        (self.output.messages_before_sync if before_sync else self.output.messages_after_sync).append(message)
