--- a/heronstall/batch/__init__.py
+++ b/heronstall/batch/__init__.py
@@ -1,1 +1,1 @@
-"""Batch jobs: accepted once, kept, run to the end; free of I/O."""
+"""Batch jobs: accepted once, stored and run to completion. Performs no I/O."""
--- a/heronstall/batch/items.py
+++ b/heronstall/batch/items.py
@@ -1,7 +1,7 @@
-"""Batch items as they are kept and handed on: encoded once, by the dispatcher that took them in.
+"""Batch items in encoded form: encoded once, by the dispatcher that accepted them.
 
-An owner needs of an item no more than its id, its tokens and its size. Decoding thousands of items for each
-snapshot and each start would hold up its heartbeats for seconds.
+The owner of a shard needs only the id, the tokens and the size of an item. Decoding thousands of items for
+each snapshot and at each start would delay its heartbeats by seconds.
 """
 
 from __future__ import annotations
@@ -16,23 +16,23 @@
 
 
 class StoredItem(NamedTuple):
-    """An encoded item and its tokens."""
+    """An encoded item and its token count."""
 
     encoded: bytes
     tokens: int
 
     def decode(self) -> BatchItem:
-        """The item itself."""
+        """Returns the decoded item."""
         return BatchItem().parse(self.encoded)
 
 
 def set_items(job: BatchJob, items: Iterable[BatchItem]) -> BatchJob:
-    """Set a job's items; returns the job."""
+    """Sets a job's items and returns the job."""
     return set_stored_items(job, {item.id: StoredItem(bytes(item), item.tokens) for item in items})
 
 
 def set_stored_items(job: BatchJob, items: Mapping[str, StoredItem]) -> BatchJob:
-    """Set a job's items from encoded ones; returns the job."""
+    """Sets a job's items from their encoded form and returns the job."""
     job.items = [item.encoded for item in items.values()]
     job.item_ids = list(items)
     job.item_tokens = [item.tokens for item in items.values()]
@@ -40,7 +40,10 @@
 
 
 def encode_with_items(job: BatchJob, items: Mapping[str, StoredItem]) -> bytes:
-    """The bytes of a job that has no items, with these, without a step of the message library for each."""
+    """Returns the encoding of a job, which has no items of its own, with the given items.
+
+    The message library is not called for each item.
+    """
     parts = [bytes(set_stored_items(job, {}))]
     parts += [encode_length_delimited(ITEMS_FIELD, item.encoded) for item in items.values()]
     parts += [encode_length_delimited(ITEM_IDS_FIELD, name.encode()) for name in items]
@@ -49,12 +52,15 @@
 
 
 def stored_items(job: BatchJob) -> dict[str, StoredItem]:
-    """A job's items by id. A job of an earlier release carries no ids beside its items: they are decoded."""
+    """Returns a job's items by id.
+
+    A job written by an earlier release has no ids beside its items; its items are decoded to get them.
+    """
     if len(job.item_ids) == len(job.items):
         stored = map(StoredItem, job.items, job.item_tokens)
         return dict(zip(job.item_ids, stored, strict=True))
-    found: dict[str, StoredItem] = {}
+    items: dict[str, StoredItem] = {}
     for encoded in job.items:
         item = BatchItem().parse(encoded)
-        found[item.id] = StoredItem(encoded, item.tokens)
-    return found
+        items[item.id] = StoredItem(encoded, item.tokens)
+    return items
--- a/heronstall/batch/jobs.py
+++ b/heronstall/batch/jobs.py
@@ -1,4 +1,4 @@
-"""A batch shard's jobs, folded from its log: what was accepted, results in position, what was ended."""
+"""The jobs of a batch shard, built from its log: accepted jobs, positioned results and ended jobs."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
     JobState,
 )
 
-ITEM_OVERHEAD = 200  # bytes of memory that an item takes besides its encoded form
+ITEM_OVERHEAD = 200  # bytes of memory per item besides its encoded form
 JOBS_FIELD = 1  # of BatchState
 JOB_FIELD = 1  # of JobState
-RESULT_OVERHEAD = 300  # bytes of memory that a result takes besides its text
+RESULT_OVERHEAD = 300  # bytes of memory per result besides its text
 
 
 class Command(IntEnum):
-    """First byte of a command."""
+    """The first byte of a command."""
 
     ACCEPT = 1
     RESULTS = 2
@@ -35,27 +35,27 @@
 
 
 def encode_accept(job: BatchJob) -> bytes:
-    """The command that takes a job on."""
+    """Returns the command that accepts a job."""
     return bytes([Command.ACCEPT]) + bytes(job)
 
 
-def encode_results(found: list[ItemResult]) -> bytes:
-    """The command that lists results at the next positions of their jobs."""
-    return bytes([Command.RESULTS]) + bytes(ItemResults(found))
+def encode_results(item_results: list[ItemResult]) -> bytes:
+    """Returns the command that appends results to their jobs."""
+    return bytes([Command.RESULTS]) + bytes(ItemResults(item_results))
 
 
 def encode_end(job: str) -> bytes:
-    """The command that ends a job."""
+    """Returns the command that ends a job."""
     return bytes([Command.END]) + job.encode()
 
 
 def encode_forget(jobs: list[str]) -> bytes:
-    """The command that drops jobs of which nothing is owed any more."""
+    """Returns the command that removes jobs that are no longer retained."""
     return bytes([Command.FORGET]) + bytes(JobNames(jobs))
 
 
 def _encode_job_state(job: Job) -> bytes:
-    """The JobState of a job."""
+    """Returns the encoded JobState of a job."""
     record = encode_length_delimited(JOB_FIELD, encode_with_items(job.record, job.open_items))
     return record + bytes(JobState(results=job.results, ended=job.ended))
 
@@ -66,10 +66,10 @@
 
 @dataclass
 class Job:
-    """One batch job. The record's own lists of items are empty: `open_items` and `results` stand for them."""
+    """A batch job. The item lists of its record are empty; `open_items` and `results` replace them."""
 
     record: BatchJob
-    accepted_at: float  # steady time of this node, seconds
+    accepted_at: float  # seconds on this node's monotonic clock
     open_items: dict[str, StoredItem] = field(default_factory=dict)
     results: list[ItemResult] = field(default_factory=list)
     ended: bool = False
@@ -81,40 +81,40 @@
 
     @property
     def is_finished(self) -> bool:
-        """Whether nothing of it is left to do."""
+        """Whether no work is left."""
         return self.ended or not self.open_items
 
 
 class JobListener:
-    """Told of what changes; by default it does nothing."""
+    """Receives the changes of a shard. The default implementation ignores them."""
 
     def on_reset(self) -> None:
-        """All jobs may have changed."""
+        """Called when all jobs may have changed."""
 
     def on_job_accepted(self, job: Job) -> None:
-        """A job was taken on."""
+        """Called when a job was accepted."""
 
     def on_result_recorded(self, job: Job, item: str) -> None:
-        """An item has its result."""
+        """Called when an item has got its result."""
 
     def on_job_ended(self, job: Job) -> None:
-        """A job was ended."""
+        """Called when a job was ended."""
 
 
 class BatchShard:
-    """The view folded from the log of a batch shard."""
+    """The state machine of a batch shard."""
 
     def __init__(
-        self, steady: Callable[[], float] = time.monotonic, wall: Callable[[], float] = time.time
+        self, steady_clock: Callable[[], float] = time.monotonic, wall_clock: Callable[[], float] = time.time
     ) -> None:
         self.jobs: dict[str, Job] = {}
         self.waiting_tokens: Counter[str] = Counter()  # by route
-        self.memory_bytes = 0  # of bodies and texts, about
+        self.memory_bytes = 0  # approximate size of items and result texts
         self.listener = JobListener()
-        self._steady_clock, self._wall_clock = steady, wall
+        self._steady_clock, self._wall_clock = steady_clock, wall_clock
 
     def apply(self, index: int, data: bytes) -> bool:
-        """Take a command; whether it changed anything."""
+        """Applies a command and returns whether it changed anything."""
         kind, body = data[0], data[1:]
         if kind == Command.ACCEPT:
             return self._accept_job(BatchJob().parse(body))
@@ -126,25 +126,25 @@
             return self._end_job(body.decode())
         if kind == Command.FORGET:
             return self._forget_jobs(JobNames().parse(body).jobs)
-        return False  # a newer node's command
+        return False  # a command of a newer release
 
     def dump(self) -> bytes:
-        """The whole state."""
+        """Returns the encoded state."""
         return b"".join(
             encode_length_delimited(JOBS_FIELD, _encode_job_state(job)) for job in self.jobs.values()
         )
 
     def restore(self, state: bytes) -> None:
-        """Take a whole state."""
+        """Replaces the state by an encoded one."""
         self.jobs.clear()
         self.waiting_tokens.clear()
         self.memory_bytes = 0
-        for kept in BatchState().parse(state).jobs:
-            job = self._add_job(kept.job)
-            job.results, job.ended = list(kept.results), kept.ended
-            self.memory_bytes += sum(len(r.text) + RESULT_OVERHEAD for r in job.results)
+        for job_state in BatchState().parse(state).jobs:
+            job = self._add_job(job_state.job)
+            job.results, job.ended = list(job_state.results), job_state.ended
+            self.memory_bytes += sum(len(result.text) + RESULT_OVERHEAD for result in job.results)
             if not job.ended:
-                self.waiting_tokens[job.record.route] += sum(i.tokens for i in job.open_items.values())
+                self.waiting_tokens[job.record.route] += sum(item.tokens for item in job.open_items.values())
         self.listener.on_reset()
 
     def _add_job(self, record: BatchJob) -> Job:
@@ -169,7 +169,7 @@
             return
         item = job.open_items.pop(result.item, None)
         if item is None:
-            return  # a position never changes
+            return  # a result and its position never change
         job.results.append(result)
         self.memory_bytes += len(result.text) + RESULT_OVERHEAD - _item_memory(item)
         if not job.ended:
@@ -181,7 +181,7 @@
         if job is None or job.ended:
             return False
         job.ended = True
-        self.waiting_tokens[job.record.route] -= sum(i.tokens for i in job.open_items.values())
+        self.waiting_tokens[job.record.route] -= sum(item.tokens for item in job.open_items.values())
         self.listener.on_job_ended(job)
         return True
 
@@ -190,8 +190,8 @@
             job = self.jobs.pop(name, None)
             if job is None:
                 continue
-            self.memory_bytes -= sum(len(r.text) + RESULT_OVERHEAD for r in job.results)
+            self.memory_bytes -= sum(len(result.text) + RESULT_OVERHEAD for result in job.results)
             self.memory_bytes -= sum(map(_item_memory, job.open_items.values()))
             if not job.ended:
-                self.waiting_tokens[job.record.route] -= sum(i.tokens for i in job.open_items.values())
+                self.waiting_tokens[job.record.route] -= sum(item.tokens for item in job.open_items.values())
         return True
--- a/heronstall/batch/leases.py
+++ b/heronstall/batch/leases.py
@@ -1,4 +1,4 @@
-"""Which items of a shard wait and which are at a dispatcher, in the memory of the shard's owner."""
+"""The items of a shard that wait and those leased to dispatchers, in the memory of the shard's owner."""
 
 from __future__ import annotations
 
@@ -11,29 +11,25 @@
 
 from heronstall.batch.jobs import BatchShard, Job, JobListener
 
-INITIAL_RUN_ESTIMATE = 1.0  # seconds that an item is taken to need until that is learnt
-RUN_ESTIMATE_WEIGHT = 0.05  # weight of a new item in that
-CLAIM_WINDOW = (
-    0.7  # seconds in which dispatchers tell a new owner what they run, before it gives anything out
-)
-HOLDER_TIMEOUT = 2.5  # seconds without a call after which a dispatcher's items are given to others
-RETRY_DELAY = (
-    0.4  # seconds before an item at which a worker failed is given out again; doubled by each failure
-)
-MAX_RETRY_DELAY = 1.6
-
-LEASE_NUMBERS_PER_TERM = 2**32  # lease numbers of one owner; those of a later term are higher
-MAX_ITEMS_PER_CALL = 64  # items given out in one call
-MAX_REPLY_BYTES = 512 * 1024  # of items given out in one answer
-
-ItemKey = tuple[str, str]  # job, item
-Position = tuple[float, int]  # steady time, number of arrival
+INITIAL_RUN_ESTIMATE = 1.0  # seconds assumed for running an item before any has been measured
+RUN_ESTIMATE_WEIGHT = 0.05  # weight of a new measurement in the running average
+CLAIM_WINDOW = 0.7  # seconds for dispatchers to claim what they run before a new owner leases anything
+HOLDER_TIMEOUT = 2.5  # seconds without a call after which a dispatcher's items are requeued
+RETRY_DELAY = 0.4  # seconds before a failed item is leased again; doubled by each further failure
+MAX_RETRY_DELAY = 1.6  # seconds
+
+LEASE_NUMBERS_PER_TERM = 2**32  # lease numbers available to one owner; those of a later term are higher
+MAX_ITEMS_PER_CALL = 64  # items leased in one call
+MAX_REPLY_BYTES = 512 * 1024  # bytes of encoded items in one reply
+
+ItemKey = tuple[str, str]  # job id, item id
+Position = tuple[float, int]  # monotonic time, sequence number of the arrival
 Queue: TypeAlias = SortedDict[Position, ItemKey]
 
 
 @dataclass
 class Lease:
-    """An item at a dispatcher. `number` tells it from earlier leases of the same item."""
+    """An item leased to a dispatcher. The number distinguishes it from earlier leases of the same item."""
 
     holder: str
     leased_at: float
@@ -41,7 +37,7 @@
 
 
 class LeaseGrant(NamedTuple):
-    """An item that is leased now."""
+    """An item that has just been leased."""
 
     job: Job
     item: str
@@ -49,23 +45,24 @@
 
 
 class LeaseQueue(JobListener):
-    """The owner's queue, by deadline. Lost with the ownership: then all open items wait again."""
+    """The owner's queue of items, ordered by deadline.
+
+    It is lost when the ownership changes; all open items then wait again.
+    """
 
     def __init__(self, shard: BatchShard) -> None:
         self._shard = shard
         self._waiting: Queue = SortedDict()  # by deadline
-        self._overdue: Queue = SortedDict()  # by deadline; can't be in time any more
-        self._paused: Queue = SortedDict()  # by the end of the pause after a failure
-        self._run_estimate = INITIAL_RUN_ESTIMATE  # seconds that an item takes, learnt
+        self._overdue: Queue = SortedDict()  # by deadline; items that can no longer finish in time
+        self._paused: Queue = SortedDict()  # by the end of the retry delay
+        self._run_estimate = INITIAL_RUN_ESTIMATE  # moving average of the seconds that an item takes
         self._queue_positions: dict[ItemKey, tuple[Queue, Position]] = {}
         self._leases: dict[ItemKey, Lease] = {}
-        self._items_by_holder: defaultdict[str, set[ItemKey]] = defaultdict(set)  # by holder
+        self._items_by_holder: defaultdict[str, set[ItemKey]] = defaultdict(set)
         self._last_contact: dict[str, float] = {}
-        self._latest_calls: dict[str, int] = {}  # by holder: its latest call for items
+        self._latest_calls: dict[str, int] = {}  # by holder: number of its latest call for items
         self._last_lease_number = 0
-        self._latest_reported: dict[
-            ItemKey, int
-        ] = {}  # by open item: the latest lease that a report has ended
+        self._latest_reported: dict[ItemKey, int] = {}  # by open item: latest lease ended by a report
         self._failure_counts: Counter[ItemKey] = Counter()
         self._arrival_count = 0
         self.is_owner = False
@@ -73,19 +70,19 @@
 
     @property
     def waiting(self) -> int:
-        """Items that may be given out now."""
+        """Number of items that may be leased now."""
         return len(self._waiting) + len(self._overdue)
 
-    def set_ownership(self, now: float, leads: bool, term: int = 0) -> None:
-        """Begin or cease to own the shard."""
-        self.is_owner = leads
+    def set_ownership(self, now: float, is_owner: bool, term: int = 0) -> None:
+        """Starts or stops owning the shard."""
+        self.is_owner = is_owner
         self._last_lease_number = max(self._last_lease_number, term * LEASE_NUMBERS_PER_TERM)
         self._claim_window_end = now + CLAIM_WINDOW if self._shard.jobs else now
         self._latest_calls.clear()
         self.on_reset()
 
     def on_reset(self) -> None:
-        """All open items wait again."""
+        """Requeues all open items."""
         self._waiting.clear()
         self._overdue.clear()
         self._paused.clear()
@@ -100,101 +97,109 @@
                     self.on_job_accepted(job)
 
     def on_job_accepted(self, job: Job) -> None:
-        """A job's items wait."""
+        """Queues the items of a new job."""
         if self.is_owner:
             for item in job.open_items:
                 self._enqueue(job, item)
 
     def on_result_recorded(self, job: Job, item: str) -> None:
-        """An item needs no run any more."""
+        """Removes an item that has its result."""
         self._discard((job.record.id, item))
 
     def on_job_ended(self, job: Job) -> None:
-        """No item of a job needs a run any more."""
+        """Removes the open items of an ended job."""
         for item in job.open_items:
             self._discard((job.record.id, item))
 
     def record_contact(self, now: float, holder: str) -> None:
-        """A dispatcher has called."""
+        """Records a call of a dispatcher."""
         self._last_contact[holder] = now
 
     def begin_call(self, holder: str, call: int) -> bool:
-        """A dispatcher has sent its next call for items. False where a later one of it came before."""
+        """Registers a dispatcher's call for items. Returns False if a later call has already arrived."""
         if call < self._latest_calls.get(holder, 0):
             return False
         self._latest_calls[holder] = call
         return True
 
     def lease_items(
-        self, now: float, holder: str, want: int, most_bytes: int = MAX_REPLY_BYTES
+        self, now: float, holder: str, max_items: int, max_bytes: int = MAX_REPLY_BYTES
     ) -> list[LeaseGrant]:
-        """Lease items that wait, the earliest deadline first; those that can't be in time give way.
+        """Leases waiting items, the earliest deadline first; overdue ones come last.
 
-        No more items are given once, encoded, they have `most_bytes` together.
+        Stops once the encoded items together reach `max_bytes`.
         """
-        given: list[LeaseGrant] = []
+        grants: list[LeaseGrant] = []
         if now < self._claim_window_end:
-            return given
+            return grants
         self.resume_paused(now)
         while self._waiting and self._waiting.peekitem(0)[0][0] < now + self._run_estimate:
             position, key = self._waiting.popitem(0)
             self._insert(self._overdue, position, key)
         size = 0
-        while len(given) < want and size < most_bytes and (self._waiting or self._overdue):
+        while len(grants) < max_items and size < max_bytes and (self._waiting or self._overdue):
             _, key = (self._waiting or self._overdue).popitem(0)
             del self._queue_positions[key]
             job = self._shard.jobs.get(key[0])
             if job is not None and key[1] in job.open_items and not job.ended:
                 self._last_lease_number += 1
                 self._add_lease(key, Lease(holder, now, self._last_lease_number))
-                given.append(LeaseGrant(job, key[1], self._last_lease_number))
+                grants.append(LeaseGrant(job, key[1], self._last_lease_number))
                 size += len(job.open_items[key[1]].encoded)
-        return given
+        return grants
 
     def claim(self, now: float, holder: str, running: Mapping[ItemKey, int]) -> None:
-        """A dispatcher tells what it runs, by lease number, maybe leased by an owner before this one.
+        """Leases items to a dispatcher that reports running them, possibly under a lease of an earlier owner.
 
-        The call may have been sent before a report that came before it: a lease that this report ended,
-        or one before that, is not begun again.
+        The call may have been sent before a report that arrived first: a lease that the report has ended, or
+        an earlier one, is not started again.
         """
-        for key, number in running.items():
-            if key not in self._queue_positions or (number and number <= self._latest_reported.get(key, 0)):
+        for key, lease_number in running.items():
+            if key not in self._queue_positions or (
+                lease_number and lease_number <= self._latest_reported.get(key, 0)
+            ):
                 continue
             self._remove(key)
-            self._add_lease(key, Lease(holder, now, number))
+            self._add_lease(key, Lease(holder, now, lease_number))
+
+    def reclaim_lost_leases(self, holder: str, held: Set[ItemKey]) -> int:
+        """Requeues the items leased to a dispatcher that it does not hold, and returns their number.
 
-    def reclaim_lost_leases(self, holder: str, kept: Set[ItemKey]) -> int:
-        """All that a dispatcher holds is told: its other leases never reached it and wait again; how many."""
-        lost = [key for key in self._items_by_holder.get(holder, ()) if key not in kept]
+        `held` is everything that the dispatcher holds; the grants of its other leases never reached it.
+        """
+        lost = [key for key in self._items_by_holder.get(holder, ()) if key not in held]
         for key in lost:
             self._requeue(key)
         return len(lost)
 
     def record_run_time(self, now: float, key: ItemKey) -> None:
-        """A worker has done an item: learn how long that took."""
+        """Updates the run time estimate with an item that a worker has finished."""
         lease = self._leases.get(key)
         if lease is not None:
             self._run_estimate += RUN_ESTIMATE_WEIGHT * (now - lease.leased_at - self._run_estimate)
 
-    def return_item(self, holder: str, key: ItemKey, number: int = 0) -> bool:
-        """A dispatcher returns an item that it has not finished. False where that lease has ended before."""
-        self._is_first_report(key, number)
-        return self._end_reported_lease(holder, key, number)
+    def return_item(self, holder: str, key: ItemKey, lease_number: int = 0) -> bool:
+        """Requeues an item that a dispatcher has not finished.
+
+        Returns False if that lease had already ended.
+        """
+        self._record_report(key, lease_number)
+        return self._end_reported_lease(holder, key, lease_number)
 
-    def record_failure(self, now: float, holder: str, key: ItemKey, number: int = 0) -> int:
-        """A worker has failed at an item; how often that has happened. The item waits again, after a pause.
+    def record_failure(self, now: float, holder: str, key: ItemKey, lease_number: int = 0) -> int:
+        """Records that a worker failed at an item, and returns the number of failures.
 
-        A report that comes again counts nothing. Without the pause, all attempts of an item would fail within
-        the second in which all workers are in trouble.
+        The item waits again after a delay. Without the delay, all attempts of an item would fail within the
+        second in which all workers are in trouble. A repeated report is not counted again.
         """
-        if self._is_first_report(key, number):
+        if self._record_report(key, lease_number):
             self._failure_counts[key] += 1
-        if self._end_reported_lease(holder, key, number) and key in self._queue_positions:
+        if self._end_reported_lease(holder, key, lease_number) and key in self._queue_positions:
             self._pause_item(now, key)
         return self._failure_counts[key]
 
     def resume_paused(self, now: float) -> int:
-        """Items whose pause is over may be given out; how many there were."""
+        """Requeues the items whose retry delay is over, and returns their number."""
         resumed = 0
         while self._paused and self._paused.peekitem(0)[0][0] <= now:
             _, key = self._paused.popitem(0)
@@ -205,34 +210,36 @@
 
     def _pause_item(self, now: float, key: ItemKey) -> None:
         self._remove(key)
-        pause = min(MAX_RETRY_DELAY, RETRY_DELAY * 2.0 ** (self._failure_counts[key] - 1))
+        delay = min(MAX_RETRY_DELAY, RETRY_DELAY * 2.0 ** (self._failure_counts[key] - 1))
         self._arrival_count += 1
-        self._insert(self._paused, (now + pause, self._arrival_count), key)
+        self._insert(self._paused, (now + delay, self._arrival_count), key)
 
-    def _end_reported_lease(self, holder: str, key: ItemKey, number: int) -> bool:
-        """Take back the lease that a report ends. False where it has ended before."""
+    def _end_reported_lease(self, holder: str, key: ItemKey, lease_number: int) -> bool:
+        """Ends the lease that a report names. Returns False if it had already ended."""
         lease = self._leases.get(key)
-        if lease is None or lease.holder != holder or number not in (0, lease.lease_number):
+        if lease is None or lease.holder != holder or lease_number not in (0, lease.lease_number):
             return False
         self._requeue(key)
         return True
 
-    def _is_first_report(self, key: ItemKey, number: int) -> bool:
-        """Whether neither this lease nor a later one of the item was reported before."""
-        if not number:
+    def _record_report(self, key: ItemKey, lease_number: int) -> bool:
+        """Records a report and returns whether it is the first for its lease and all later ones of the item."""
+        if not lease_number:
             return True  # from a dispatcher that does not number its leases
-        if number <= self._latest_reported.get(key, 0):
+        if lease_number <= self._latest_reported.get(key, 0):
             return False
-        self._latest_reported[key] = number
+        self._latest_reported[key] = lease_number
         return True
 
     def expire_silent_holders(self, now: float) -> int:
-        """Take back the items of silent dispatchers; how many."""
-        silent = {h for h, at in self._last_contact.items() if now - at > HOLDER_TIMEOUT}
+        """Requeues the items of silent dispatchers, and returns their number."""
+        silent = {
+            holder for holder, contact_at in self._last_contact.items() if now - contact_at > HOLDER_TIMEOUT
+        }
         for holder in silent:
             del self._last_contact[holder]
             self._latest_calls.pop(holder, None)
-        lost = [k for k, lease in self._leases.items() if lease.holder not in self._last_contact]
+        lost = [key for key, lease in self._leases.items() if lease.holder not in self._last_contact]
         for key in lost:
             self._requeue(key)
         return len(lost)
--- a/heronstall/batch/outcomes.py
+++ b/heronstall/batch/outcomes.py
@@ -1,4 +1,4 @@
-"""What a dispatcher reports of an item."""
+"""The outcomes of a batch item that a dispatcher reports."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Outcome(IntEnum):
-    """Numbers as they stand in ItemReport."""
+    """Outcome numbers as used in ItemReport."""
 
     DONE = 1
     UNPROCESSABLE = 2
--- a/heronstall/distribution/__init__.py
+++ b/heronstall/distribution/__init__.py
@@ -1,1 +1,1 @@
-"""What is told to whom, by version vectors, free of I/O."""
+"""Distribution of the control state by version vectors. Performs no I/O."""
--- a/heronstall/distribution/shards.py
+++ b/heronstall/distribution/shards.py
@@ -1,4 +1,4 @@
-"""The shards of the state, by name."""
+"""Names of the shards of the control state."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 def worker_shard(service: str) -> str:
-    """The shard of the registry that holds a service's workers."""
+    """Returns the registry shard that holds a service's workers."""
     return WORKER_SHARDS[zlib.crc32(service.encode()) % len(WORKER_SHARDS)]
 
 
 def batch_shard(host: str) -> str:
-    """The shard that holds the batch jobs sent to a host."""
+    """Returns the shard that holds the batch jobs sent to a host."""
     return BATCH_SHARDS[zlib.crc32(host.lower().encode()) % len(BATCH_SHARDS)]
--- a/heronstall/distribution/view.py
+++ b/heronstall/distribution/view.py
@@ -1,4 +1,4 @@
-"""What a node has pulled of the control state, by version vector. No version ever goes back."""
+"""The control state that a node has pulled, by version vector. No version ever decreases."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class ControlStateView:
-    """Configuration, placements and workers as this node knows them."""
+    """The configuration, placements and workers known to this node."""
 
     def __init__(self) -> None:
         self.versions: dict[str, int] = {}
@@ -16,15 +16,15 @@
         self.workers: dict[str, dict[str, Worker]] = {}
         self.control_addresses: tuple[str, ...] = ()
         self.dispatcher_count = 1
-        self.dispatcher_rank = 0  # this dispatcher's place among the live ones, from 1; 0: not told
-        self.loads: dict[str, WorkerLoad] = {}  # what the other dispatchers have at each worker
+        self.dispatcher_rank = 0  # this dispatcher's position among the live ones, from 1; 0 if unknown
+        self.loads: dict[str, WorkerLoad] = {}  # load of the other dispatchers on each worker
 
     def version_vector(self) -> list[ShardVersion]:
-        """What this node holds, for its next pull."""
+        """Returns the versions that this node holds, for its next pull."""
         return [ShardVersion(shard, version) for shard, version in self.versions.items()]
 
     def apply(self, reply: SyncReply) -> set[str]:
-        """Take an answer; the names of what has changed."""
+        """Applies the reply to a pull and returns the names of the parts that changed."""
         changed: set[str] = set()
         if reply.config_version > self.versions.get("config", 0) and reply.document:
             self.versions["config"] = reply.config_version
@@ -32,7 +32,7 @@
             changed.add("config")
         if reply.placement_version > self.versions.get("placement", 0):
             self.versions["placement"] = reply.placement_version
-            self.placements = {p.shard: p for p in reply.placements}
+            self.placements = {placement.shard: placement for placement in reply.placements}
             changed.add("placement")
         for delta in reply.workers:
             if delta.version > self.versions.get(delta.shard, 0):
@@ -46,11 +46,11 @@
         return changed
 
     def all_workers(self) -> dict[str, Worker]:
-        """Workers by identity, over all shards."""
+        """Returns the workers of all shards by identity."""
         return {name: worker for shard in self.workers.values() for name, worker in shard.items()}
 
     def replicas_of(self, shard: str) -> tuple[str, ...]:
-        """The replicas of a batch shard."""
+        """Returns the replicas of a batch shard."""
         placement = self.placements.get(shard)
         return tuple(placement.replicas) if placement else ()
 
--- a/heronstall/ownership/__init__.py
+++ b/heronstall/ownership/__init__.py
@@ -1,1 +1,1 @@
-"""Which node holds which role, by key, free of I/O."""
+"""Assignment of roles to nodes, by key. Performs no I/O."""
--- a/heronstall/ownership/placement.py
+++ b/heronstall/ownership/placement.py
@@ -1,4 +1,4 @@
-"""Where the replicas of batch shards are wanted: spread over live storage nodes and their zones."""
+"""Placement of the replicas of batch shards: spread over live storage nodes and their zones."""
 
 from __future__ import annotations
 
@@ -9,64 +9,77 @@
 
 @dataclass(frozen=True)
 class PlacementCandidate:
-    """A storage node as placement sees it."""
+    """A storage node that may hold replicas."""
 
     replica: str
     zone: str
     live: bool
-    active: bool  # not to be emptied
+    active: bool  # False if the node is to be emptied
 
     @property
     def is_usable(self) -> bool:
-        """Whether it may be given replicas."""
+        """Whether the node may be given replicas."""
         return self.live and self.active
 
 
 def initial_placements(
-    shards: Sequence[str], nodes: Sequence[PlacementCandidate], copies: int
+    shards: Sequence[str], nodes: Sequence[PlacementCandidate], replica_count: int
 ) -> dict[str, tuple[str, ...]]:
-    """Replicas for new shards."""
-    load: Counter[str] = Counter()
+    """Returns the placements of new shards."""
+    replicas_per_node: Counter[str] = Counter()
     placed: dict[str, tuple[str, ...]] = {}
     for shard in shards:
         chosen: list[PlacementCandidate] = []
-        for _ in range(copies):
-            best = _best_candidate(nodes, chosen, load)
+        for _ in range(replica_count):
+            best = _best_candidate(nodes, chosen, replicas_per_node)
             if best is None:
                 break
             chosen.append(best)
-            load[best.replica] += 1
-        placed[shard] = tuple(c.replica for c in chosen)
+            replicas_per_node[best.replica] += 1
+        placed[shard] = tuple(node.replica for node in chosen)
     return placed
 
 
 def repaired_placements(
-    placements: Mapping[str, tuple[str, ...]], nodes: Sequence[PlacementCandidate], copies: int
+    placements: Mapping[str, tuple[str, ...]], nodes: Sequence[PlacementCandidate], replica_count: int
 ) -> dict[str, tuple[str, ...]]:
-    """The placements that change: one replica a shard that is dead or to be emptied gives way to another."""
-    by_replica = {n.replica: n for n in nodes}
-    load = Counter(r for replicas in placements.values() for r in replicas)
+    """Returns the placements that change.
+
+    In each shard, one replica on a node that is dead or to be emptied is replaced.
+    """
+    by_replica = {node.replica: node for node in nodes}
+    replicas_per_node = Counter(replica for replicas in placements.values() for replica in replicas)
     changed: dict[str, tuple[str, ...]] = {}
     for shard, replicas in placements.items():
-        kept = [by_replica[r] for r in replicas if r in by_replica and by_replica[r].is_usable]
-        if len(kept) == len(replicas) >= copies:
+        usable = [
+            by_replica[replica]
+            for replica in replicas
+            if replica in by_replica and by_replica[replica].is_usable
+        ]
+        if len(usable) == len(replicas) >= replica_count:
             continue
-        best = _best_candidate(nodes, kept, load)
+        best = _best_candidate(nodes, usable, replicas_per_node)
         if best is None:
             continue
-        load[best.replica] += 1
-        given_up = [r for r in replicas if r not in by_replica or not by_replica[r].is_usable]
-        rest = [r for r in replicas if r not in given_up[:1]]
+        replicas_per_node[best.replica] += 1
+        unusable = [
+            replica for replica in replicas if replica not in by_replica or not by_replica[replica].is_usable
+        ]
+        remaining = [replica for replica in replicas if replica not in unusable[:1]]
         changed[shard] = (
-            tuple([*rest, best.replica]) if len(replicas) >= copies else (*replicas, best.replica)
+            tuple([*remaining, best.replica]) if len(replicas) >= replica_count else (*replicas, best.replica)
         )
     return changed
 
 
 def _best_candidate(
-    nodes: Sequence[PlacementCandidate], chosen: Sequence[PlacementCandidate], load: Counter[str]
+    nodes: Sequence[PlacementCandidate], chosen: Sequence[PlacementCandidate], replicas_per_node: Counter[str]
 ) -> PlacementCandidate | None:
-    taken = {c.replica for c in chosen}
-    zones = Counter(c.zone for c in chosen)
-    able = [n for n in nodes if n.is_usable and n.replica not in taken]
-    return min(able, key=lambda n: (zones[n.zone], load[n.replica], n.replica), default=None)
+    taken = {node.replica for node in chosen}
+    chosen_per_zone = Counter(node.zone for node in chosen)
+    candidates = [node for node in nodes if node.is_usable and node.replica not in taken]
+    return min(
+        candidates,
+        key=lambda node: (chosen_per_zone[node.zone], replicas_per_node[node.replica], node.replica),
+        default=None,
+    )
--- a/heronstall/sessions/__init__.py
+++ b/heronstall/sessions/__init__.py
@@ -1,1 +1,1 @@
-"""Membership by sessions of nodes with control nodes, free of I/O."""
+"""Sessions of nodes with control nodes, which define the live membership. Performs no I/O."""
--- a/heronstall/sessions/loads.py
+++ b/heronstall/sessions/loads.py
@@ -1,4 +1,4 @@
-"""What dispatchers have at workers, as it is told with every pull: packed, as workers are hundreds."""
+"""Packed encoding of the load that a dispatcher puts on each of hundreds of workers, sent with every pull."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from heronstall.transport.messages import Loads
 
 SEPARATOR = "\0"
-MAX_COUNT = 0xFFFF  # that one count holds
-COUNTS_PER_WORKER = 3  # of a worker
+MAX_COUNT = 0xFFFF  # largest value of a 16-bit count
+COUNTS_PER_WORKER = 3  # fields of WorkerLoad besides the worker's id
 
 
 class WorkerLoad(NamedTuple):
     """Requests and batch items at a worker.
 
-    `failing`: dispatchers that lately did not reach it, or whose connections it broke.
+    `failing` counts the dispatchers that recently could not reach it or had a connection broken by it.
     """
 
     worker: str
@@ -26,16 +26,17 @@
 
 
 def pack_loads(loads: Iterable[WorkerLoad]) -> Loads:
-    """The message of some loads. A worker whose id holds the separator is left out."""
-    told = [load for load in loads if SEPARATOR not in load.worker]
-    counts = [min(count, MAX_COUNT) for load in told for count in load[1:]]
+    """Encodes loads as a message. Workers whose id contains the separator are omitted."""
+    encodable = [load for load in loads if SEPARATOR not in load.worker]
+    counts = [min(count, MAX_COUNT) for load in encodable for count in load[1:]]
     return Loads(
-        workers=SEPARATOR.join(load.worker for load in told), counts=struct.pack(f"<{len(counts)}H", *counts)
+        workers=SEPARATOR.join(load.worker for load in encodable),
+        counts=struct.pack(f"<{len(counts)}H", *counts),
     )
 
 
 def unpack_loads(message: Loads) -> Iterator[WorkerLoad]:
-    """The loads of a message; none where it is malformed."""
+    """Decodes the loads of a message; yields nothing if it is malformed."""
     workers = message.workers.split(SEPARATOR) if message.workers else []
     size = struct.calcsize(f"<{COUNTS_PER_WORKER * len(workers)}H")
     if len(message.counts) != size:
--- a/heronstall/storage/__init__.py
+++ b/heronstall/storage/__init__.py
@@ -1,1 +1,1 @@
-"""The tier's disks: two slots written in turn, with a short log between (docs/storage-format.md)."""
+"""Storage on disk: two slots written alternately and a short log between (docs/storage-format.md)."""
