--- a/heronstall/batch/leases.py
+++ b/heronstall/batch/leases.py
@@ -223,7 +223,7 @@
         return True
 
     def _record_report(self, key: ItemKey, lease_number: int) -> bool:
-        """Records a report and returns whether it is the first for its lease and all later ones of the item."""
+        """Records a report. Returns whether neither its lease nor a later one was reported before."""
         if not lease_number:
             return True  # from a dispatcher that does not number its leases
         if lease_number <= self._latest_reported.get(key, 0):
--- a/tests/tier/lease_model.py
+++ b/tests/tier/lease_model.py
@@ -1,7 +1,8 @@
-"""All orders of what an owner of batch items and one dispatcher say to each other.
+"""Enumerates all orders of the messages between the owner of batch items and one dispatcher.
 
-The program's own code handles each message: `Store` and `Leases` at the owner, `BatchRunner` for the calls of
-the dispatcher. A message may come late, twice, or never; either side may cease to wait; the owner may change.
+The code of the product handles each message: `Store` and `LeaseQueue` at the owner, `BatchRunner` for the
+dispatcher's calls. A message may arrive late, twice or never; either side may stop waiting; the owner may
+change.
 """
 
 from __future__ import annotations
@@ -25,16 +26,16 @@
 
 SHARD, JOB, EDGE = "batch-0", "job", "edge"
 MAX_ATTEMPTS = 2
-DELIVERIES = 2  # times that one message may come
-WANT = 1  # items asked for in one call
-FAIR_ROUNDS = 6  # in which everything must be done once nothing is lost any more
+DELIVERIES = 2  # times that one message may be delivered
+WANT = 1  # items requested per call
+LOSSLESS_ROUNDS = 6  # rounds without message loss within which everything must be done
 
 
 Sent = TypeVar("Sent")
 
 
-class Broken(AssertionError):
-    """A state breaks a promise; the message has the steps that lead to it."""
+class InvariantViolation(AssertionError):
+    """A state violates a guarantee; the message contains the steps that lead to it."""
 
 
 class Call(NamedTuple):
@@ -45,21 +46,21 @@
 
 
 class Answer(NamedTuple):
-    """The owner's answer to a call: items and the numbers of their leases."""
+    """The owner's answer to a call: items and their lease numbers."""
 
     number: int
     leases: tuple[tuple[str, int], ...]
 
 
 class Report(NamedTuple):
-    """What a dispatcher reports: item, outcome, lease."""
+    """A dispatcher's report: item, outcome and lease number."""
 
     number: int
     entries: tuple[tuple[str, Outcome, int], ...]
 
 
 class Ack(NamedTuple):
-    """The owner has taken a report."""
+    """The owner's acknowledgement of a report."""
 
     number: int
 
@@ -69,18 +70,18 @@
 
 @dataclass(frozen=True)
 class Edge:
-    """The dispatcher."""
+    """The state of the dispatcher."""
 
-    calls: int = 0
-    waits_for: int = 0  # number of the call under way; 0 is none
+    call_count: int = 0
+    pending_call: int = 0  # number of the pending call; 0 if none
     running: tuple[tuple[str, int], ...] = ()
-    unsent: tuple[tuple[str, Outcome, int], ...] = ()
-    reports: int = 0
-    sent: tuple[tuple[str, Outcome, int], ...] = ()
+    unsent_reports: tuple[tuple[str, Outcome, int], ...] = ()
+    report_count: int = 0
+    unacknowledged: tuple[tuple[str, Outcome, int], ...] = ()
 
 
 class Owner:
-    """The shard's leader."""
+    """The leader of the shard."""
 
     def __init__(self, items: int, leases: type[LeaseQueue]) -> None:
         self.now = 1000.0
@@ -91,37 +92,38 @@
         self.state.apply(1, batch.encode_accept(record))
         self.applied = 1
         self.term = 1
-        self.heard_failures: frozenset[tuple[str, int]] = frozenset()  # items and leases, in this term
+        # items and lease numbers reported in this term
+        self.reported_failures: frozenset[tuple[str, int]] = frozenset()
         self.leases = leases(self.state)
         self.state.listener = self.leases
-        self.lead()
+        self.take_ownership()
 
-    def lead(self) -> None:
-        """Own the shard from now on, and let the dispatchers' time to claim pass."""
-        self.heard_failures = frozenset()
+    def take_ownership(self) -> None:
+        """Takes ownership of the shard and lets the claim window pass."""
+        self.reported_failures = frozenset()
         self.leases.set_ownership(self.now, True, self.term)
         self.now += CLAIM_WINDOW + 0.1
 
     @property
     def shard(self) -> OwnedShard:
-        """As the storage node's code sees it."""
+        """The shard as the storage node's code sees it."""
         return cast(OwnedShard, SimpleNamespace(leases=self.leases, state=self.state, wake=lambda: None))
 
-    def call(self, body: bytes) -> tuple[tuple[str, int], ...]:
-        """Answer a call for items: as `Store._lease` does, without its waiting."""
+    def handle_call(self, body: bytes) -> tuple[tuple[str, int], ...]:
+        """Answers a call for items like `Store._lease`, but without waiting."""
         request = LeaseRequest().parse(body)
         if not Store._begin_call(self.shard, request):
             return ()
-        self.now += MAX_RETRY_DELAY  # every pause after a failure is over: its item may be given again
+        self.now += MAX_RETRY_DELAY  # all retry delays are over
         self.leases.record_contact(self.now, EDGE)
         self.leases.claim(self.now, EDGE, {(h.job, h.item): h.lease for h in request.held})
         return tuple(
             (item, number) for _, item, number in self.leases.lease_items(self.now, EDGE, request.want)
         )
 
-    def report(self, entries: tuple[tuple[str, Outcome, int], ...]) -> None:
-        """Take a report and list what it ends."""
-        self.heard_failures |= {
+    def handle_report(self, entries: tuple[tuple[str, Outcome, int], ...]) -> None:
+        """Handles a report and records the results that follow from it."""
+        self.reported_failures |= {
             (item, lease) for item, outcome, lease in entries if outcome == Outcome.FAILED
         }
         reports = [ItemReport(JOB, item, outcome, b"", lease) for item, outcome, lease in entries]
@@ -130,8 +132,8 @@
             self.applied += 1
             self.state.apply(self.applied, batch.encode_results(found))
 
-    def key(self) -> tuple[Any, ...]:
-        """What tells two states apart."""
+    def state_key(self) -> tuple[Any, ...]:
+        """Returns a key that distinguishes states."""
         queue = self.leases
         return (
             self.term,
@@ -145,224 +147,240 @@
 
 
 @dataclass
-class World:
-    """One state."""
+class ModelState:
+    """A state of the model."""
 
     owner: Owner
     edge: Edge = field(default_factory=Edge)
-    messages: tuple[tuple[Message, int], ...] = ()  # with the deliveries left
-    failed: tuple[str, ...] = ()  # items by real answers of 500
-    terms: int = 0  # changes of owner
+    in_flight: tuple[tuple[Message, int], ...] = ()  # with the remaining deliveries
+    failed_items: tuple[str, ...] = ()  # one entry per response of status 500
+    owner_changes: int = 0
     trace: tuple[str, ...] = ()
 
-    def step(self, name: str, **changes: Any) -> World:
-        """The state after a step; the owner is shared unless it is given."""
+    def step(self, name: str, **changes: Any) -> ModelState:
+        """Returns the state after a step; the owner is shared unless it is given."""
         return replace(self, trace=(*self.trace, name), **changes)
 
-    def saying(self, message: Message) -> tuple[tuple[Message, int], ...]:
-        """All messages and this one."""
-        return (*self.messages, (message, DELIVERIES))
+    def messages_with(self, message: Message) -> tuple[tuple[Message, int], ...]:
+        """Returns the messages in flight and another one."""
+        return (*self.in_flight, (message, DELIVERIES))
 
-    def key(self) -> tuple[Any, ...]:
-        """What tells two states apart."""
-        return (self.owner.key(), self.edge, self.messages, self.failed, self.terms)
+    def state_key(self) -> tuple[Any, ...]:
+        """Returns a key that distinguishes states."""
+        return (self.owner.state_key(), self.edge, self.in_flight, self.failed_items, self.owner_changes)
 
 
 @dataclass(frozen=True)
 class Bounds:
-    """How far the states go."""
+    """Limits of the enumeration."""
 
-    calls: int = 3
-    reports: int = 3
-    failures: int = 2
-    terms: int = 1
+    max_calls: int = 3
+    max_reports: int = 3
+    max_failures: int = 2
+    max_owner_changes: int = 1
 
 
 def lease_request(edge: Edge) -> bytes:
-    """The dispatcher's next call, made by its own code."""
+    """Returns the dispatcher's next call, encoded by its own code."""
     runner = BatchRunner(EDGE, mock.Mock(), mock.Mock(), mock.Mock(), mock.Mock())
-    runner.holder, runner._calls = EDGE, edge.calls
+    runner.holder, runner._calls = EDGE, edge.call_count
     for item, lease in edge.running:
         leased = LeasedItem(job=JOB, lease=lease)
         runner._running[JOB, item] = Running(leased, BatchItem(id=item), SHARD)
-    runner._reports[SHARD] = [ItemReport(JOB, i, o, b"", n) for i, o, n in edge.unsent]
-    runner._sent_reports[SHARD] = [ItemReport(JOB, i, o, b"", n) for i, o, n in edge.sent]
+    runner._reports[SHARD] = [ItemReport(JOB, i, o, b"", n) for i, o, n in edge.unsent_reports]
+    runner._sent_reports[SHARD] = [ItemReport(JOB, i, o, b"", n) for i, o, n in edge.unacknowledged]
     return bytes(runner._lease_request(SHARD, WANT))
 
 
-def call(world: World) -> World:
+def call(model: ModelState) -> ModelState:
     """The dispatcher asks for items."""
-    edge = world.edge
-    number = edge.calls + 1
-    said = world.saying(Call(number, lease_request(edge)))
-    return world.step(f"call {number}", edge=replace(edge, calls=number, waits_for=number), messages=said)
+    edge = model.edge
+    number = edge.call_count + 1
+    in_flight = model.messages_with(Call(number, lease_request(edge)))
+    return model.step(
+        f"call {number}", edge=replace(edge, call_count=number, pending_call=number), in_flight=in_flight
+    )
 
 
-def send_report(world: World) -> World:
-    """The dispatcher reports what it has not reported."""
-    edge = world.edge
-    number = edge.reports + 1
-    said = world.saying(Report(number, edge.unsent))
-    sent = replace(edge, reports=number, sent=edge.unsent, unsent=())
-    return world.step(f"report {number} {edge.unsent}", edge=sent, messages=said)
+def send_report(model: ModelState) -> ModelState:
+    """The dispatcher reports what it has not reported yet."""
+    edge = model.edge
+    number = edge.report_count + 1
+    in_flight = model.messages_with(Report(number, edge.unsent_reports))
+    sent = replace(edge, report_count=number, unacknowledged=edge.unsent_reports, unsent_reports=())
+    return model.step(f"report {number} {edge.unsent_reports}", edge=sent, in_flight=in_flight)
 
 
-def report_unanswered(world: World) -> World:
-    """The dispatcher ceases to wait for an acknowledgement; the report is sent again later."""
-    edge = world.edge
-    return world.step("no ack", edge=replace(edge, unsent=(*edge.sent, *edge.unsent), sent=()))
+def report_unanswered(model: ModelState) -> ModelState:
+    """The dispatcher stops waiting for an acknowledgement and will resend the report."""
+    edge = model.edge
+    return model.step(
+        "no ack",
+        edge=replace(edge, unsent_reports=(*edge.unacknowledged, *edge.unsent_reports), unacknowledged=()),
+    )
 
 
-def call_unanswered(world: World) -> World:
-    """The dispatcher ceases to wait for items."""
-    return world.step("no answer", edge=replace(world.edge, waits_for=0))
+def call_unanswered(model: ModelState) -> ModelState:
+    """The dispatcher stops waiting for items."""
+    return model.step("no answer", edge=replace(model.edge, pending_call=0))
 
 
-def run_ends(world: World, at: int, outcome: Outcome) -> World:
+def finish_run(model: ModelState, position: int, outcome: Outcome) -> ModelState:
     """A worker has answered."""
-    edge = world.edge
-    item, lease = edge.running[at]
-    left = (*edge.running[:at], *edge.running[at + 1 :])
-    ended = replace(edge, running=left, unsent=(*edge.unsent, (item, outcome, lease)))
-    failed = (*world.failed, item) if outcome == Outcome.FAILED else world.failed
-    return world.step(f"{item} {outcome.name}", edge=ended, failed=failed)
-
-
-def one_delivery(
-    messages: tuple[tuple[Sent, int], ...], at: int
+    edge = model.edge
+    item, lease = edge.running[position]
+    still_running = (*edge.running[:position], *edge.running[position + 1 :])
+    ended = replace(
+        edge, running=still_running, unsent_reports=(*edge.unsent_reports, (item, outcome, lease))
+    )
+    failed = (*model.failed_items, item) if outcome == Outcome.FAILED else model.failed_items
+    return model.step(f"{item} {outcome.name}", edge=ended, failed_items=failed)
+
+
+def take_delivery(
+    messages: tuple[tuple[Sent, int], ...], position: int
 ) -> tuple[Sent, tuple[tuple[Sent, int], ...]]:
-    """The message at a place, and the messages with one delivery of it less."""
-    message, left = messages[at]
-    kept = ((message, left - 1),) if left > 1 else ()
-    return message, (*messages[:at], *kept, *messages[at + 1 :])
+    """Returns the message at a position, and the messages with one delivery of it less."""
+    message, remaining = messages[position]
+    undelivered = ((message, remaining - 1),) if remaining > 1 else ()
+    return message, (*messages[:position], *undelivered, *messages[position + 1 :])
 
 
-def deliver(world: World, at: int) -> World:
-    """A message arrives."""
-    message, rest = one_delivery(world.messages, at)
-    after = replace(world, messages=rest)
+def deliver(model: ModelState, position: int) -> ModelState:
+    """Delivers a message."""
+    message, rest = take_delivery(model.in_flight, position)
+    after = replace(model, in_flight=rest)
     name = f"arrives: {type(message).__name__} {message.number}"
     if isinstance(message, Call):
-        owner = copy.deepcopy(world.owner)
-        answer = Answer(message.number, owner.call(message.request))
-        return after.step(f"{name} -> {answer.leases}", owner=owner, messages=after.saying(answer))
+        owner = copy.deepcopy(model.owner)
+        answer = Answer(message.number, owner.handle_call(message.request))
+        return after.step(f"{name} -> {answer.leases}", owner=owner, in_flight=after.messages_with(answer))
     if isinstance(message, Report):
-        owner = copy.deepcopy(world.owner)
-        owner.report(message.entries)
-        return after.step(name, owner=owner, messages=after.saying(Ack(message.number)))
+        owner = copy.deepcopy(model.owner)
+        owner.handle_report(message.entries)
+        return after.step(name, owner=owner, in_flight=after.messages_with(Ack(message.number)))
     if isinstance(message, Answer):
-        return after.step(name, edge=_take(world.edge, message))
-    acked = message.number == world.edge.reports
-    return after.step(name, edge=replace(world.edge, sent=()) if acked else world.edge)
+        return after.step(name, edge=_accept_answer(model.edge, message))
+    is_latest = message.number == model.edge.report_count
+    return after.step(name, edge=replace(model.edge, unacknowledged=()) if is_latest else model.edge)
 
 
-def _take(edge: Edge, answer: Answer) -> Edge:
-    if answer.number != edge.waits_for:
+def _accept_answer(edge: Edge, answer: Answer) -> Edge:
+    if answer.number != edge.pending_call:
         return edge
     running = dict(edge.running)
     running.update(answer.leases)
-    return replace(edge, waits_for=0, running=tuple(running.items()))
+    return replace(edge, pending_call=0, running=tuple(running.items()))
 
 
-def change_owner(world: World) -> World:
-    """Another replica leads: it knows the jobs and nothing of the leases."""
-    owner = copy.deepcopy(world.owner)
+def change_owner(model: ModelState) -> ModelState:
+    """Another replica becomes leader: it knows the jobs and none of the leases."""
+    owner = copy.deepcopy(model.owner)
     owner.term += 1
-    owner.lead()
-    return world.step(f"term {owner.term}", owner=owner, terms=world.terms + 1)
-
-
-def steps(world: World, bounds: Bounds) -> Iterator[Callable[[], World]]:
-    """All that may happen next."""
-    edge = world.edge
-    if not edge.waits_for and edge.calls < bounds.calls:
-        yield lambda: call(world)
-    if edge.waits_for:
-        yield lambda: call_unanswered(world)
-    if edge.unsent and not edge.sent and edge.reports < bounds.reports:
-        yield lambda: send_report(world)
-    if edge.sent:
-        yield lambda: report_unanswered(world)
-    for at in range(len(edge.running)):
-        yield lambda at=at: run_ends(world, at, Outcome.DONE)  # type: ignore[misc]
-        if len(world.failed) < bounds.failures:
-            yield lambda at=at: run_ends(world, at, Outcome.FAILED)  # type: ignore[misc]
-    for at in range(len(world.messages)):
-        yield lambda at=at: deliver(world, at)  # type: ignore[misc]
-    if world.terms < bounds.terms:
-        yield lambda: change_owner(world)
-
-
-def check_counts(world: World) -> None:
-    """Each failure that the owner was told counts, none twice; no item is dead without enough of them."""
-    failures = world.owner.leases._failure_counts
-    for item in world.owner.state.jobs[JOB].open_items:
-        heard = sum(failed == item for failed, _ in world.owner.heard_failures)
-        if failures[JOB, item] != heard:
-            raise Broken(f"{failures[JOB, item]} of {heard} failures of {item} counted: {world.trace}")
+    owner.take_ownership()
+    return model.step(f"term {owner.term}", owner=owner, owner_changes=model.owner_changes + 1)
+
+
+def steps(model: ModelState, bounds: Bounds) -> Iterator[Callable[[], ModelState]]:
+    """Yields all possible next steps."""
+    edge = model.edge
+    if not edge.pending_call and edge.call_count < bounds.max_calls:
+        yield lambda: call(model)
+    if edge.pending_call:
+        yield lambda: call_unanswered(model)
+    if edge.unsent_reports and not edge.unacknowledged and edge.report_count < bounds.max_reports:
+        yield lambda: send_report(model)
+    if edge.unacknowledged:
+        yield lambda: report_unanswered(model)
+    for position in range(len(edge.running)):
+        yield lambda position=position: finish_run(model, position, Outcome.DONE)  # type: ignore[misc]
+        if len(model.failed_items) < bounds.max_failures:
+            yield lambda position=position: finish_run(model, position, Outcome.FAILED)  # type: ignore[misc]
+    for position in range(len(model.in_flight)):
+        yield lambda position=position: deliver(model, position)  # type: ignore[misc]
+    if model.owner_changes < bounds.max_owner_changes:
+        yield lambda: change_owner(model)
+
+
+def check_failure_counts(model: ModelState) -> None:
+    """Checks that each reported failure counts once.
+
+    No item may be given up without enough failures.
+    """
+    failures = model.owner.leases._failure_counts
+    for item in model.owner.state.jobs[JOB].open_items:
+        reported = sum(failed == item for failed, _ in model.owner.reported_failures)
+        if failures[JOB, item] != reported:
+            raise InvariantViolation(
+                f"{failures[JOB, item]} of {reported} failures of {item} counted: {model.trace}"
+            )
     for (_, item), count in failures.items():
-        if count > world.failed.count(item):
-            raise Broken(f"{count} failures of {item} counted: {world.trace}")
-    for result in world.owner.state.jobs[JOB].results:
-        if not result.succeeded and world.failed.count(result.item) < MAX_ATTEMPTS:
-            raise Broken(f"{result.item} is dead too early: {world.trace}")
-
-
-def check_end(world: World) -> None:
-    """From here on nothing is lost: all items are listed after some rounds."""
-    world = replace(world, messages=(), trace=(*world.trace, "calm"))
-    world = replace(world, edge=replace(world.edge, waits_for=0))
-    for _ in range(FAIR_ROUNDS):
-        if not world.owner.state.jobs[JOB].open_items:
+        if count > model.failed_items.count(item):
+            raise InvariantViolation(f"{count} failures of {item} counted: {model.trace}")
+    for result in model.owner.state.jobs[JOB].results:
+        if not result.succeeded and model.failed_items.count(result.item) < MAX_ATTEMPTS:
+            raise InvariantViolation(f"{result.item} is given up too early: {model.trace}")
+
+
+def check_completion(model: ModelState) -> None:
+    """Checks that all items are finished after some rounds without message loss."""
+    model = replace(model, in_flight=(), trace=(*model.trace, "no more losses"))
+    model = replace(model, edge=replace(model.edge, pending_call=0))
+    for _ in range(LOSSLESS_ROUNDS):
+        if not model.owner.state.jobs[JOB].open_items:
             return
-        world = _round(world)
-    if world.owner.state.jobs[JOB].open_items:
-        raise Broken(f"never run: {sorted(world.owner.state.jobs[JOB].open_items)}: {world.trace}")
-
-
-def _round(world: World) -> World:
-    world = deliver(call(world), 0)
-    world = deliver(replace(world, messages=world.messages[-1:]), 0)
-    while world.edge.running:
-        world = run_ends(world, 0, Outcome.DONE)
-    if world.edge.sent:
-        world = report_unanswered(world)
-    world = replace(world, messages=())
-    if not world.edge.unsent:
-        return world
-    world = deliver(send_report(world), 0)
-    world = deliver(replace(world, messages=world.messages[-1:]), 0)
-    return replace(world, messages=())
-
-
-def explore(items: int, bounds: Bounds, most: int, leases: type[LeaseQueue] = LeaseQueue) -> int:
-    """Check all states breadth first, `most` at the most; how many."""
-    first = World(Owner(items, leases))
-    seen = {first.key()}
-    queue = [first]
-    for world in queue:
-        check_counts(world)
-        check_end(world)
-        for follow in steps(world, bounds):
-            if len(seen) >= most:
+        model = _lossless_round(model)
+    if model.owner.state.jobs[JOB].open_items:
+        raise InvariantViolation(
+            f"never finished: {sorted(model.owner.state.jobs[JOB].open_items)}: {model.trace}"
+        )
+
+
+def _lossless_round(model: ModelState) -> ModelState:
+    model = deliver(call(model), 0)
+    model = deliver(replace(model, in_flight=model.in_flight[-1:]), 0)
+    while model.edge.running:
+        model = finish_run(model, 0, Outcome.DONE)
+    if model.edge.unacknowledged:
+        model = report_unanswered(model)
+    model = replace(model, in_flight=())
+    if not model.edge.unsent_reports:
+        return model
+    model = deliver(send_report(model), 0)
+    model = deliver(replace(model, in_flight=model.in_flight[-1:]), 0)
+    return replace(model, in_flight=())
+
+
+def explore(items: int, bounds: Bounds, max_states: int, leases: type[LeaseQueue] = LeaseQueue) -> int:
+    """Checks up to `max_states` states breadth first and returns their number."""
+    first = ModelState(Owner(items, leases))
+    seen = {first.state_key()}
+    frontier = [first]
+    for model in frontier:
+        check_failure_counts(model)
+        check_completion(model)
+        for successor in steps(model, bounds):
+            if len(seen) >= max_states:
                 break
-            after = follow()
-            key = after.key()
+            after = successor()
+            key = after.state_key()
             if key not in seen:
                 seen.add(key)
-                queue.append(after)
+                frontier.append(after)
     return len(seen)
 
 
-def walk(items: int, bounds: Bounds, seed: int, length: int, leases: type[LeaseQueue] = LeaseQueue) -> World:
-    """Check the states of one random walk; the last."""
+def walk(
+    items: int, bounds: Bounds, seed: int, length: int, leases: type[LeaseQueue] = LeaseQueue
+) -> ModelState:
+    """Checks the states of a random walk and returns the last one."""
     rng = random.Random(seed)
-    world = World(Owner(items, leases))
+    model = ModelState(Owner(items, leases))
     for _ in range(length):
-        following = list(steps(world, bounds))
-        if not following:
+        successors = list(steps(model, bounds))
+        if not successors:
             break
-        world = rng.choice(following)()
-        check_counts(world)
-    check_end(world)
-    return world
+        model = rng.choice(successors)()
+        check_failure_counts(model)
+    check_completion(model)
+    return model
--- a/tests/tier/power_loss.py
+++ b/tests/tier/power_loss.py
@@ -1,4 +1,4 @@
-"""What a loss of power leaves of a simulated node's files: what was synced, and any part of the rest."""
+"""The files that a power loss leaves of a simulated node: everything synced and any part of the rest."""
 
 from __future__ import annotations
 
@@ -9,50 +9,55 @@
 
 
 class Crashed(BaseException):
-    """A node has lost power within a call to the system: nothing of what it was doing goes on."""
+    """A node has lost power within a system call; nothing that it was doing continues."""
 
 
 class SyncedFiles:
-    """Remembers what each file held at its last sync. `sync` stands for `os.fsync` and `os.fdatasync`."""
+    """Records what each file contained at its last sync. `sync` replaces `os.fsync` and `os.fdatasync`."""
 
     def __init__(self, rng: random.Random) -> None:
         self._random = rng
         self._synced: dict[Path, bytes] = {}
-        self._doomed: dict[Path, Callable[[], None]] = {}
-        self.torn = 0  # files that lost or kept only a part of what was not synced
+        self._pending_crashes: dict[Path, Callable[[], None]] = {}
+        self.torn_files = 0  # files of which unsynced content was lost or partly kept
 
-    def doom(self, folder: Path, strike: Callable[[], None]) -> None:
-        """Have a node's next sync be its last moment: `strike` ends it before anything is on the disk."""
-        self._doomed[folder] = strike
+    def crash_at_next_sync(self, folder: Path, crash: Callable[[], None]) -> None:
+        """Calls `crash` at a node's next sync, before anything reaches the disk."""
+        self._pending_crashes[folder] = crash
 
-    def spare(self, folder: Path) -> bool:
-        """Take that back; whether it had not happened yet."""
-        return self._doomed.pop(folder, None) is not None
+    def cancel_crash(self, folder: Path) -> bool:
+        """Cancels a scheduled crash. Returns whether it had not happened yet."""
+        return self._pending_crashes.pop(folder, None) is not None
 
     def sync(self, descriptor: int) -> None:
-        """Note what a file holds; a folder's names last with the files that they name. Raises Crashed."""
+        """Records the content of a file. Raises Crashed if a crash is scheduled.
+
+        A folder's entries are taken to be as durable as the files that they name.
+        """
         path = Path(os.readlink(f"/proc/self/fd/{descriptor}"))
-        strike = self._doomed.pop(path.parent if path.is_file() else path, None)
-        if strike is not None:
-            strike()
+        crash = self._pending_crashes.pop(path.parent if path.is_file() else path, None)
+        if crash is not None:
+            crash()
             raise Crashed
         if path.is_file():
             self._synced[path] = path.read_bytes()
 
     def lose_power(self, folder: Path) -> None:
-        """Leave of each file what was synced, and of the rest all, nothing, or a part."""
+        """Keeps what was synced of each file and all, none or a part of the rest."""
         for path in sorted(folder.iterdir()) if folder.is_dir() else ():
-            held, safe = path.read_bytes(), self._synced.get(path)
-            if held == safe:
+            written, synced = path.read_bytes(), self._synced.get(path)
+            if written == synced:
                 continue
-            self.torn += 1
-            if safe is None:
-                self._leave(path, held, b"")
-            elif held.startswith(safe):
-                self._leave(path, held, safe)
-            else:  # written anew in its place: one image, the other, or a mixture that no checksum covers
-                kept = self._random.choice((safe, held, held[: len(held) // 2] + safe[len(held) // 2 :]))
-                path.write_bytes(kept)
-
-    def _leave(self, path: Path, held: bytes, safe: bytes) -> None:
-        path.write_bytes(held[: self._random.randint(len(safe), len(held))])
+            self.torn_files += 1
+            if synced is None:
+                self._truncate_randomly(path, written, b"")
+            elif written.startswith(synced):
+                self._truncate_randomly(path, written, synced)
+            else:  # overwritten in place: the old image, the new one, or a mixture that fails its checksum
+                surviving = self._random.choice(
+                    (synced, written, written[: len(written) // 2] + synced[len(written) // 2 :])
+                )
+                path.write_bytes(surviving)
+
+    def _truncate_randomly(self, path: Path, written: bytes, synced: bytes) -> None:
+        path.write_bytes(written[: self._random.randint(len(synced), len(written))])
--- a/tests/tier/store_simulation.py
+++ b/tests/tier/store_simulation.py
@@ -188,12 +188,12 @@
             self.kill_store(ip, power=True)
             struck.set()
 
-        self.files.doom(self.root / ip, strike)
+        self.files.crash_at_next_sync(self.root / ip, strike)
         try:
             async with asyncio.timeout(WRITES_WITHIN):
                 await struck.wait()
         except TimeoutError:
-            if self.files.spare(self.root / ip):
+            if self.files.cancel_crash(self.root / ip):
                 self.kill_store(ip, power=True)
         await asyncio.sleep(down)
         await self.boot_store(ip)
--- a/tests/tier/store_walks.py
+++ b/tests/tier/store_walks.py
@@ -167,7 +167,7 @@
     except* Violated as group:
         raise group.exceptions[0] from None
     _check(tier)
-    return Day(len(tier.told.accepted), len(tier.told.refused), faults.count, tier.files.torn)
+    return Day(len(tier.told.accepted), len(tier.told.refused), faults.count, tier.files.torn_files)
 
 
 async def _watch(tier: SimulatedTier, until: float) -> None:
--- a/tests/tier/test_batch.py
+++ b/tests/tier/test_batch.py
@@ -1,4 +1,4 @@
-"""Batch jobs: accepted once, results in fixed positions, the queue of the owner."""
+"""Batch jobs: accepted once, results in fixed positions, and the owner's queue."""
 
 from __future__ import annotations
 
@@ -29,17 +29,17 @@
 
 
 class Items(unittest.TestCase):
-    def test_items_come_back_as_they_were(self) -> None:
-        given = [
+    def test_items_survive_encoding(self) -> None:
+        original = [
             BatchItem("a", "/p?q", [Header("n", "v"), Header("m", "")], b"\0\xff", 7),
             BatchItem("\u00e9", "/", [], b"", 0),
         ]
-        record = BatchJob().parse(bytes(set_items(BatchJob(id="j"), given)))
-        found = stored_items(record)
-        self.assertEqual([item.decode() for item in found.values()], given)
-        self.assertEqual([(name, item.tokens) for name, item in found.items()], [("a", 7), ("\u00e9", 0)])
+        record = BatchJob().parse(bytes(set_items(BatchJob(id="j"), original)))
+        decoded = stored_items(record)
+        self.assertEqual([item.decode() for item in decoded.values()], original)
+        self.assertEqual([(name, item.tokens) for name, item in decoded.items()], [("a", 7), ("\u00e9", 0)])
 
-    def test_encoded_with_its_items_a_job_is_as_the_message_library_has_it(self) -> None:
+    def test_a_job_encoded_with_its_items_equals_the_message_librarys_encoding(self) -> None:
         whole = job("j", 5)
         bare = BatchJob().parse(bytes(whole))
         items = stored_items(whole)
@@ -47,7 +47,7 @@
         self.assertEqual(BatchJob().parse(encode_with_items(bare, items)), whole)
         self.assertEqual(BatchJob().parse(encode_with_items(bare, {})), bare)
 
-    def test_a_job_of_an_earlier_release_is_read_too(self) -> None:
+    def test_a_job_of_an_earlier_release_is_decoded(self) -> None:
         record = set_items(BatchJob(id="j"), [BatchItem("a", "/p", [], b"b", 7)])
         record.item_ids, record.item_tokens = [], []
         found = stored_items(BatchJob().parse(bytes(record)))
@@ -78,7 +78,7 @@
 
 
 class Jobs(ShardCase):
-    def test_a_job_is_taken_once(self) -> None:
+    def test_a_job_is_accepted_once(self) -> None:
         self.assertTrue(self.apply(batch.encode_accept(job("a"))))
         self.assertFalse(self.apply(batch.encode_accept(job("a"))))
         self.assertEqual(self.shard.waiting_tokens["r"], 300)
@@ -93,7 +93,7 @@
         )
         self.assertEqual(self.shard.jobs["a"].total, 3)
 
-    def test_tokens_are_released_by_results_and_by_the_end_once(self) -> None:
+    def test_tokens_are_released_once_by_results_and_the_end(self) -> None:
         self.apply(batch.encode_accept(job("a")))
         self.finish("a", "a-0")
         self.assertEqual(self.shard.waiting_tokens["r"], 200)
@@ -103,7 +103,7 @@
         self.finish("a", "a-1")
         self.assertEqual(self.shard.waiting_tokens["r"], 0)
 
-    def test_a_result_of_another_job_or_an_unknown_item_changes_nothing(self) -> None:
+    def test_results_of_unknown_jobs_and_items_are_ignored(self) -> None:
         self.apply(batch.encode_accept(job("a")))
         self.finish("b", "a-0")
         self.finish("a", "b-0")
@@ -122,7 +122,7 @@
         self.assertEqual(other.waiting_tokens["r"], self.shard.waiting_tokens["r"])
         self.assertEqual(other.dump(), self.shard.dump())
 
-    def test_the_size_counted_returns_to_nothing(self) -> None:
+    def test_forgetting_a_finished_job_leaves_nothing(self) -> None:
         self.apply(batch.encode_accept(job("a")))
         for k in range(3):
             self.finish("a", f"a-{k}", b"text")
@@ -138,11 +138,11 @@
         self.shard.listener = self.leases
         self.leases.set_ownership(self.clock.now, True)
 
-    def take(self, holder: str, want: int) -> list[str]:
+    def take(self, holder: str, count: int) -> list[str]:
         self.leases.record_contact(self.clock.now, holder)
-        return [item for _, item, _ in self.leases.lease_items(self.clock.now, holder, want)]
+        return [item for _, item, _ in self.leases.lease_items(self.clock.now, holder, count)]
 
-    def test_the_earliest_deadline_goes_first(self) -> None:
+    def test_the_earliest_deadline_is_leased_first(self) -> None:
         self.apply(batch.encode_accept(job("a", 1)))
         self.clock.now += 1
         early = job("b", 1)
@@ -150,7 +150,7 @@
         self.apply(batch.encode_accept(early))
         self.assertEqual(self.take("edge", 5), ["b-0", "a-0"])
 
-    def test_what_cannot_be_in_time_gives_way(self) -> None:
+    def test_overdue_items_are_leased_last(self) -> None:
         self.apply(batch.encode_accept(job("late", 1)))
         self.clock.now += COMPLETION_MS / 1000
         new = job("new", 1)
@@ -159,7 +159,7 @@
         self.assertEqual(self.take("edge", 1), ["new-0"])
         self.assertEqual(self.take("edge", 1), ["late-0"])
 
-    def test_items_of_a_silent_dispatcher_wait_again(self) -> None:
+    def test_items_of_a_silent_dispatcher_are_requeued(self) -> None:
         self.apply(batch.encode_accept(job("a", 2)))
         self.assertEqual(len(self.take("edge", 2)), 2)
         self.assertEqual(self.take("other", 2), [])
@@ -168,27 +168,27 @@
         self.assertEqual(self.leases.expire_silent_holders(self.clock.now), 2)
         self.assertEqual(len(self.take("other", 2)), 2)
 
-    def test_a_listed_item_is_not_given_out_again(self) -> None:
+    def test_a_finished_item_is_not_leased_again(self) -> None:
         self.apply(batch.encode_accept(job("a", 1)))
         self.take("edge", 1)
         self.finish("a", "a-0")
         self.leases.return_item("edge", ("a", "a-0"))
         self.assertEqual(self.take("edge", 1), [])
 
-    def test_only_the_holder_gives_back(self) -> None:
+    def test_only_the_holder_can_return_an_item(self) -> None:
         self.apply(batch.encode_accept(job("a", 1)))
         self.take("edge", 1)
         self.leases.return_item("other", ("a", "a-0"))
         self.assertEqual(self.take("other", 1), [])
 
-    def test_an_ended_job_is_not_given_out(self) -> None:
+    def test_items_of_an_ended_job_are_not_leased(self) -> None:
         self.apply(batch.encode_accept(job("a", 2)))
         self.take("edge", 1)
         self.apply(batch.encode_end("a"))
         self.leases.return_item("edge", ("a", "a-0"))
         self.assertEqual(self.take("edge", 2), [])
 
-    def test_a_new_owner_gives_out_all_open_items(self) -> None:
+    def test_a_new_owner_leases_all_open_items(self) -> None:
         self.apply(batch.encode_accept(job("a", 2)))
         self.take("edge", 2)
         self.finish("a", "a-0")
@@ -199,7 +199,7 @@
         self.clock.now += CLAIM_WINDOW
         self.assertEqual(self.take("edge", 2), ["a-1"])
 
-    def test_a_new_owner_leaves_items_with_the_dispatchers_that_run_them(self) -> None:
+    def test_a_new_owner_accepts_claims_of_running_items(self) -> None:
         self.apply(batch.encode_accept(job("a", 3)))
         self.take("edge", 2)
         self.leases.set_ownership(self.clock.now, False)
@@ -211,13 +211,13 @@
         self.leases.return_item("edge", ("a", "a-0"))
         self.assertEqual(self.take("other", 3), ["a-0"])
 
-    def test_failures_are_counted_an_item(self) -> None:
+    def test_failures_are_counted_per_item(self) -> None:
         self.apply(batch.encode_accept(job("a", 1)))
         for count in (1, 2, 3):
             self.take("edge", 1)
             self.assertEqual(self.leases.record_failure(self.clock.now, "edge", ("a", "a-0")), count)
 
-    def test_an_item_rests_after_a_failure_and_longer_after_each_further_one(self) -> None:
+    def test_the_retry_delay_grows_with_each_failure(self) -> None:
         self.apply(batch.encode_accept(job("a", 1)))
         self.assertEqual(self.take("edge", 1), ["a-0"])
         for pause in (RETRY_DELAY, 2 * RETRY_DELAY, 4 * RETRY_DELAY, MAX_RETRY_DELAY, MAX_RETRY_DELAY):
@@ -228,7 +228,7 @@
             self.clock.now += 0.02
             self.assertEqual(self.take("edge", 1), ["a-0"])
 
-    def test_an_item_that_rests_is_given_back_listed_and_claimed_like_one_that_waits(self) -> None:
+    def test_a_paused_item_can_be_finished_claimed_and_ended(self) -> None:
         self.apply(batch.encode_accept(job("a", 3)))
         self.assertEqual(len(self.take("edge", 3)), 3)
         for item in ("a-0", "a-1", "a-2"):
@@ -243,7 +243,7 @@
         self.assertEqual(self.leases.resume_paused(self.clock.now), 0)
         self.assertEqual(self.take("edge", 3), [])
 
-    def test_a_new_owner_knows_of_no_pause(self) -> None:
+    def test_a_new_owner_has_no_retry_delays(self) -> None:
         self.apply(batch.encode_accept(job("a", 1)))
         self.take("edge", 1)
         self.leases.record_failure(self.clock.now, "edge", ("a", "a-0"))
@@ -252,7 +252,7 @@
         self.assertEqual(self.take("edge", 1), ["a-0"])
         self.assertEqual(self.leases.resume_paused(self.clock.now + MAX_RETRY_DELAY), 0)
 
-    def test_a_failure_that_is_reported_twice_counts_once(self) -> None:
+    def test_a_failure_reported_twice_counts_once(self) -> None:
         self.apply(batch.encode_accept(job("a", 1)))
         (_, _, first) = self.leases.lease_items(self.clock.now, "edge", 1)[0]
         self.assertEqual(self.leases.record_failure(self.clock.now, "edge", ("a", "a-0"), first), 1)
@@ -271,42 +271,42 @@
         self.assertEqual(self.take("other", 1), [])
         self.assertTrue(self.leases.return_item("edge", ("a", "a-0"), second))
 
-    def test_leases_of_an_answer_that_was_lost_wait_again(self) -> None:
+    def test_leases_of_a_lost_reply_are_requeued(self) -> None:
         self.apply(batch.encode_accept(job("a", 3)))
         self.assertTrue(self.leases.begin_call("edge", 1))
         self.assertEqual(self.take("edge", 1), ["a-0"])
         self.assertTrue(self.leases.begin_call("edge", 2))
-        self.assertEqual(self.take("edge", 1), ["a-1"])  # lost on its way
+        self.assertEqual(self.take("edge", 1), ["a-1"])  # the reply is lost
         self.assertTrue(self.leases.begin_call("edge", 3))
         self.assertEqual(self.leases.reclaim_lost_leases("edge", {("a", "a-0")}), 1)
         self.assertEqual(sorted(self.take("other", 3)), ["a-1", "a-2"])
         self.assertEqual(self.leases.reclaim_lost_leases("edge", {("a", "a-0")}), 0)
 
-    def test_a_call_that_comes_late_takes_nothing_back(self) -> None:
+    def test_a_late_call_is_rejected(self) -> None:
         self.assertTrue(self.leases.begin_call("edge", 2))
         self.assertFalse(self.leases.begin_call("edge", 1))
-        self.assertTrue(self.leases.begin_call("edge", 2))  # the same, sent to another replica first
+        self.assertTrue(self.leases.begin_call("edge", 2))  # the same call, first sent to another replica
         self.assertFalse(self.leases.begin_call("edge", 1))
         self.assertTrue(self.leases.begin_call("other", 1))
 
-    def test_a_call_that_was_sent_before_a_report_does_not_begin_its_lease_again(self) -> None:
+    def test_a_call_sent_before_a_report_does_not_restart_its_lease(self) -> None:
         key = ("a", "a-0")
         self.apply(batch.encode_accept(job("a", 1)))
         (_, _, former) = self.leases.lease_items(self.clock.now, "edge", 1)[0]
         self.leases.set_ownership(self.clock.now, True, 1)
         self.clock.now += CLAIM_WINDOW
-        for number in (former, None):  # of an owner before this one, and of this one
-            number = number or self.leases.lease_items(self.clock.now, "edge", 1)[0].lease_number
-            self.leases.claim(self.clock.now, "edge", {key: number})
-            failures = self.leases.record_failure(self.clock.now, "edge", key, number)
-            self.leases.claim(self.clock.now, "edge", {key: number})
+        for lease_number in (former, None):  # of a former owner, then of this one
+            lease_number = lease_number or self.leases.lease_items(self.clock.now, "edge", 1)[0].lease_number
+            self.leases.claim(self.clock.now, "edge", {key: lease_number})
+            failures = self.leases.record_failure(self.clock.now, "edge", key, lease_number)
+            self.leases.claim(self.clock.now, "edge", {key: lease_number})
             self.clock.now += MAX_RETRY_DELAY
             self.assertEqual(self.leases.resume_paused(self.clock.now), 1)
             self.assertEqual(self.leases.waiting, 1)
-            self.assertEqual(self.leases.record_failure(self.clock.now, "edge", key, number), failures)
+            self.assertEqual(self.leases.record_failure(self.clock.now, "edge", key, lease_number), failures)
         self.assertEqual(failures, 2)
 
-    def test_a_failure_of_a_lease_that_has_expired_counts(self) -> None:
+    def test_a_failure_of_an_expired_lease_counts(self) -> None:
         self.apply(batch.encode_accept(job("a", 1)))
         self.leases.record_contact(self.clock.now, "edge")
         (_, _, first) = self.leases.lease_items(self.clock.now, "edge", 1)[0]
@@ -315,14 +315,14 @@
         self.assertEqual(self.leases.record_failure(self.clock.now, "edge", ("a", "a-0"), first), 1)
         self.assertEqual(self.leases.waiting, 1)
 
-    def test_an_answer_holds_no_more_than_so_many_bytes_and_one_item(self) -> None:
+    def test_a_reply_exceeds_its_byte_limit_by_at_most_one_item(self) -> None:
         self.apply(batch.encode_accept(job("a", 4)))
         size = len(self.shard.jobs["a"].open_items["a-0"].encoded)
         self.assertGreater(size, 0)
         self.assertEqual(len(self.leases.lease_items(self.clock.now, "edge", 4, size + 1)), 2)
         self.assertEqual(len(self.leases.lease_items(self.clock.now, "edge", 4, 1)), 1)
 
-    def test_lease_numbers_rise_with_the_term_of_the_owner(self) -> None:
+    def test_lease_numbers_increase_with_the_owners_term(self) -> None:
         self.apply(batch.encode_accept(job("a", 2)))
         self.leases.set_ownership(self.clock.now, True, 3)
         self.clock.now += CLAIM_WINDOW
--- a/tests/tier/test_known_configuration.py
+++ b/tests/tier/test_known_configuration.py
@@ -1,4 +1,4 @@
-"""What a dispatcher answers by the age of the configuration that it knows."""
+"""What a dispatcher answers depending on the age of the configuration that it knows."""
 
 from __future__ import annotations
 
@@ -26,32 +26,32 @@
         self.ingress = Ingress(forwarder, mock.Mock(), deferred, random.Random(1), lambda: self.age, LIMITS)
         self.ingress.routes = routes()
 
-    async def status(self, path: str, age: float, more: dict[str, str] | None = None) -> int:
+    async def status(self, path: str, age: float, extra_headers: dict[str, str] | None = None) -> int:
         self.age = age
-        headers = {"Host": "h.example", **(more or {})}
+        headers = {"Host": "h.example", **(extra_headers or {})}
         request = mock.Mock(raw_path=path, headers=headers, raw_headers=(), method="POST")
         request.read = mock.AsyncMock(return_value=b"")
         return (await self.ingress.handle(request)).status
 
-    async def test_a_route_that_is_not_known_may_be_new_once_news_is_old(self) -> None:
+    async def test_an_unknown_route_gets_503_once_the_configuration_is_stale(self) -> None:
         self.assertEqual(await self.status("/none/", 1.1), 404)
         self.assertEqual(await self.status("/none/", 1.3), 503)
         self.assertEqual(await self.status("/none/", 6.3), 503)
 
-    async def test_known_routes_are_served_until_a_lost_core_must_be_back(self) -> None:
+    async def test_known_routes_are_served_until_a_lost_core_must_have_recovered(self) -> None:
         self.assertEqual(await self.status("/a/x", 1.3), 200)
         self.assertEqual(await self.status("/a/x", 6.1), 200)
         self.assertEqual(await self.status("/a/x", 6.3), 503)
         self.assertFalse(self.ingress.may_serve)
 
-    async def test_before_the_first_configuration_nothing_is_refused_for_good(self) -> None:
+    async def test_requests_before_the_first_configuration_get_503(self) -> None:
         self.ingress.routes = Routes()
         began = time.monotonic()
         self.assertEqual(await self.status("/a/x", 0.0), 503)
         self.assertLess(time.monotonic() - began, START_HOLD + 0.3)
         self.assertFalse(self.ingress.may_serve)
 
-    async def test_a_request_that_comes_just_before_the_first_configuration_waits_for_it(self) -> None:
+    async def test_a_request_just_before_the_first_configuration_waits_for_it(self) -> None:
         self.ingress.routes = Routes()
         answer = asyncio.create_task(self.status("/a/x", 0.0))
         await asyncio.sleep(0.05)
@@ -59,7 +59,7 @@
         self.ingress.routes = routes()
         self.assertEqual(await answer, 200)
 
-    async def test_half_of_a_short_deadline_bounds_that_wait(self) -> None:
+    async def test_the_wait_ends_at_half_of_a_short_deadline(self) -> None:
         self.ingress.routes = Routes()
         began = time.monotonic()
         self.assertEqual(await self.status("/a/x", 0.0, {"Heronstall-Deadline-Ms": "100"}), 503)
--- a/tests/tier/test_store_simulation.py
+++ b/tests/tier/test_store_simulation.py
@@ -113,15 +113,15 @@
             left.add(path.read_bytes())
         self.assertTrue(all(found.startswith(b"safe") for found in left), left)
         self.assertLessEqual({b"safe", b"saferest"}, left)
-        self.assertEqual(self.files.torn, 40)
+        self.assertEqual(self.files.torn_files, 40)
 
     def test_a_node_may_end_within_its_next_sync(self) -> None:
         struck: list[bool] = []
-        self.files.doom(self.folder, lambda: struck.append(True))
+        self.files.crash_at_next_sync(self.folder, lambda: struck.append(True))
         with (self.folder / "log").open("wb") as file, self.assertRaises(Crashed):
             self.files.sync(file.fileno())
         self.assertEqual(struck, [True])
-        self.assertFalse(self.files.spare(self.folder))
+        self.assertFalse(self.files.cancel_crash(self.folder))
 
 
 class Situations(unittest.TestCase):
--- a/tests/tier/virtual_loop.py
+++ b/tests/tier/virtual_loop.py
@@ -1,4 +1,4 @@
-"""An asyncio loop whose clock jumps to the next timer: no test waits for real seconds."""
+"""An asyncio event loop whose clock jumps to the next timer, so that tests do not wait in real time."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 from unittest import mock
 
 T = TypeVar("T")
-START = 1_000.0  # seconds on the clock at the start
+START = 1_000.0  # seconds on the virtual clock at the start
 
 
 class Stuck(AssertionError):
-    """Nothing is scheduled, and the test is not over."""
+    """Nothing is scheduled, but the test has not finished."""
 
 
 class _Selector(selectors.SelectSelector):
-    """Passes time instead of waiting for sockets."""
+    """Advances the clock instead of waiting for sockets."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -31,26 +31,26 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """A loop in virtual time."""
+    """An event loop in virtual time."""
 
     def __init__(self) -> None:
-        self._virtual = _Selector()
-        super().__init__(self._virtual)
+        self._selector_clock = _Selector()
+        super().__init__(self._selector_clock)
 
     def time(self) -> float:
-        return self._virtual.now
+        return self._selector_clock.now
 
 
 def run_virtually(main: Coroutine[Any, Any, T]) -> T:
-    """Run a coroutine to its end in virtual time, which `time.monotonic` tells too."""
+    """Runs a coroutine to completion in virtual time, which `time.monotonic` returns too."""
     loop = VirtualLoop()
     with mock.patch("time.monotonic", loop.time):
         try:
             return loop.run_until_complete(main)
         finally:
-            left = asyncio.all_tasks(loop)
-            for task in left:
+            remaining = asyncio.all_tasks(loop)
+            for task in remaining:
                 task.cancel()
-            if left:
-                loop.run_until_complete(asyncio.gather(*left, return_exceptions=True))
+            if remaining:
+                loop.run_until_complete(asyncio.gather(*remaining, return_exceptions=True))
             loop.close()
