--- a/tests/tier/test_storage.py
+++ b/tests/tier/test_storage.py
@@ -62,7 +62,7 @@
         journal = self.create()
         journal.write_slot([b"me", b"image"])
         for slot in self.folder.glob("slot-*"):
-            slot.write_bytes(b"garbage")
+            slot.write_bytes(b"rubbish")
         found = Journal(self.folder).recover()
         self.assertIsNone(found.parts)
         self.assertTrue(found.damaged)
