--- a/tests/tier/test_shard_client.py
+++ b/tests/tier/test_shard_client.py
@@ -22,7 +22,7 @@
         self.link = mock.Mock()
         self.timeouts: list[float] = []
         view = mock.Mock()
-        view.placement_of.return_value = ["store/127.0.0.1:1"]
+        view.replicas_of.return_value = ["store/127.0.0.1:1"]
         links = mock.Mock()
         links.to.return_value = self.link
         self.client = ShardClient(links, view)
--- a/tests/tier/test_store_simulation.py
+++ b/tests/tier/test_store_simulation.py
@@ -66,7 +66,10 @@
         lambda: mock.patch.object(Store, "_decided", staticmethod(decided_at_once)), 2
     ),
     "an owner answers before it has applied its log": Planted(
-        lambda: mock.patch.object(ReadLeases, "established", property(lambda leases: leases._state.leads)), 1
+        lambda: mock.patch.object(
+            ReadLeases, "established", property(lambda leases: leases._state.is_leader)
+        ),
+        1,
     ),
     "a machine counts as emptied at once": Planted(
         lambda: mock.patch.object(Core, "_emptied", lambda core, replica: True), 3
