--- a/tests/tier/test_lease_messages.py
+++ b/tests/tier/test_lease_messages.py
@@ -63,9 +63,9 @@
         self.check_walks(SEVERAL_OWNERS)
 
     def test_injected_faults_are_detected(self) -> None:
-        for planted in (NeverReclaimsLeases, IgnoresExpiredLeases, CountsRepeatedReports):
-            with self.subTest(planted.__name__), self.assertRaises(InvariantViolation):
-                self.search(planted)
+        for faulty_queue in (NeverReclaimsLeases, IgnoresExpiredLeases, CountsRepeatedReports):
+            with self.subTest(faulty_queue.__name__), self.assertRaises(InvariantViolation):
+                self.search(faulty_queue)
 
 
 if __name__ == "__main__":
