--- a/heronstall/dataplane/batch_runner.py
+++ b/heronstall/dataplane/batch_runner.py
@@ -15,8 +15,8 @@
 from heronstall.batch.leases import MAX_ITEMS_PER_CALL
 from heronstall.batch.outcomes import Outcome
 from heronstall.dataplane.admission import Admission
-from heronstall.dataplane.attempts import ITEM_SILENT, Attempt
-from heronstall.dataplane.deferred import DeferredLane
+from heronstall.dataplane.attempts import ITEM_SILENCE_S, Attempt
+from heronstall.dataplane.deferred import DeferredQueue
 from heronstall.dataplane.events import EventReader
 from heronstall.dataplane.forwarding import (
     LAST_EVENT_HEADER,
@@ -26,10 +26,10 @@
 )
 from heronstall.dataplane.framing import is_framed
 from heronstall.dataplane.misses import EndedItem, MissLog
-from heronstall.dataplane.prefixes import SharedPrefix, shared_prefix
+from heronstall.dataplane.prefixes import SharedPrefix, parse_shared_prefix
 from heronstall.dataplane.routing import Route, Routes, RouteType
 from heronstall.dataplane.shard_client import ShardClient
-from heronstall.dataplane.workers import UnsendablePath, WorkerState, note_attempt
+from heronstall.dataplane.workers import UnsendablePath, WorkerState, record_target
 from heronstall.distribution.shards import batch_shard
 from heronstall.transport.frames import Kind, Status
 from heronstall.transport.links import Reply
@@ -84,7 +84,7 @@
         name: str,
         shards: ShardClient,
         admission: Admission,
-        deferred: DeferredLane,
+        deferred: DeferredQueue,
         routes: Callable[[], Routes],
         misses: MissLog | None = None,
     ) -> None:
@@ -193,7 +193,7 @@
             route = self._batch_route(leased)
             if route is not None and leased.due_in_ms > EXPECTED_RUN_TIME_S * 1000:
                 remaining_shares.append(leased.due_in_ms / 1000 / route.completion_target)
-        self._admission.items.leased(min(remaining_shares, default=1.0), backlog)
+        self._admission.item_slots.record_lease(min(remaining_shares, default=1.0), backlog)
 
     def _batch_route(self, leased: LeasedItem) -> Route | None:
         """Returns the route of a leased item's job, if this dispatcher's configuration has it."""
@@ -239,7 +239,7 @@
         for service in {
             t[0] for h in self._routes().by_host.values() for r in h for t in self._targets(r, shard)
         }:
-            slots += self._admission.items_to_lease(service)
+            slots += self._admission.max_leased_items(service)
         return max(0, slots - len(self._running))
 
     @staticmethod
@@ -306,7 +306,7 @@
 
     def _may_start(self, item: RunningItem) -> bool:
         route = self._routes().find(item.leased.host, item.request.path)
-        return route is None or any(self._admission.room_for_item(target) for target, _ in route.targets)
+        return route is None or any(self._admission.can_start_item(target) for target, _ in route.targets)
 
     async def _run_attempts(self, item: RunningItem) -> Outcome:
         tried: set[str] = set()
@@ -319,7 +319,7 @@
                 await asyncio.sleep(UNKNOWN_ROUTE_DELAY_S)  # the route may be newer than this configuration
                 return Outcome.RETURNED
             owner_is_reachable = time.monotonic() - self._polled_at.get(item.shard, 0.0) < OWNER_STALE_S
-            service = self._admission.service_of(route)
+            service = self._admission.choose_service(route)
             prefix = _prefix(item.request)
             worker = (
                 self._admission.pick(service, prefix, tried, for_item=True) if owner_is_reachable else None
@@ -338,15 +338,15 @@
     async def _attempt(self, item: RunningItem, worker: WorkerState) -> Outcome | None:
         """Makes one attempt at one worker. Returns None if another attempt may continue after it."""
         admission = self._admission
-        admission.sent(worker)
+        admission.record_sent(worker)
         worker.items += 1
         succeeded = False
         upstream: aiohttp.ClientResponse | None = None
         attempt: Attempt | None = None
         try:
             async with asyncio.timeout(None) as limit:
-                attempt = worker.attempts.begin(limit, ITEM_SILENT)
-                note_attempt(attempt, worker)
+                attempt = worker.attempts.begin(limit, ITEM_SILENCE_S)
+                record_target(attempt, worker)
                 item.attempts.append(attempt)
                 upstream = await worker.request(
                     "POST", item.request.path, _headers(item, worker), item.request.body
@@ -357,24 +357,24 @@
         except UnsendablePath:
             return Outcome.UNPROCESSABLE
         except (aiohttp.ClientError, ConnectionError, TimeoutError):
-            admission.failed(worker)
+            admission.record_failure(worker)
             return None
         finally:
             if upstream is not None and not succeeded:
                 upstream.close()
             if attempt is not None:
-                worker.attempts.end(attempt)
+                worker.attempts.finish(attempt)
             worker.items -= 1
-            admission.done(worker, succeeded)
+            admission.record_finished(worker, succeeded)
 
     async def _read_response(
         self, item: RunningItem, worker: WorkerState, attempt: Attempt, upstream: aiohttp.ClientResponse
     ) -> Outcome | None:
-        worker.learn_idle(upstream.headers.get("Keep-Alive"))
+        worker.learn_keep_alive(upstream.headers.get("Keep-Alive"))
         if upstream.headers.get(REQUEST_ID_HEADER) != item.request.id:
             raise aiohttp.ClientPayloadError("the response belongs to another request")
         if upstream.status in (200, 500):
-            self._admission.answered(worker, upstream.status)
+            self._admission.record_response(worker, upstream.status)
         if upstream.status != 200:
             await upstream.read()
             if upstream.status == 422:
@@ -382,7 +382,7 @@
             if upstream.status == 500:
                 return Outcome.FAILED
             if upstream.status == 503:
-                self._admission.full(worker)
+                self._admission.record_overload(worker)
             return None
         if not is_framed(upstream):
             raise aiohttp.ClientPayloadError("the response has neither a length nor chunks")
@@ -391,10 +391,10 @@
             chunk = await upstream.content.readany()
             if not chunk:
                 break
-            if attempt.first_at:
-                worker.attempts.heard(attempt)
+            if attempt.first_event_at:
+                worker.attempts.record_data(attempt)
             else:
-                worker.attempts.first_heard(attempt)
+                worker.attempts.record_first_event(attempt)
             for event in reader.feed(chunk):
                 self._record_event(item, event.id, event.data)
         if reader.partial:
@@ -425,7 +425,7 @@
 
 def _prefix(request: BatchItem) -> SharedPrefix:
     value = next((h.value for h in request.headers if h.name.lower() == PROMPT_PREFIX_HEADER.lower()), "")
-    return shared_prefix(value)
+    return parse_shared_prefix(value)
 
 
 def _headers(item: RunningItem, worker: WorkerState) -> CIMultiDict[str]:
--- a/heronstall/dataplane/forwarding.py
+++ b/heronstall/dataplane/forwarding.py
@@ -14,15 +14,15 @@
 from multidict import CIMultiDict
 
 from heronstall.dataplane.admission import Admission
-from heronstall.dataplane.attempt_ends import RULES, AttemptEnd, Refusal, another_may_follow
-from heronstall.dataplane.attempts import REQUEST_SILENT, Attempt
+from heronstall.dataplane.attempt_ends import END_RULES, AttemptEnd, Refusal, may_retry
+from heronstall.dataplane.attempts import REQUEST_SILENCE_S, Attempt
 from heronstall.dataplane.events import EventReader
 from heronstall.dataplane.framing import is_framed
 from heronstall.dataplane.misses import EndedRequest, MissLog, RequestTimes
-from heronstall.dataplane.placing import PlacedPrompt, PromptPlacer
-from heronstall.dataplane.prefixes import TOKEN_DIGITS, SharedPrefix, shared_prefix
+from heronstall.dataplane.prefixes import MAX_TOKEN_DIGITS, SharedPrefix, parse_shared_prefix
+from heronstall.dataplane.prompt_placement import PlacedPrompt, PromptPlacer
 from heronstall.dataplane.routing import Route, RouteType
-from heronstall.dataplane.workers import UnsendablePath, WorkerPool, WorkerState, note_attempt
+from heronstall.dataplane.workers import UnsendablePath, WorkerPool, WorkerState, record_target
 
 log = structlog.get_logger()
 
@@ -93,7 +93,7 @@
     @cached_property
     def prefix(self) -> SharedPrefix:
         """The shared parts of the prompt."""
-        return shared_prefix(self.request.headers.get(PROMPT_PREFIX_HEADER, ""))
+        return parse_shared_prefix(self.request.headers.get(PROMPT_PREFIX_HEADER, ""))
 
     @cached_property
     def prompt_tokens(self) -> int:
@@ -124,7 +124,7 @@
 def _parse_token_count(text: str) -> int:
     """Parses a number of tokens. Returns 0 for anything else."""
     digits = text.strip()
-    return int(digits) if digits.isdecimal() and len(digits) <= TOKEN_DIGITS else 0
+    return int(digits) if digits.isdecimal() and len(digits) <= MAX_TOKEN_DIGITS else 0
 
 
 class ForwardedResponse(web.StreamResponse):
@@ -191,8 +191,8 @@
             if isinstance(outcome, web.StreamResponse):
                 return outcome
             context.tried.add(worker.entry.id)
-            context.runs += not RULES[outcome].not_run
-            if not another_may_follow(outcome, route.repeatable, context.runs, route.max_attempts):
+            context.runs += not END_RULES[outcome].not_run
+            if not may_retry(outcome, route.repeatable, context.runs, route.max_attempts):
                 break
         return self._final_failure(context)
 
@@ -216,7 +216,11 @@
     async def _pick_planned_worker(self, placer: PromptPlacer, context: RequestContext) -> WorkerState | None:
         """Returns the worker that the planner chose for a large prompt, if this dispatcher can use it."""
         placement = await placer.place(context.service, context.prefix, context.prompt_tokens)
-        worker = self._admission.usable(placement.worker, context.service) if placement is not None else None
+        worker = (
+            self._admission.usable_worker(placement.worker, context.service)
+            if placement is not None
+            else None
+        )
         context.placement = placement if worker is not None else None
         return worker
 
@@ -236,7 +240,7 @@
             return empty_response(502)
         return (
             service_unavailable()
-            if self._pool.of(context.service)
+            if self._pool.of_service(context.service)
             else service_unavailable(STARTING_RETRY_AFTER_S)
         )
 
@@ -247,22 +251,22 @@
         if isinstance(outcome, AttemptEnd):
             for attempt in context.attempts[earlier_attempts:]:
                 attempt.end = outcome
-            if RULES[outcome].worker_failed:
-                self._admission.failed(worker)
+            if END_RULES[outcome].worker_failed:
+                self._admission.record_failure(worker)
             if outcome is AttemptEnd.FULL:
-                self._admission.full(worker)
+                self._admission.record_overload(worker)
         return outcome
 
     async def _send(self, context: RequestContext, worker: WorkerState) -> web.StreamResponse | AttemptEnd:
         admission = self._admission
-        admission.sent(worker)
+        admission.record_sent(worker)
         context.attempt = None
         succeeded = headers_received = False
         try:
             async with asyncio.timeout(context.deadline - time.monotonic()) as limit:
-                silence_limit = REQUEST_SILENT if context.may_repeat else None
+                silence_limit = REQUEST_SILENCE_S if context.may_repeat else None
                 context.attempt = worker.attempts.begin(limit, silence_limit, context.prompt_tokens)
-                note_attempt(context.attempt, worker, self._admission.home_rank(worker, context.prefix))
+                record_target(context.attempt, worker, self._admission.home_rank(worker, context.prefix))
                 context.attempts.append(context.attempt)
                 upstream = await worker.request(
                     context.request.method,
@@ -290,8 +294,8 @@
             return AttemptEnd.TIMED_OUT
         finally:
             if context.attempt is not None:
-                worker.attempts.end(context.attempt)
-            admission.done(worker, succeeded)
+                worker.attempts.finish(context.attempt)
+            admission.record_finished(worker, succeeded)
 
     def _headers(self, context: RequestContext, worker: WorkerState) -> CIMultiDict[str]:
         headers = request_headers(context.request.headers)
@@ -306,9 +310,9 @@
         self, context: RequestContext, worker: WorkerState, upstream: aiohttp.ClientResponse
     ) -> web.StreamResponse | AttemptEnd:
         """Forwards a response. Raises ForwardingError if it is incomplete or belongs to another request."""
-        worker.learn_idle(upstream.headers.get("Keep-Alive"))
+        worker.learn_keep_alive(upstream.headers.get("Keep-Alive"))
         assert context.attempt is not None
-        worker.attempts.heard(context.attempt)
+        worker.attempts.record_data(context.attempt)
         if upstream.headers.get(REQUEST_ID_HEADER) != context.request.headers.get(REQUEST_ID_HEADER):
             raise ForwardingError(AttemptEnd.OTHER_ID)  # the response says nothing about this request
         rejection = Refusal(upstream.status, NOT_EXECUTED_HEADER in upstream.headers).end
@@ -317,7 +321,7 @@
             return rejection
         if not is_framed(upstream):
             raise ForwardingError(AttemptEnd.NO_LENGTH)
-        self._admission.answered(worker, upstream.status)
+        self._admission.record_response(worker, upstream.status)
         forwards_events = (
             context.route.type is RouteType.STREAMING and context.route.resumable and upstream.status == 200
         )
@@ -328,7 +332,7 @@
         if context.route.type is RouteType.STREAMING and upstream.status == 200:
             return await self._relay_chunks(context, worker, upstream)
         body = await upstream.read()
-        worker.attempts.first_heard(context.attempt)
+        worker.attempts.record_first_event(context.attempt)
         if context.response is not None:
             raise ForwardingError(AttemptEnd.FAILED_RESUMPTION)
         response = context.response = ForwardedResponse(
@@ -359,12 +363,12 @@
     def _record_data(self, context: RequestContext, worker: WorkerState, first: bool) -> None:
         assert context.attempt is not None
         if first:
-            seconds = worker.attempts.first_heard(context.attempt)
-            self._admission.first_event(worker, context.prefix.tokens, seconds)
+            seconds = worker.attempts.record_first_event(context.attempt)
+            self._admission.record_first_event(worker, context.prefix.tokens, seconds)
             if self._placer is not None and context.placement is not None and not context.tried:
-                self._placer.first_event(context.service, context.placement, seconds)
+                self._placer.record_first_event(context.service, context.placement, seconds)
         else:
-            worker.attempts.heard(context.attempt)
+            worker.attempts.record_data(context.attempt)
 
     async def _relay_chunks(
         self, context: RequestContext, worker: WorkerState, upstream: aiohttp.ClientResponse
--- a/heronstall/dataplane/misses.py
+++ b/heronstall/dataplane/misses.py
@@ -91,7 +91,7 @@
     @property
     def time_to_first_event(self) -> float | None:
         """Seconds from the arrival to the first event, or None without an event."""
-        first_events = [a.first_at for a in self.attempts if a.first_at]
+        first_events = [a.first_event_at for a in self.attempts if a.first_event_at]
         return min(first_events) - self.times.arrived_at if first_events else None
 
     @property
@@ -99,9 +99,9 @@
         """The longest time between two events in seconds, also across attempts at different workers."""
         gap, last = 0.0, 0.0
         for attempt in self.attempts:
-            if attempt.first_at:
-                gap = max(gap, attempt.longest_gap, attempt.first_at - last if last else 0.0)
-                last = attempt.heard_at
+            if attempt.first_event_at:
+                gap = max(gap, attempt.longest_gap, attempt.first_event_at - last if last else 0.0)
+                last = attempt.last_data_at
         return gap
 
 
@@ -133,7 +133,7 @@
         return MissReason.LATE_FIRST_EVENT
     if ended.longest_gap > ended.route.target_event_gap:
         return MissReason.LONG_GAP
-    if sum(attempt.ran for attempt in ended.attempts) > 1:
+    if sum(attempt.may_have_run for attempt in ended.attempts) > 1:
         return MissReason.RAN_AGAIN
     return None
 
@@ -163,8 +163,8 @@
         tally = self._count(ended.route.name, ended.attempts)
         tally.size += ended.size
         tally.planned += ended.planned
-        if ended.attempts and ended.attempts[0].home is not None:
-            _count_home(tally, ended.attempts[0].home)
+        if ended.attempts and ended.attempts[0].home_rank is not None:
+            _count_home(tally, ended.attempts[0].home_rank)
         now = time.monotonic()
         reason = miss_reason(ended, now)
         if reason is None:
@@ -272,11 +272,11 @@
 def _format_attempt(attempt: Attempt) -> str:
     """Formats one attempt: worker, end, known load, home rank, connection, time to the first event."""
     end = attempt.end.name.lower() if attempt.end is not None else "answered"
-    home = "-" if attempt.home is None else str(attempt.home)
-    view = attempt.view
+    home = "-" if attempt.home_rank is None else str(attempt.home_rank)
+    view = attempt.load
     load = f"{view.own}+{view.others:.1f}/{view.capacity}" if view is not None else "?"
     connection = "new" if attempt.new_connection else "kept"
-    first = _milliseconds(attempt.first_at - attempt.sent_at) if attempt.first_at else "-"
+    first = _milliseconds(attempt.first_event_at - attempt.sent_at) if attempt.first_event_at else "-"
     return f"{attempt.worker}:{end}:{load}:{home}:{connection}:{first}"
 
 
