--- a/benchmarks/fuzz.py
+++ b/benchmarks/fuzz.py
@@ -28,7 +28,7 @@
     from heronstall.net.connection import Ended
     from heronstall.net.loop import Loop
     from heronstall.net.server_table import ServerTable
-    from heronstall.ops import handover
+    from heronstall.ops import state_files
     from heronstall.start import snapshot
     from heronstall.takeover import words
 
@@ -104,13 +104,13 @@
 
 
 def _state() -> Decoder:
-    bans = [("s-1", handover.Word(5, True)), ("s-2", handover.Word(6, False))]
-    told = handover.State(bans, handover.Word(7, True))
+    bans = [("s-1", state_files.Word(5, True)), ("s-2", state_files.Word(6, False))]
+    told = state_files.State(bans, state_files.Word(7, True))
     return Decoder(
         (ValueError,),
-        lambda data: handover.unpack(NODE, data),
+        lambda data: state_files.unpack(NODE, data),
         None,
-        (handover.pack(NODE, told),),
+        (state_files.pack(NODE, told),),
     )
 
 
--- a/heronstall/__main__.py
+++ b/heronstall/__main__.py
@@ -34,8 +34,8 @@
 from heronstall.ops.bans import Bans
 
 if TYPE_CHECKING:
-    from heronstall.net.daily import Daily
-    from heronstall.net.peers.hub import Peers
+    from heronstall.net.administration import Daily
+    from heronstall.net.peers.service import Peers
     from heronstall.ops.detail import Detail
 
 RESERVED = (
@@ -68,12 +68,13 @@
         self.shutdown, bans = GracefulShutdown(loop), Bans()
         self.daily: Daily | None = None
         if config.operator is not None:
-            from heronstall.net.daily import Daily  # only here: what is not imported costs a start nothing
+            # Imported here only, so that a start without it reads no such module.
+            from heronstall.net.administration import Daily
 
             self.daily = Daily(config, config.operator, loop, offset, bans, self.shutdown, folder)
         self.peers: Peers | None = None
         if told is not None:
-            from heronstall.net.peers.hub import Peers
+            from heronstall.net.peers.service import Peers
 
             self.peers = Peers(config, told, loop)
         half = self._half()
--- a/heronstall/net/book.py
+++ b/heronstall/net/book.py
@@ -11,7 +11,7 @@
 from heronstall.net.server_table import ServerTable
 from heronstall.net.shutdown import GracefulShutdown
 from heronstall.ops.bans import Bans, Word
-from heronstall.ops.handover import Folder, State, Wrong
+from heronstall.ops.state_files import Folder, State, Wrong
 
 LOOK = 200_000  # between looks at what the others have heard: a tenth of the least drain grace met so far
 log = logging.getLogger("heronstall.book")
--- a/heronstall/net/peers/hub.py
+++ b/heronstall/net/peers/service.py
@@ -39,7 +39,7 @@
 from heronstall.net.dispatcher import Dispatcher
 from heronstall.net.loop import READ, Coroutine, Loop, sleep
 from heronstall.net.peers.followers import Follower
-from heronstall.net.peers.learning import Learning
+from heronstall.net.peers.knowledge_exchange import Learning
 from heronstall.net.server_table import ServerTable
 from heronstall.operator import PeersFile
 
--- a/heronstall/net/takeover/links.py
+++ b/heronstall/net/takeover/links.py
@@ -21,7 +21,7 @@
 from heronstall.membership.swim import Swim
 from heronstall.net.connection import Connection, Ended, Lines, connect
 from heronstall.net.loop import READ, Coroutine, Loop, Task, sleep
-from heronstall.net.takeover.guard import Guard
+from heronstall.net.takeover.coordinator import Guard
 from heronstall.takeover.words import LARGEST, Unreadable, Word, pack, unpack
 
 PATH = b"/v1/takeover"
--- a/heronstall/net/takeover/start.py
+++ b/heronstall/net/takeover/start.py
@@ -5,8 +5,8 @@
 from heronstall.config import Config
 from heronstall.net.dispatcher import Dispatcher
 from heronstall.net.loop import Loop
-from heronstall.net.peers.hub import Peers
-from heronstall.net.takeover.guard import Guard
+from heronstall.net.peers.service import Peers
+from heronstall.net.takeover.coordinator import Guard
 from heronstall.net.takeover.links import PATH, Links
 from heronstall.operator import TakeoverFile
 
--- a/tests/test_door.py
+++ b/tests/test_admin_endpoint.py
@@ -11,13 +11,13 @@
 
 from heronstall.__main__ import Program as Dispatching
 from heronstall.config import ConfigError, configuration
+from heronstall.net.admin_endpoint import CALLERS, LINE
 from heronstall.net.dispatcher import FATE
-from heronstall.net.door import CALLERS, LINE
 from heronstall.net.loop import Loop
-from heronstall.net.takeover.guard import Guard
+from heronstall.net.takeover.coordinator import Guard
 from heronstall.operator import TakeoverFile
+from heronstall.ops.counters import Figures
 from heronstall.ops.detail import COUNTS
-from heronstall.ops.figures import Figures
 from tests.test_net import Peer, Story, raw_config
 
 
@@ -84,7 +84,7 @@
         half[-1].sock.sendall(b"NG\n")
         self.spin(lambda: half[-1].read())
         self.assertTrue(half[-1].got.startswith((b"YES", b"NO")))
-        with mock.patch("heronstall.net.door.CALL_TIME", 10_000):
+        with mock.patch("heronstall.net.admin_endpoint.CALL_TIME", 10_000):
             late = Peer(socket.create_connection(self.door))
             late.sock.sendall(b"PING")
             self.spin(lambda: self.gone(late))
--- a/tests/test_replacement.py
+++ b/tests/test_replacement.py
@@ -19,7 +19,7 @@
 from typing import Any
 
 from heronstall.ops.bans import KEPT, Bans, Word
-from heronstall.ops.handover import Folder, State, Wrong, pack, unpack
+from heronstall.ops.state_files import Folder, State, Wrong, pack, unpack
 from tests.test_net import PATIENCE, ROOT, SETTINGS, STREAM, Peer, at, listener, raw_config
 
 CROWD = 400  # connections: more than the way between two processes holds at a time
--- a/tests/versions.py
+++ b/tests/versions.py
@@ -187,9 +187,9 @@
 
 def _writes(program: Any) -> None:
     """Leaves files of a later version behind, which the old one does not know."""
-    from heronstall.ops import handover
+    from heronstall.ops import state_files
 
-    handover.VERSION = 2
+    state_files.VERSION = 2
 
 
 def _later_words(program: Any) -> None:
@@ -198,9 +198,9 @@
 
     from heronstall.membership.messages import LARGEST, Message
     from heronstall.membership.messages import pack as real
-    from heronstall.net.peers import hub
+    from heronstall.net.peers import service
 
-    line = hub.Peers.line
+    line = service.Peers.line
 
     def pack(cluster: str, message: Message) -> bytes:
         told = ujson.loads(real(cluster, message))
@@ -211,14 +211,14 @@
         made = ujson.dumps(told, escape_forward_slashes=False).encode()
         return bytes(made) if len(made) <= LARGEST else real(cluster, message)
 
-    def more(self: hub.Peers, whole: bool) -> bytes:
+    def more(self: service.Peers, whole: bool) -> bytes:
         told = line(self, whole)
         if told == b"\n":
             return told
         return bytes(ujson.dumps({**ujson.loads(told), "later": [1]}).encode()) + b"\n"
 
-    vars(hub)["pack"] = pack
-    hub.Peers.line = more  # type: ignore[method-assign]
+    vars(service)["pack"] = pack
+    service.Peers.line = more  # type: ignore[method-assign]
 
 
 def _other_words(program: Any) -> None:
