--- a/heronstall/__main__.py
+++ b/heronstall/__main__.py
@@ -34,9 +34,9 @@
 from heronstall.ops.bans import Bans
 
 if TYPE_CHECKING:
-    from heronstall.net.administration import Daily
-    from heronstall.net.peers.service import Peers
-    from heronstall.ops.detail import Detail
+    from heronstall.net.administration import Administration
+    from heronstall.net.peers.service import PeerService
+    from heronstall.ops.detail import DetailedMetrics
 
 RESERVED = (
     40  # descriptors for the standard streams, epoll, the listener, the watch and what closes meanwhile
@@ -66,17 +66,17 @@
         self.config, self.dispatcher = config, Dispatcher(config, loop)
         self._loop, self._offset = loop, offset
         self.shutdown, bans = GracefulShutdown(loop), Bans()
-        self.daily: Daily | None = None
+        self.daily: Administration | None = None
         if config.operator is not None:
             # Imported here only, so that a start without it reads no such module.
-            from heronstall.net.administration import Daily
+            from heronstall.net.administration import Administration
 
-            self.daily = Daily(config, config.operator, loop, offset, bans, self.shutdown, folder)
-        self.peers: Peers | None = None
+            self.daily = Administration(config, config.operator, loop, offset, bans, self.shutdown, folder)
+        self.peers: PeerService | None = None
         if told is not None:
-            from heronstall.net.peers.service import Peers
+            from heronstall.net.peers.service import PeerService
 
-            self.peers = Peers(config, told, loop)
+            self.peers = PeerService(config, told, loop)
         half = self._half()
         pool = Pool(loop, config, half)
         self.table = table = ServerTable(config, loop, offset, self.dispatcher.post, bans)
@@ -95,13 +95,13 @@
 
         self._pool = pool
         if self.peers is not None:
-            self.peers.begin(table, self.dispatcher)
+            self.peers.start(table, self.dispatcher)
         guard = None
         if self.peers is not None and takeover is not None:
             from heronstall.net.takeover.start import begin
 
             guard = begin(config, takeover, loop, self.peers, self.dispatcher)
-        handed = self.daily.table if self.daily is not None else None
+        handed = self.daily.inherited_server_list if self.daily is not None else None
         if snapshot is not None:
             from heronstall.net.snapshots import Snapshots
 
@@ -109,33 +109,33 @@
             handed = handed or snapshots.start_from()
             snapshots.begin(table)
         table.start(handed)
-        listener = self.daily.listener if self.daily is not None else None
+        listener = self.daily.inherited_listener if self.daily is not None else None
         self.frontend = Frontend(config, loop, self.dispatcher, ready, half, self.shutdown, listener)
         if self.daily is not None:
-            self.daily.begin(self.dispatcher, table, self.frontend, pool, taking, self._half)
+            self.daily.start(self.dispatcher, table, self.frontend, pool, taking, self._half)
             if guard is not None:
-                self.daily.operations.takeover = guard.figures
+                self.daily.operations.takeover_figures = guard.figures
 
     def _half(self, processes: int = 1) -> int:
         """Descriptors for clients, and as many for servers: a session holds one on either side."""
         kept = RESERVED + sum(part.descriptors for part in (self.daily, self.peers) if part is not None)
         return max(1, (self.config.sockets // processes - kept) // 2)
 
-    def detail(self) -> Detail | None:
+    def detail(self) -> DetailedMetrics | None:
         """Have the door tell what a change is judged by; None without a door. Raises ImportError."""
         if self.daily is None:
             return None
-        from heronstall.ops.detail import Alarms, Detail
+        from heronstall.ops.detail import AlarmCounter, DetailedMetrics
 
         config, loop, figures = self.config, self._loop, self.dispatcher.figures
-        detail = Detail(list(config.classes), config.settings.classes, loop.now + self._offset, os.environ)
+        detail = DetailedMetrics(list(config.classes), config.settings.classes, loop.now + self._offset, os.environ)
         detail.attempts, detail.connects = lambda: figures.forwards, lambda: self._pool.connects
-        self.daily.operations.detail = detail.rows
-        logging.getLogger("heronstall").addHandler(Alarms(detail))
+        self.daily.operations.detail_figures = detail.rows
+        logging.getLogger("heronstall").addHandler(AlarmCounter(detail))
 
         def look(due: int) -> None:
             now = clock()
-            detail.delayed(max(0, now - due))
+            detail.record_loop_delay(max(0, now - due))
             loop.at(now + LOOK, lambda: look(now + LOOK))
 
         look(clock())
--- a/heronstall/model/rollouts.py
+++ b/heronstall/model/rollouts.py
@@ -20,7 +20,7 @@
 from heronstall.fleet.spec import SECOND, Scenario
 from heronstall.keeper.place import Do, Limits, Place, Process
 from heronstall.model.run import ORIGIN_MS, Run
-from heronstall.ops.detail import Detail
+from heronstall.ops.detail import DetailedMetrics
 from heronstall.rollout.figures import Snapshot
 from heronstall.rollout.journal import Record
 from heronstall.rollout.machine import Machine, Seen, Sight
@@ -55,7 +55,7 @@
     length: int
 
 
-class _Ear(Detail):
+class _Ear(DetailedMetrics):
     """Hears one dispatcher of the model."""
 
     def __init__(self, names: Sequence[str], classes: Sequence[i.RequestClass]) -> None:
@@ -122,7 +122,7 @@
     """A process in virtual time."""
 
     def __init__(self, evening: Evening, now: int, token: str, digest: str) -> None:
-        self.detail = Detail(evening.names, evening.classes, now, {})
+        self.detail = DetailedMetrics(evening.names, evening.classes, now, {})
         self.detail.cost = lambda: (int(self.cpu), int(self.memory))
         self.detail.attempts = lambda: int(self.attempts)
         self.detail.connects = lambda: int(self.connects)
@@ -258,7 +258,7 @@
         for one in stand.living.values():
             one.memory += (self.plant.leak_kb_s if self._planted(one) else 0.0) * (upto - self.now) / SECOND
             one.memory += float(self._draw.normal(0, 8))
-            one.detail.delayed(int(self._draw.exponential(400)))
+            one.detail.record_loop_delay(int(self._draw.exponential(400)))
 
     def _new_part(self) -> float:
         mains = [s.place.main for s in self.stands.values()]
@@ -284,8 +284,8 @@
             after = int(after * 0.9)
         if mine and (how != job.how or after > job.intime >= job.after):
             self.harmed += 1
-        living.detail.taken(job.cls)
-        living.detail.ended(job.cls, how, after, after <= job.intime)
+        living.detail.record_accepted(job.cls)
+        living.detail.record_end(job.cls, how, after, after <= job.intime)
         living.cpu += self._cpu * math.exp(float(self._draw.normal(0, 0.3))) + (plant.cpu if mine else 0.0)
 
     # ------------------------------------------------------------------ the run
--- a/heronstall/net/admin_endpoint.py
+++ b/heronstall/net/admin_endpoint.py
@@ -24,7 +24,7 @@
 log = logging.getLogger("heronstall.door")
 
 
-class Door:
+class AdminEndpoint:
     """Listens for operators and carries their calls to `Operations`."""
 
     def __init__(self, loop: Loop, address: Address, operations: Operations) -> None:
@@ -118,9 +118,9 @@
                 rows = "".join(f"svc.{name}={figure}\n" for name, figure in self._operations.figures())
                 return rows + END
             case ["DETAIL"]:
-                return _rows(self._operations.detail, "figures.detail")
+                return _rows(self._operations.detail_figures, "figures.detail")
             case ["TAKEOVER"]:
-                return _rows(self._operations.takeover, "takeover")
+                return _rows(self._operations.takeover_figures, "takeover")
             case [word] if word in self._calls:
                 return _said(self._calls[word]())
             case [word, uid] if word in self._calls_on:
--- a/heronstall/net/administration.py
+++ b/heronstall/net/administration.py
@@ -11,12 +11,12 @@
 from typing import Any
 
 from heronstall.config import Address, Config, ConfigError
-from heronstall.net.admin_endpoint import CALLERS, Door
+from heronstall.net.admin_endpoint import CALLERS, AdminEndpoint
 from heronstall.net.backend import Pool
 from heronstall.net.book import Book
 from heronstall.net.dispatcher import Dispatcher
 from heronstall.net.frontend import Frontend
-from heronstall.net.handover import Share, Succession, claim
+from heronstall.net.handover import Sharing, ProcessHandover, claim
 from heronstall.net.loop import Loop
 from heronstall.net.operations import Operations
 from heronstall.net.server_table import ServerTable
@@ -24,7 +24,7 @@
 from heronstall.ops.bans import Bans
 
 
-class Daily:
+class Administration:
     """Daily operation of one process. Made before anything is sent, begun once everything else stands."""
 
     descriptors = CALLERS  # that it needs beside those of clients and servers
@@ -43,18 +43,18 @@
         self._book = Book(loop, offset, bans, shutdown)
         self._path: Path | None = None
         self._claimed = None
-        self._succession: Succession | None = None
+        self._succession: ProcessHandover | None = None
         if folder is not None:
             self._book.open(folder, config.name)
             self._path = folder / f"heronstall-{config.name}.sock".replace("/", "_")
             self._claimed = claim(self._path, config.name, config.listen)
         # What the process before has handed over, if one runs.
-        self.listener = self._claimed.listener if self._claimed else None
-        self.table: Any = self._claimed.table if self._claimed else None
-        self.door: Door
+        self.inherited_listener = self._claimed.listener if self._claimed else None
+        self.inherited_server_list: Any = self._claimed.table if self._claimed else None
+        self.admin_endpoint: AdminEndpoint
         self.operations: Operations
 
-    def begin(
+    def start(
         self,
         dispatcher: Dispatcher,
         table: ServerTable,
@@ -78,16 +78,16 @@
             return taking() if self._succession is None else self._succession.begun
 
         self.operations = operations = Operations(dispatcher, table, self._shutdown, begun)
-        operations.changed = self._book.changed
+        operations.on_change = self._book.changed
         try:
-            self.door = Door(self._loop, self._address, operations)
+            self.admin_endpoint = AdminEndpoint(self._loop, self._address, operations)
         except OSError as error:
             host, port = self._address
             raise ConfigError(f"operator: cannot listen on {host}:{port}: {error}") from None
 
     def _succeed(self, path: Path, table: ServerTable, taking: Callable[[], bool]) -> None:
         config, frontend = self._config, self._frontend
-        self._succession = succession = Succession(
+        self._succession = succession = ProcessHandover(
             self._loop, path, config.name, config.listen, frontend.listener, taking, table.whole
         )
         succession.adopt, succession.know = frontend.adopt, frontend.know
@@ -97,16 +97,16 @@
             succession.inherit(self._claimed.channel)
         succession.begin()
 
-    def _share(self, share: Share) -> None:
+    def _share(self, share: Sharing) -> None:
         """Whether two processes have the dispatcher's room together.
 
         Each has half of it, until one leaves: then each client's connection is with one of the two, and what
         is left in the other are a few.
         """
-        half = self._half(1 if share is Share.ALONE else 2)
+        half = self._half(1 if share is Sharing.ALONE else 2)
         self._pool.limit(half)
-        clients = self._half(1) * 7 // 8 if share is Share.AFTER else half
-        self._frontend.share(clients, share is not Share.ALONE)
+        clients = self._half(1) * 7 // 8 if share is Sharing.AFTER else half
+        self._frontend.share(clients, share is not Sharing.ALONE)
 
     def hand_over(self) -> None:
         """Leave clients to the heir, if there is one and a signal has come, whichever came first."""
--- a/heronstall/net/book.py
+++ b/heronstall/net/book.py
@@ -10,8 +10,8 @@
 from heronstall.net.loop import Loop
 from heronstall.net.server_table import ServerTable
 from heronstall.net.shutdown import GracefulShutdown
-from heronstall.ops.bans import Bans, Word
-from heronstall.ops.state_files import Folder, State, Wrong
+from heronstall.ops.bans import Bans, TimedFlag
+from heronstall.ops.state_files import StateDirectory, State, InvalidFile
 
 LOOK = 200_000  # between looks at what the others have heard: a tenth of the least drain grace met so far
 log = logging.getLogger("heronstall.book")
@@ -22,21 +22,21 @@
 
     def __init__(self, loop: Loop, offset: int, bans: Bans, shutdown: GracefulShutdown) -> None:
         self._loop, self._offset, self._bans, self._shutdown = loop, offset, bans, shutdown
-        self._drain: Word | None = None
-        self._files: Folder | None = None
+        self._drain: TimedFlag | None = None
+        self._files: StateDirectory | None = None
         self._table: ServerTable | None = None
 
     def open(self, folder: Path, node: str) -> None:
         """Take over what is written there, before anything is sent, and keep to it from now on."""
         try:
-            self._files = Folder(folder, node)
+            self._files = StateDirectory(folder, node)
         except OSError as error:
             self._lost(error)
             return
         self._look()
         self._write()
         if self._files is not None:
-            self._files.sweep()
+            self._files.remove_stale_files()
 
     def follow(self, table: ServerTable) -> None:
         """Tell the table of each ban that another process hears of."""
@@ -49,8 +49,8 @@
         drained = self._shutdown.drained
         if drained != (self._drain is not None and self._drain.out):
             now = self._loop.now + self._offset
-            before = self._drain.at if self._drain else 0
-            self._drain = Word(max(now, before + 1), drained)
+            before = self._drain.at_us if self._drain else 0
+            self._drain = TimedFlag(max(now, before + 1), drained)
         self._write()
 
     def _again(self) -> None:
@@ -63,7 +63,7 @@
             return
         try:
             for state in self._files.read():
-                if isinstance(state, Wrong):
+                if isinstance(state, InvalidFile):
                     say(log, events.HANDOVER_IGNORED, path=state.path, reason=state.reason)
                 else:
                     self._take(state)
--- a/heronstall/net/dispatcher.py
+++ b/heronstall/net/dispatcher.py
@@ -19,11 +19,11 @@
 from heronstall.net.connection import OUTCOME, Ending
 from heronstall.net.loop import Coroutine, Task
 from heronstall.net.server_table import BackendServer
-from heronstall.ops.counters import Fate, Figures
+from heronstall.ops.counters import JobResult, JobCounters
 
 REPORT_EVERY = 10_000_000
 # What each kind of answer was to the client. One that has left counts as failed: nobody was served.
-FATE: dict[str, Fate] = {
+FATE: dict[str, JobResult] = {
     "served": "succeeded",
     "refused": "declined",
     "failed": "aborted",
@@ -170,7 +170,7 @@
         self._timer: Due | None = None
         self._next = 1
         self._counts: Counter[str] = Counter()
-        self.figures = Figures(config.classes)
+        self.figures = JobCounters(config.classes)
         self.table: Table
         self.backend: Backend
         self._windows = [c.repeat_window if c.effect == "keyed" else None for c in config.settings.classes]
@@ -193,7 +193,7 @@
         """A request has come whole; `arrival` lacks only its number. `guarded`: the guard knows of it."""
         session = Session(self._next, arrival, self._loop.now + arrival.time_left, job, reply)
         self._next += 1
-        self.figures.taken()
+        self.figures.record_accepted()
         self._sessions[session.number] = session
         self.post(arrival._replace(request=session.number))
         if self.guard is not None and not guarded:
@@ -251,7 +251,7 @@
 
     def written(self) -> None:
         """An attempt's last byte has been written: from now on it may have run."""
-        self.figures.forwarded()
+        self.figures.record_forward()
 
     def note(self, session: Session, server: BackendServer, index: int, share: float | None) -> None:
         """The job has started (no share), or a share of it is done."""
@@ -364,7 +364,7 @@
         """The one place where a session ends for its client, whatever ends it."""
         session.over = True
         self._counts[f"answer.{kind}"] += 1
-        self.figures.ended(session.cls, FATE[kind])
+        self.figures.record_result(session.cls, FATE[kind])
 
     def _forget(self, session: Session) -> None:
         if session.over and session.open is None:
--- a/heronstall/net/handover.py
+++ b/heronstall/net/handover.py
@@ -34,7 +34,7 @@
 log = logging.getLogger("heronstall.succession")
 
 
-class Claim(NamedTuple):
+class Predecessor(NamedTuple):
     """What a running process has handed over so far."""
 
     channel: socket.socket
@@ -67,7 +67,7 @@
         os.close(folder)
 
 
-def claim(path: Path, node: str, listen: Address) -> Claim | None:
+def claim(path: Path, node: str, listen: Address) -> Predecessor | None:
     """Ask the process that runs, if any, for its listening socket. Blocks, for HELLO_TIME at the most."""
     channel = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     channel.settimeout(HELLO_TIME)
@@ -80,7 +80,7 @@
         told = _read(data)
         if not fds:
             raise ValueError(str(told.get("no") or "no listening socket came"))
-        return Claim(channel, socket.socket(fileno=fds[0]), told.get("table"))
+        return Predecessor(channel, socket.socket(fileno=fds[0]), told.get("table"))
     except (FileNotFoundError, ConnectionRefusedError):
         pass  # nobody runs
     except (OSError, ValueError) as error:
@@ -91,7 +91,7 @@
     return None
 
 
-class Share(enum.Enum):
+class Sharing(enum.Enum):
     """With whom this process shares what the dispatcher may hold."""
 
     ALONE = "nobody"
@@ -99,7 +99,7 @@
     AFTER = "a process that hands its clients over"
 
 
-class Succession:
+class ProcessHandover:
     """This process's part: heir of the one before, and predecessor of the next."""
 
     def __init__(
@@ -122,7 +122,7 @@
         self.know: Callable[[list[str]], None] = lambda ids: None  # ids of jobs that others had
         self.begun = False  # this process has told the one before that it takes clients
         self.heired: Callable[[], None] = lambda: None  # an heir takes clients from now on
-        self.shared: Callable[[Share], None] = lambda share: None  # with whom this process shares the room
+        self.shared: Callable[[Sharing], None] = lambda share: None  # with whom this process shares the room
         self.orphaned: Callable[[bool], None] = lambda alone: None  # the heir has gone; whether all have
 
     # ------------------------------------------------------------------ heir
@@ -131,7 +131,7 @@
         """Go on with what the process before hands over."""
         channel.setblocking(False)
         self._before = channel
-        self.shared(Share.BESIDE)
+        self.shared(Sharing.BESIDE)
         self._loop.spawn(self._inherit(channel), "inheriting")
 
     def _inherit(self, channel: socket.socket) -> Coroutine[None]:
@@ -151,7 +151,7 @@
                 told = _read(data)
                 if "ids" in told:
                     self.know([str(name) for name in told["ids"]])
-                    self.shared(Share.AFTER)
+                    self.shared(Sharing.AFTER)
                 for sock in socks:
                     self.adopt(sock, told.get("proven") is True)
                     taken += 1
@@ -161,7 +161,7 @@
                 say(log, events.NOT_HANDED, reason=str(error))
         self._loop.close(channel)
         self._before = None
-        self.shared(Share.ALONE if self._heir is None else Share.BESIDE)
+        self.shared(Sharing.ALONE if self._heir is None else Sharing.BESIDE)
         say(log, events.INHERITED, connections=taken)
 
     # ------------------------------------------------------------------ predecessor
@@ -223,7 +223,7 @@
                 if told.get("ready") is True:
                     self._heir = channel
                     say(log, events.HEIR)
-                    self.shared(Share.BESIDE)
+                    self.shared(Sharing.BESIDE)
                     self.heired()
                 else:
                     self._answer(channel, told)
@@ -233,7 +233,7 @@
             self._loop.close(channel)
             if self._heir is channel:
                 self._heir = None
-                self.shared(Share.ALONE if self._before is None else Share.BESIDE)
+                self.shared(Sharing.ALONE if self._before is None else Sharing.BESIDE)
                 say(log, events.HEIR_LOST)
                 alone = not self._answered()
                 if alone:  # guards whoever has come after the heir and stands there by now
--- a/heronstall/net/operations.py
+++ b/heronstall/net/operations.py
@@ -28,10 +28,10 @@
         taking: Callable[[], bool],
     ) -> None:
         self._dispatcher, self._table, self._shutdown, self._taking = dispatcher, table, shutdown, taking
-        self.changed: Callable[[], None] = lambda: None  # a ban or the drain has changed
+        self.on_change: Callable[[], None] = lambda: None  # a ban or the drain has changed
         # Further figures, where the operator's file asks for what they are of.
-        self.detail: Callable[[], Iterator[tuple[str, str]]] | None = None
-        self.takeover: Callable[[], Iterator[tuple[str, str]]] | None = None
+        self.detail_figures: Callable[[], Iterator[tuple[str, str]]] | None = None
+        self.takeover_figures: Callable[[], Iterator[tuple[str, str]]] | None = None
 
     def ping(self) -> Reply:
         """Whether this process takes clients. A drained one still takes those who come, so it says yes."""
@@ -62,14 +62,14 @@
             return Reply(False, "never listed")
         changed = self._table.ban(uid, out)
         if changed:
-            self.changed()
+            self.on_change()
         return Reply(True, done if changed else before)
 
     def lameduck(self) -> Reply:
         """Drain: `/healthz` says no from now on, and clients are led away."""
         before = self._shutdown.stage
         self._shutdown.drain()
-        self.changed()
+        self.on_change()
         return Reply(True, "draining" if before is Stage.SERVING else f"{before.value} already")
 
     def rejoin(self) -> Reply:
@@ -78,5 +78,5 @@
         if before is Stage.STOPPING:
             return Reply(False, "leaving")
         self._shutdown.rejoin()
-        self.changed()
+        self.on_change()
         return Reply(True, "serving" if before is Stage.DRAINED else "serving already")
--- a/heronstall/net/peers/followers.py
+++ b/heronstall/net/peers/followers.py
@@ -22,16 +22,16 @@
 class Source(Protocol):
     """What is told to others."""
 
-    def tells(self) -> bool:
+    def serves_list(self) -> bool:
         """Whether the list may be taken from here."""
 
-    def line(self, whole: bool) -> bytes:
+    def list_line(self, whole: bool) -> bytes:
         """The whole list, or that nothing has changed; only a line's end without a list."""
 
     def knowledge(self) -> bytes:
         """What this process has seen of the servers."""
 
-    def other(self, target: bytes, connection: Connection) -> Coroutine[None] | None:
+    def find_handler(self, target: bytes, connection: Connection) -> Coroutine[None] | None:
         """Whoever else answers a request, until it ends."""
 
 
@@ -70,23 +70,23 @@
             if request.target.startswith(KNOWLEDGE):
                 yield from self._answer(self._source.knowledge())
                 return
-            other = self._source.other(request.target, connection)
+            other = self._source.find_handler(request.target, connection)
             if other is not None:
                 yield from other
                 return
-            if not request.target.startswith(b"/v1/servers?watch=1") or not self._source.tells():
+            if not request.target.startswith(b"/v1/servers?watch=1") or not self._source.serves_list():
                 return  # somebody else is to be asked
             yield from self._send(h11.Response(status_code=200, headers=[("Transfer-Encoding", "chunked")]))
             while True:
                 if not self._told:
-                    line = self._source.line(True)
+                    line = self._source.list_line(True)
                     self._told = line != b"\n"
                     if not self._told and loop.now > begun + HOLD:
                         return  # another relay may have it already
                 elif len(self._waiting) > QUEUE:
                     return
                 else:
-                    line = b"".join(self._waiting) or self._source.line(False)
+                    line = b"".join(self._waiting) or self._source.list_line(False)
                 self._waiting.clear()
                 yield from self._send(h11.Data(data=line))
                 if not self._waiting:
--- a/heronstall/net/peers/knowledge_exchange.py
+++ b/heronstall/net/peers/knowledge_exchange.py
@@ -32,7 +32,7 @@
 log = logging.getLogger("heronstall.peers")
 
 
-class Learning:
+class KnowledgeExchange:
     """One process's: what it asks at its start, and what it answers from then on."""
 
     def __init__(self, wanted: bool, loop: Loop, host: str) -> None:
@@ -43,7 +43,7 @@
         self._book = Book()
         self._asked: set[str] = set()
 
-    def begin(self, swim: Swim, table: ServerTable, dispatcher: Dispatcher) -> None:
+    def start(self, swim: Swim, table: ServerTable, dispatcher: Dispatcher) -> None:
         """Keep in mind what is seen from now on, and ask others what they have seen."""
         self._swim, self._table, self._dispatcher = swim, table, dispatcher
         dispatcher.observers.append(self._witness)
--- a/heronstall/net/peers/service.py
+++ b/heronstall/net/peers/service.py
@@ -39,7 +39,7 @@
 from heronstall.net.dispatcher import Dispatcher
 from heronstall.net.loop import READ, Coroutine, Loop, sleep
 from heronstall.net.peers.followers import Follower
-from heronstall.net.peers.knowledge_exchange import Learning
+from heronstall.net.peers.knowledge_exchange import KnowledgeExchange
 from heronstall.net.server_table import ServerTable
 from heronstall.operator import PeersFile
 
@@ -74,7 +74,7 @@
     raise AssertionError("unreachable")
 
 
-class Peers:
+class PeerService:
     """One process among its peers: a `Sources` for its server table, and a relay for others."""
 
     descriptors = MOST_FOLLOWERS + 2
@@ -112,23 +112,23 @@
         self._raised_by = ""  # whose word brought the revision that is held to
         self._relays_failed = False  # why the list service is asked
         self._followers: dict[Follower, None] = {}
-        self.learning = Learning(told.learn, loop, host)
+        self.learning = KnowledgeExchange(told.learn, loop, host)
         self._leaving = self._was_replaced = False
-        self.born = born
-        self.answered: dict[
+        self.started_ms = born
+        self.request_handlers: dict[
             bytes, Callable[[Connection], Coroutine[None]]
         ] = {}  # requests of others, by target
-        self.lost: Callable[[str, bool], None] = lambda name, left: None  # a member is, or says that it goes
+        self.on_member_gone: Callable[[str, bool], None] = lambda name, left: None  # a member is, or says that it goes
         self._unreadable, self._unreadable_told = 0, 0
 
-    def begin(self, table: ServerTable, dispatcher: Dispatcher) -> None:
+    def start(self, table: ServerTable, dispatcher: Dispatcher) -> None:
         """Talk from now on, and tell the table whom to ask."""
         self._table = table
         table.sources, table.same_endpoints = self, self._told.same_endpoints
         self._loop.spawn(self._hear(), "peers' datagrams")
         self._loop.spawn(self._accept(), "peers' followers")
         self._loop.spawn(self._turns(), "peers' turns")
-        self.learning.begin(self.swim, table, dispatcher)
+        self.learning.start(self.swim, table, dispatcher)
         say(log, events.PEERS_OPEN, host=self.host, port=self._port, join=len(self.swim.seeds))
 
     def leave(self) -> None:
@@ -183,7 +183,7 @@
             living = len(self.swim.living())
             say(log, events.PEER, peer=row.name, state=row.state.name.lower(), living=living)
         if row.state > State.SUSPECT:
-            self.lost(row.name, row.state is State.LEFT)
+            self.on_member_gone(row.name, row.state is State.LEFT)
 
     # ------------------------------------------------------------------ whom to ask
 
@@ -335,7 +335,7 @@
         for follower in list(self._followers):
             follower.tell(line)
 
-    def line(self, whole: bool) -> bytes:
+    def list_line(self, whole: bool) -> bytes:
         """The whole list, or that nothing has changed, with its age; only a line's end without a list."""
         rev = self._table.rev
         if rev is None or self._fresh_at is None or not self._first_hand():
@@ -369,7 +369,7 @@
             follower.task = self._loop.spawn(follower.serve(self._gone), "a follower")
             self._followers[follower] = None
 
-    def tells(self) -> bool:
+    def serves_list(self) -> bool:
         """Whether others may take the list from here."""
         return self.relaying.duty in TELLS and not self._leaving
 
@@ -377,12 +377,12 @@
         """What this process has seen of the servers."""
         return self.learning.answer(self.swim.me)
 
-    def other(self, target: bytes, connection: Connection) -> Coroutine[None] | None:
+    def find_handler(self, target: bytes, connection: Connection) -> Coroutine[None] | None:
         """Whoever else answers a request, until it ends."""
-        serve = self.answered.get(target)
+        serve = self.request_handlers.get(target)
         return None if serve is None else serve(connection)
 
-    def ask(self, name: str) -> None:
+    def probe_member(self, name: str) -> None:
         """Something speaks for a member's being gone."""
         self._send(self.swim.ask(name, self._loop.now))
 
--- a/heronstall/net/server_table.py
+++ b/heronstall/net/server_table.py
@@ -242,11 +242,11 @@
 
     def knows(self, uid: str) -> bool:
         """Whether the list has named this server at any time, or one before us knew it."""
-        return uid in self._ever or self._bans.known(uid)
+        return uid in self._ever or self._bans.has_record(uid)
 
     def ban(self, uid: str, out: bool) -> bool:
         """Take a server out by hand or put it back; whether that changes anything."""
-        changed = self._bans.put(uid, out, self._loop.now + self._offset)
+        changed = self._bans.set_banned(uid, out, self._loop.now + self._offset)
         if changed:
             self.banned([uid])
         return changed
@@ -263,7 +263,7 @@
 
     def _look_up(self, server: BackendServer) -> bool:
         """Put to a server what the book of bans says; whether it went out or came back."""
-        was, since, back = server.banned_since, self._bans.since(server.uid), self._bans.back(server.uid)
+        was, since, back = server.banned_since, self._bans.banned_since(server.uid), self._bans.readmitted_at(server.uid)
         server.banned_since = None if since is None else since - self._offset
         if was is not None and since is None:
             server.was_out = was
--- a/heronstall/net/takeover/coordinator.py
+++ b/heronstall/net/takeover/coordinator.py
@@ -44,7 +44,7 @@
 log = logging.getLogger("heronstall.takeover")
 
 
-class Held:
+class ProtectedSession:
     """A session whose job has a register."""
 
     __slots__ = ("session", "holder", "task", "lent", "refusal")
@@ -68,7 +68,7 @@
         return self.holder.state.made if other is None else other.made
 
 
-class Guard:
+class TakeoverCoordinator:
     """All of it."""
 
     def __init__(self, config: Config, told: TakeoverFile, loop: Loop, name: str, life: int) -> None:
@@ -79,17 +79,17 @@
         self.witness = Witness(loop.now, longest, told.room)
         self._wait = told.wait
         self._protected = {n for c, n in config.classes.items() if not told.classes or c in told.classes}
-        self._held: dict[str, Held] = {}
-        self._by_session: dict[int, Held] = {}
+        self._held: dict[str, ProtectedSession] = {}
+        self._by_session: dict[int, ProtectedSession] = {}
         self._takers: dict[str, tuple[Taker, Register, int]] = {}
         self._gone: dict[tuple[str, int], int] = {}  # owners that are, and when that was heard
         self.counts: Counter[str] = Counter()
         self._totals: Counter[str] = Counter()  # of counts that have been told in the log
         self._counted = loop.now
-        self.tell: Callable[[str, Word], None] = lambda name, word: None  # a word to another's witness
-        self.lives: Callable[[str], bool] = lambda name: False
+        self.send: Callable[[str, Word], None] = lambda name, word: None  # a word to another's witness
+        self.is_reachable: Callable[[str], bool] = lambda name: False
 
-    def begin(self, dispatcher: Dispatcher) -> None:
+    def start(self, dispatcher: Dispatcher) -> None:
         """Guard its jobs from now on."""
         self._dispatcher = dispatcher
         dispatcher.guard = self
@@ -139,7 +139,7 @@
 
     def _reachable(self, witnesses: tuple[str, ...]) -> bool:
         """Whether a majority of them can be spoken to; of those of a job that is not kept, too."""
-        there = sum(name == self._name or self.lives(name) for name in witnesses)
+        there = sum(name == self._name or self.is_reachable(name) for name in witnesses)
         return not witnesses or there > len(witnesses) // 2
 
     def _may_have_run(self, session: Session, key: str) -> bool:
@@ -151,13 +151,13 @@
         if state is None or not unsafe or state.answer == "refused":
             return False
         kind, body = (state.answer, state.body) if state.phase is Phase.ENDED else ("failed", "")
-        held = Held(session, Holder(key, (), self._name, self._life, 0, state.digest, None))
+        held = ProtectedSession(session, Holder(key, (), self._name, self._life, 0, state.digest, None))
         self._dispatcher.lend(session)
         self._loop.soon(lambda: self._give(held, kind, body))
         return True
 
-    def _guards(self, session: Session, holder: Holder) -> Held:
-        held = self._held[holder.key] = self._by_session[session.number] = Held(session, holder)
+    def _guards(self, session: Session, holder: Holder) -> ProtectedSession:
+        held = self._held[holder.key] = self._by_session[session.number] = ProtectedSession(session, holder)
         return held
 
     def _first(self, key: str, holder: Holder) -> None:
@@ -173,7 +173,7 @@
             self._loop.soon(lambda: self._dispatcher.settle(session, Answer("unusable")))
             return
         self._dispatcher.lend(session)
-        waiting = Held(session, first.holder)
+        waiting = ProtectedSession(session, first.holder)
         waiting.lent = True
         self._by_session[session.number] = waiting
 
@@ -250,25 +250,25 @@
         elif held is not None:
             self._drop(held)
 
-    def _close(self, held: Held, kind: str, body: str) -> None:
+    def _close(self, held: ProtectedSession, kind: str, body: str) -> None:
         holder = held.holder
         if holder.said and holder.verdict not in ("known", "lost"):
             self._say(holder.put(Phase.ENDED, answer=kind, body=body), holder)
         self._end_joined(held, kind, body)
 
-    def _end_joined(self, held: Held, kind: str, body: str) -> None:
+    def _end_joined(self, held: ProtectedSession, kind: str, body: str) -> None:
         """A job's end, for those that came here with it again."""
         self._drop(held)
         for other in [h for h in self._by_session.values() if h.holder is held.holder]:
             self._give(other, kind, body)
 
-    def _drop(self, held: Held) -> None:
+    def _drop(self, held: ProtectedSession) -> None:
         self._by_session.pop(held.session.number, None)
         mine = self._held.get(held.holder.key)
         if mine is held:
             del self._held[held.holder.key]
 
-    def _unsure(self, held: Held) -> None:
+    def _unsure(self, held: ProtectedSession) -> None:
         """No majority has said that it knows of a refusal: then nothing may be said of what was done."""
         if held.refusal is not None:
             held.refusal = None
@@ -284,15 +284,15 @@
 
     def _to(self, name: str, word: Word) -> None:
         if name == self._name:
-            self.reply(name, self.heard(word))
+            self.handle_reply(name, self.handle_message(word))
         else:
-            self.tell(name, word)
+            self.send(name, word)
 
-    def heard(self, word: Word) -> Word:
+    def handle_message(self, word: Word) -> Word:
         """A word to this process's witness; its answer."""
         return self.witness.heard(word, self._loop.now)
 
-    def reply(self, witness: str, word: Word) -> None:
+    def handle_reply(self, witness: str, word: Word) -> None:
         """A witness's answer."""
         taker = self._takers.get(word.key)
         if taker is not None and word.kind in ("promise", "no") and word.epoch == taker[0].epoch:
@@ -312,7 +312,7 @@
                 if word.state.made == waiting.made:
                     self._give(waiting, word.state.answer, word.state.body)
 
-    def _verdict(self, held: Held, verdict: str) -> None:
+    def _verdict(self, held: ProtectedSession, verdict: str) -> None:
         holder = held.holder
         if verdict == "go" and holder.state.phase is Phase.HELD:
             self._say(holder.put(Phase.CONFIRMED), holder)
@@ -326,7 +326,7 @@
             self._lend(held)
         held.wake()
 
-    def _lend(self, held: Held) -> None:
+    def _lend(self, held: ProtectedSession) -> None:
         """Somebody else has the job: its client waits for that one's end."""
         other, holder = held.holder.other, held.holder
         self.counts["returned" if holder.verdict == "known" else "lost"] += 1
@@ -343,7 +343,7 @@
         if other is not None and other.phase is Phase.ENDED:
             self._give(held, other.answer, other.body)
 
-    def _give(self, held: Held, kind: str, body: str) -> None:
+    def _give(self, held: ProtectedSession, kind: str, body: str) -> None:
         """A lent session's end."""
         self._drop(held)
         answers: dict[str, Any] = {"served": "served", "refused": "refused", "unusable": "unusable"}
@@ -372,7 +372,7 @@
 
     def _orphans(self) -> Iterator[tuple[str, Register]]:
         def lives(name: str) -> bool:
-            return self.lives(name) and name not in gone
+            return self.is_reachable(name) and name not in gone
 
         gone = {name for name, _ in self._gone}  # their connections may stand still
         for name, life in list(self._gone):
--- a/heronstall/net/takeover/links.py
+++ b/heronstall/net/takeover/links.py
@@ -21,7 +21,7 @@
 from heronstall.membership.swim import Swim
 from heronstall.net.connection import Connection, Ended, Lines, connect
 from heronstall.net.loop import READ, Coroutine, Loop, Task, sleep
-from heronstall.net.takeover.coordinator import Guard
+from heronstall.net.takeover.coordinator import TakeoverCoordinator
 from heronstall.takeover.words import LARGEST, Unreadable, Word, pack, unpack
 
 PATH = b"/v1/takeover"
@@ -32,10 +32,10 @@
 log = logging.getLogger("heronstall.takeover")
 
 
-class Link:
+class WitnessLink:
     """To one witness, over the lives of its process."""
 
-    def __init__(self, links: Links, name: str) -> None:
+    def __init__(self, links: WitnessLinks, name: str) -> None:
         self._links, self._name, self._loop = links, name, links.loop
         self._connection: Connection | None = None
         self._waiting: deque[bytes] = deque()
@@ -86,7 +86,7 @@
                     if self._connection is not None:
                         self._connection.close()
                         self._connection = None
-                self._links.broke(self._name)
+                self._links.link_lost(self._name)
             yield from sleep(self._loop.now + self._draw.randrange(*AGAIN))
 
     def _hear(self, connection: Connection) -> Coroutine[None]:
@@ -97,7 +97,7 @@
                 event = yield from connection.event(None)
                 if isinstance(event, h11.Data):
                     for line in lines.feed(bytes(event.data)):
-                        self._links.heard(self._name, line)
+                        self._links.handle_line(self._name, line)
                 elif not isinstance(event, h11.Response) or event.status_code != 200:
                     return
         finally:
@@ -122,19 +122,19 @@
                 return
 
 
-class Links:
+class WitnessLinks:
     """All of one process."""
 
     def __init__(
-        self, guard: Guard, loop: Loop, swim: Swim, host: str, me: tuple[str, int], names: list[str]
+        self, guard: TakeoverCoordinator, loop: Loop, swim: Swim, host: str, me: tuple[str, int], names: list[str]
     ) -> None:
         self.guard, self.loop, self._swim, self.host, self.me = guard, loop, swim, host, me
         self._lives: dict[str, int] = {}  # the latest of each owner's processes that has spoken here
         self._speaking: Counter[tuple[str, int]] = Counter()  # connections of processes that are open
         self._ending: set[tuple[str, int]] = set()  # processes that go as planned, and finish what they have
-        self._links = {name: Link(self, name) for name in names if name != me[0]}
-        self.asks: Callable[[str], None] = lambda name: None
-        guard.tell, guard.lives = self._tell, self.lives
+        self._links = {name: WitnessLink(self, name) for name in names if name != me[0]}
+        self.on_link_lost: Callable[[str], None] = lambda name: None
+        guard.send, guard.is_reachable = self._tell, self.lives
 
     def address(self, name: str) -> Address | None:
         """Where a member is, if it is there."""
@@ -151,14 +151,14 @@
         if link is not None:
             link.say(word)
 
-    def broke(self, name: str) -> None:
+    def link_lost(self, name: str) -> None:
         """A witness's connection has ended: is it there?"""
-        self.asks(name)
+        self.on_link_lost(name)
 
-    def heard(self, name: str, line: bytes) -> None:
+    def handle_line(self, name: str, line: bytes) -> None:
         """A witness's line."""
         try:
-            self.guard.reply(name, unpack(line))
+            self.guard.handle_reply(name, unpack(line))
         except Unreadable as error:
             say(log, events.TAKEOVER_UNREADABLE, peer=name, reason=str(error))
 
@@ -179,7 +179,7 @@
                         who = self._hello(line)
                         continue
                     try:
-                        said.append(pack(self.guard.heard(unpack(line))))
+                        said.append(pack(self.guard.handle_message(unpack(line))))
                     except Unreadable as error:
                         say(log, events.TAKEOVER_UNREADABLE, peer=who[0], reason=str(error))
                 if said:
--- a/heronstall/ops/detail.py
+++ b/heronstall/ops/detail.py
@@ -43,7 +43,7 @@
     return time.process_time_ns() // 1000, resident_kb()
 
 
-class Detail:
+class DetailedMetrics:
     """Counts by class, histograms, and what this process is. Free of I/O but for its own memory's size."""
 
     def __init__(
@@ -74,7 +74,7 @@
                 cls = self._classes[event.cls]
                 late = now + cls.aim + int(cls.stretch * (event.work or 0))
                 self._open[event.request] = (event.cls, now, late)
-                self.taken(event.cls)
+                self.record_accepted(event.cls)
             elif isinstance(event, i.ClientGone):
                 self._end(now, event.request, "gone")
         for action in said:
@@ -85,7 +85,7 @@
             elif isinstance(action, i.Fail):
                 self._end(now, action.request, "failed")
 
-    def taken(self, cls: int) -> None:
+    def record_accepted(self, cls: int) -> None:
         """A job has come whole."""
         self._counts["taken"][cls] += 1
 
@@ -94,16 +94,16 @@
         if row is None:
             return
         cls, taken, late = row
-        self.ended(cls, how, now - taken, now <= late)
+        self.record_end(cls, how, now - taken, now <= late)
 
-    def ended(self, cls: int, how: str, after: int, intime: bool) -> None:
+    def record_end(self, cls: int, how: str, after: int, intime: bool) -> None:
         """A job that was taken has its end, so many microseconds later."""
         self._counts[how][cls] += 1
         if how == "served":
             self._counts["intime"][cls] += intime
             self._latency[cls].record_value(min(LONGEST, max(1, after // STEP)))
 
-    def delayed(self, by: int) -> None:
+    def record_loop_delay(self, by: int) -> None:
         """A call of the loop came so many microseconds after it was due."""
         self._loop.record_value(min(LONGEST, max(1, by // STEP)))
 
@@ -130,10 +130,10 @@
             yield f"latency.{name}", self._latency[n].encode().decode()
 
 
-class Alarms(logging.Handler):
+class AlarmCounter(logging.Handler):
     """Counts the log lines by which this program's own guards say that a rule was about to break."""
 
-    def __init__(self, detail: Detail) -> None:
+    def __init__(self, detail: DetailedMetrics) -> None:
         super().__init__(logging.ERROR)
         self._detail = detail
 
--- a/heronstall/ops/state_files.py
+++ b/heronstall/ops/state_files.py
@@ -24,7 +24,7 @@
 
 import ujson
 
-from heronstall.ops.bans import Word
+from heronstall.ops.bans import TimedFlag
 
 FORMAT, VERSION = "heronstall.state", 1
 LARGEST = 1024 * 1024  # bytes of a file
@@ -35,12 +35,12 @@
 class State(NamedTuple):
     """What a process has heard by hand."""
 
-    bans: list[tuple[str, Word]]
-    drain: Word | None  # out: drained
+    bans: list[tuple[str, TimedFlag]]
+    drain: TimedFlag | None  # out: drained
     alive: bool = True  # whether whoever wrote it is
 
 
-class Wrong(NamedTuple):
+class InvalidFile(NamedTuple):
     """A file that cannot be used, and why."""
 
     path: str
@@ -50,7 +50,7 @@
 def pack(node: str, state: State) -> bytes:
     """A state as a file holds it."""
     told = {
-        "bans": [[uid, word.at, word.out] for uid, word in state.bans],
+        "bans": [[uid, word.at_us, word.out] for uid, word in state.bans],
         "drain": list(state.drain) if state.drain else None,
     }
     whole = {"format": FORMAT, "v": VERSION, "node": node, "sum": crc32(ujson.dumps(told).encode()), **told}
@@ -85,20 +85,20 @@
     return uid
 
 
-def _word(at: Any, out: Any) -> Word:
+def _word(at: Any, out: Any) -> TimedFlag:
     if not isinstance(at, int) or not isinstance(out, bool):
         raise ValueError(at)
-    return Word(at, out)
+    return TimedFlag(at, out)
 
 
-class Folder:
+class StateDirectory:
     """The files of one dispatcher's processes. Raises OSError at the start only, where it cannot be used."""
 
     def __init__(self, folder: Path, node: str) -> None:
         self._folder, self._node = folder, node
         safe = "".join(letter if letter.isalnum() else "_" for letter in node)
-        self.stem = f"heronstall-{safe}-"
-        self._mine = folder / f"{self.stem}{os.urandom(6).hex()}"
+        self.file_prefix = f"heronstall-{safe}-"
+        self._mine = folder / f"{self.file_prefix}{os.urandom(6).hex()}"
         self._lock = os.open(f"{self._mine}{LOCK}", os.O_CREAT | os.O_RDWR | os.O_CLOEXEC, 0o600)
         fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         self._changed, self._settled = -1, False  # the folder's time of change when it was read last
@@ -111,7 +111,7 @@
             file.write(pack(self._node, state))
         os.replace(aside, f"{self._mine}{STATE}")
 
-    def read(self) -> Iterator[State | Wrong]:
+    def read(self) -> Iterator[State | InvalidFile]:
         """The others' states that are new since the last call. Raises OSError."""
         changed = os.stat(self._folder).st_mtime_ns
         if changed == self._changed and self._settled:
@@ -131,11 +131,11 @@
             except FileNotFoundError:
                 continue  # its process has just gone
             except (OSError, ValueError) as error:
-                yield Wrong(str(path), str(error))
+                yield InvalidFile(str(path), str(error))
             else:
                 yield state._replace(alive=self._alive(path))
 
-    def sweep(self) -> None:
+    def remove_stale_files(self) -> None:
         """Remove what dead processes have left. To be called once their states are read and written anew."""
         for path in self._others():
             if not self._alive(path):
@@ -145,7 +145,7 @@
 
     def _others(self) -> list[Path]:
         """The other processes' state files, in a fixed order."""
-        found = sorted(self._folder.glob(f"{self.stem}*{STATE}"))
+        found = sorted(self._folder.glob(f"{self.file_prefix}*{STATE}"))
         return [path for path in found if not path.name.startswith(self._mine.name)]
 
     def _alive(self, path: Path) -> bool:
--- a/tests/test_admin_endpoint.py
+++ b/tests/test_admin_endpoint.py
@@ -14,9 +14,9 @@
 from heronstall.net.admin_endpoint import CALLERS, LINE
 from heronstall.net.dispatcher import FATE
 from heronstall.net.loop import Loop
-from heronstall.net.takeover.coordinator import Guard
+from heronstall.net.takeover.coordinator import TakeoverCoordinator
 from heronstall.operator import TakeoverFile
-from heronstall.ops.counters import Figures
+from heronstall.ops.counters import JobCounters
 from heronstall.ops.detail import COUNTS
 from tests.test_net import Peer, Story, raw_config
 
@@ -113,7 +113,7 @@
         self.story()
 
     def test_a_planted_miscount_of_attempts_is_seen(self) -> None:
-        with mock.patch.object(Figures, "forwarded", lambda figures: None), self.assertRaises(AssertionError):
+        with mock.patch.object(JobCounters, "record_forward", lambda figures: None), self.assertRaises(AssertionError):
             self.story()
 
     def test_a_planted_miscount_of_those_who_leave_is_seen(self) -> None:
@@ -145,9 +145,9 @@
         self.assertTrue(self.call("TAKEOVER").startswith("NO takeover is off"))
         assert self.program.daily is not None
         told = TakeoverFile((("n0",), ("n1",), ("n2",)))
-        guard = Guard(self.program.config, told, self.loop, "n0", 1)
-        guard.begin(self.program.dispatcher)
-        self.program.daily.operations.takeover = guard.figures
+        guard = TakeoverCoordinator(self.program.config, told, self.loop, "n0", 1)
+        guard.start(self.program.dispatcher)
+        self.program.daily.operations.takeover_figures = guard.figures
         self.assertEqual(self.call("INFO").count("takeover"), 0)  # as its page words it
         self.ask("unsafe")  # without an identity
         self.dispatched()
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -170,7 +170,7 @@
         self.address = self.front._listener.getsockname()
         if self.operated:
             assert self.program.daily is not None
-            self.door = self.program.daily.door._listener.getsockname()
+            self.door = self.program.daily.admin_endpoint._listener.getsockname()
         self.watch = self.accept(self.discovery)
 
     def table(
--- a/tests/test_replacement.py
+++ b/tests/test_replacement.py
@@ -18,8 +18,8 @@
 from pathlib import Path
 from typing import Any
 
-from heronstall.ops.bans import KEPT, Bans, Word
-from heronstall.ops.state_files import Folder, State, Wrong, pack, unpack
+from heronstall.ops.bans import KEPT, Bans, TimedFlag
+from heronstall.ops.state_files import StateDirectory, State, InvalidFile, pack, unpack
 from tests.test_net import PATIENCE, ROOT, SETTINGS, STREAM, Peer, at, listener, raw_config
 
 CROWD = 400  # connections: more than the way between two processes holds at a time
@@ -226,7 +226,7 @@
 
     def test_it_goes_on_when_either_dies_and_with_a_folder_full_of_nonsense(self) -> None:
         stem = "heronstall-n-"
-        good = pack("n", State([("s-0", Word(1, True))], None))
+        good = pack("n", State([("s-0", TimedFlag(1, True))], None))
         for name, data in (
             ("cut", good[:-9]),
             ("damaged", good.replace(b"s-0", b"s-1")),
@@ -272,40 +272,40 @@
 class Files(unittest.TestCase):
     def test_books_come_to_the_same_in_any_order_and_the_newest_word_wins(self) -> None:
         one, other = Bans(), Bans()
-        self.assertTrue(one.put("a", True, 10))
-        self.assertFalse(one.put("a", True, 20))
-        self.assertEqual(one.since("a"), 10)
+        self.assertTrue(one.set_banned("a", True, 10))
+        self.assertFalse(one.set_banned("a", True, 20))
+        self.assertEqual(one.banned_since("a"), 10)
         self.assertEqual(other.merge(one.rows()), ["a"])
-        self.assertTrue(other.put("a", False, 5))  # its clock is behind: newer all the same
-        self.assertTrue(one.put("b", True, 30))
+        self.assertTrue(other.set_banned("a", False, 5))  # its clock is behind: newer all the same
+        self.assertTrue(one.set_banned("b", True, 30))
         for mine, theirs in ((one, other), (other, one), (one, other)):
             mine.merge(theirs.rows())
         self.assertEqual(one.rows(), other.rows())
-        self.assertIsNone(one.since("a"))
-        self.assertEqual(one.back("a"), 11)
+        self.assertIsNone(one.banned_since("a"))
+        self.assertEqual(one.readmitted_at("a"), 11)
         for n in range(KEPT + 10):
-            one.put(f"x{n}", True, 100 + n)
-            one.put(f"x{n}", False, 200 + n)
-        self.assertEqual((len(one.rows()), one.since("b")), (KEPT, 30))
+            one.set_banned(f"x{n}", True, 100 + n)
+            one.set_banned(f"x{n}", False, 200 + n)
+        self.assertEqual((len(one.rows()), one.banned_since("b")), (KEPT, 30))
 
     def test_a_state_is_read_back_and_whatever_is_not_one_is_told_once(self) -> None:
-        state = State([("a", Word(1, True)), ("b", Word(2, False))], Word(3, True))
+        state = State([("a", TimedFlag(1, True)), ("b", TimedFlag(2, False))], TimedFlag(3, True))
         self.assertEqual(unpack("n", pack("n", state)), state)
         for data in (b"", b"[]", b"{}", pack("n", state)[:-1], b'{"format":"heronstall.state","v":1}'):
             with self.assertRaises(ValueError):
                 unpack("n", data)
         with tempfile.TemporaryDirectory() as name:
             folder = Path(name)
-            mine, other = Folder(folder, "n"), Folder(folder, "n")
+            mine, other = StateDirectory(folder, "n"), StateDirectory(folder, "n")
             other.write(state)
             mine.write(State([], None))
-            (folder / f"{mine.stem}bad.state").write_bytes(b"{")
+            (folder / f"{mine.file_prefix}bad.state").write_bytes(b"{")
             found = list(mine.read())
             self.assertEqual([s for s in found if isinstance(s, State)], [state])
-            self.assertEqual(sum(isinstance(s, Wrong) for s in found), 1)
+            self.assertEqual(sum(isinstance(s, InvalidFile) for s in found), 1)
             self.assertEqual(list(mine.read()), [])
             os.close(other._lock)  # as its process's end does
-            mine.sweep()
+            mine.remove_stale_files()
             self.assertEqual(len(list(folder.glob("*.state"))), 1)
 
 
--- a/tests/versions.py
+++ b/tests/versions.py
@@ -166,16 +166,16 @@
 
 
 def _leaks(program: Any) -> None:
-    from heronstall.ops.detail import Detail
+    from heronstall.ops.detail import DetailedMetrics
 
     held: list[bytes] = []
-    before = Detail.delayed
+    before = DetailedMetrics.record_loop_delay
 
-    def delayed(self: Detail, by: int) -> None:
+    def delayed(self: DetailedMetrics, by: int) -> None:
         held.append(os.urandom(1024) * (LEAK // 1024))
         before(self, by)
 
-    Detail.delayed = delayed  # type: ignore[method-assign]
+    DetailedMetrics.record_loop_delay = delayed  # type: ignore[method-assign]
 
 
 def _wastes(program: Any) -> None:
@@ -200,7 +200,7 @@
     from heronstall.membership.messages import pack as real
     from heronstall.net.peers import service
 
-    line = service.Peers.line
+    line = service.PeerService.list_line
 
     def pack(cluster: str, message: Message) -> bytes:
         told = ujson.loads(real(cluster, message))
@@ -211,14 +211,14 @@
         made = ujson.dumps(told, escape_forward_slashes=False).encode()
         return bytes(made) if len(made) <= LARGEST else real(cluster, message)
 
-    def more(self: service.Peers, whole: bool) -> bytes:
+    def more(self: service.PeerService, whole: bool) -> bytes:
         told = line(self, whole)
         if told == b"\n":
             return told
         return bytes(ujson.dumps({**ujson.loads(told), "later": [1]}).encode()) + b"\n"
 
     vars(service)["pack"] = pack
-    service.Peers.line = more  # type: ignore[method-assign]
+    service.PeerService.list_line = more  # type: ignore[method-assign]
 
 
 def _other_words(program: Any) -> None:
