--- a/benchmarks/fuzz.py
+++ b/benchmarks/fuzz.py
@@ -80,12 +80,12 @@
 
 def _word() -> Decoder:
     state = words.State(5, 1, "n0", 7, words.Phase.WRITING, "w1", 1, "", "", "ab", "n0/7/1")
-    told = words.TimedFlag("put", "0/k", 5, 1, state, True, False, words.Job(0, 10**6, "{}"))
+    told = words.Word("put", "0/k", 5, 1, state, True, False, words.Job(0, 10**6, "{}"))
     return Decoder(
         (words.Unreadable,),
         words.unpack,
         words.pack,
-        (words.pack(told), words.pack(words.TimedFlag("ask", "0/k"))),
+        (words.pack(told), words.pack(words.Word("ask", "0/k"))),
     )
 
 
@@ -100,7 +100,7 @@
 
 
 def _sight() -> Decoder:
-    return Decoder((sights.Unreadable,), sights.unpack, None, (sights.pack(sights.TimedFlag("n0", (1, 2), ())),))
+    return Decoder((sights.Unreadable,), sights.unpack, None, (sights.pack(sights.Word("n0", (1, 2), ())),))
 
 
 def _state() -> Decoder:
--- a/heronstall/__main__.py
+++ b/heronstall/__main__.py
@@ -128,7 +128,9 @@
         from heronstall.ops.detail import AlarmCounter, DetailedMetrics
 
         config, loop, figures = self.config, self._loop, self.dispatcher.figures
-        detail = DetailedMetrics(list(config.classes), config.settings.classes, loop.now + self._offset, os.environ)
+        detail = DetailedMetrics(
+            list(config.classes), config.settings.classes, loop.now + self._offset, os.environ
+        )
         detail.attempts, detail.connects = lambda: figures.forwards, lambda: self._pool.connects
         self.daily.operations.detail_figures = detail.rows
         logging.getLogger("heronstall").addHandler(AlarmCounter(detail))
--- a/heronstall/model/rollouts.py
+++ b/heronstall/model/rollouts.py
@@ -70,11 +70,11 @@
         self.sent += [now for action in said if isinstance(action, i.Send)]
         self.asked += [now for action in said if isinstance(action, i.Probe)]
 
-    def _end(self, now: int, request: int, how: str) -> None:
-        row = self._open.pop(request, None)
+    def _end_request(self, now: int, request: int, end: str) -> None:
+        row = self._open_requests.pop(request, None)
         if row is not None:
             cls, taken, late = row
-            self.jobs.append(Job(now, cls, how, now - taken, late - taken))
+            self.jobs.append(Job(now, cls, end, now - taken, late - taken))
 
 
 def evening(scenario: Scenario, seed: int) -> Evening:
--- a/heronstall/net/admin_endpoint.py
+++ b/heronstall/net/admin_endpoint.py
@@ -1,4 +1,7 @@
-"""The operators' door: a line for a call, a line for the reply. The only file that knows its words."""
+"""The admin endpoint: one command line per connection, answered with one reply.
+
+This is the only module that knows the text protocol.
+"""
 
 from __future__ import annotations
 
@@ -12,37 +15,37 @@
 from heronstall.net.loop import READ, Coroutine, Loop, Task, sleep
 from heronstall.net.operations import Operations, Reply
 
-CALLERS = 16  # at a time; the one longest without a whole line makes room for a new one
-BACKLOG = 256  # a crowd that connects at once must not keep a call from coming up
-LINE = 256  # bytes of a call at the most
-CALL_TIME = 6_000_000  # for a call to come whole
-REPLY_TIME = 2_000_000  # for a caller to read its reply
-ACCEPT_PAUSE = 20_000
+MAX_CONNECTIONS = 16  # when exceeded, the oldest connection without a complete line is closed
+BACKLOG = 256  # leaves room for an operator's connection when many clients connect at once
+MAX_LINE_BYTES = 256
+COMMAND_TIMEOUT_US = 6_000_000  # for a complete command line to arrive
+REPLY_TIMEOUT_US = 2_000_000  # for the client to read its reply
+ACCEPT_PAUSE_US = 20_000  # after a failed accept
 END = "END\n"
-FIGURES = ("INFO", "DETAIL", "TAKEOVER")
-QUIET = (b"PING", b"INFO", b"DETAIL", b"TAKEOVER")  # machines ask these every second: not worth a log line
+FIGURE_COMMANDS = ("INFO", "DETAIL", "TAKEOVER")
+UNLOGGED = (b"PING", b"INFO", b"DETAIL", b"TAKEOVER")  # monitoring sends these every second
 log = logging.getLogger("heronstall.door")
 
 
 class AdminEndpoint:
-    """Listens for operators and carries their calls to `Operations`."""
+    """Listens for operators' commands and passes them to `Operations`."""
 
     def __init__(self, loop: Loop, address: Address, operations: Operations) -> None:
         self._loop, self._operations = loop, operations
-        self._calls: dict[str, Callable[[], Reply]] = {
+        self._commands: dict[str, Callable[[], Reply]] = {
             "PING": operations.ping,
             "LAMEDUCK": operations.lameduck,
             "REJOIN": operations.rejoin,
         }
-        self._calls_on: dict[str, Callable[[str], Reply]] = {
+        self._server_commands: dict[str, Callable[[str], Reply]] = {
             "DETACH": operations.detach,
             "ATTACH": operations.attach,
         }
-        self._callers: dict[Stream, Task] = {}  # in the order in which they came
+        self._connections: dict[Stream, Task] = {}  # oldest first
         self._listener = listen(address, BACKLOG)
         host, port = self._listener.getsockname()[:2]
         say(log, events.DOOR_OPEN, host=host, port=port)
-        self._accepting = loop.spawn(self._accept(), "the door")
+        self._accept_task = loop.spawn(self._accept(), "the admin endpoint")
 
     def _accept(self) -> Coroutine[None]:
         while True:
@@ -54,61 +57,61 @@
                 continue
             except OSError as error:
                 say(log, events.ACCEPT_FAILED, reason=str(error))
-                self._make_room()
-                yield from sleep(self._loop.now + ACCEPT_PAUSE)
+                self._close_oldest()
+                yield from sleep(self._loop.now + ACCEPT_PAUSE_US)
             else:
-                if len(self._callers) >= CALLERS:
-                    self._make_room()
+                if len(self._connections) >= MAX_CONNECTIONS:
+                    self._close_oldest()
                 sock.setblocking(False)
-                caller = Stream(self._loop, sock)
-                self._callers[caller] = self._loop.spawn(self._serve(caller), "a call at the door")
+                stream = Stream(self._loop, sock)
+                self._connections[stream] = self._loop.spawn(self._serve(stream), "an admin connection")
 
-    def _make_room(self) -> None:
-        """Guards those who call against those who only hold a connection."""
-        for caller, task in list(self._callers.items())[:1]:
+    def _close_oldest(self) -> None:
+        """Closes the oldest connection, so that idle connections cannot keep commands out."""
+        for stream, task in list(self._connections.items())[:1]:
             task.kill()
-            self._ended(caller)  # a coroutine that has yet to begin ends without its `finally`
+            self._release(stream)  # a coroutine that has not started yet ends without its `finally`
 
-    def _ended(self, caller: Stream) -> None:
-        self._callers.pop(caller, None)
-        caller.close()
+    def _release(self, stream: Stream) -> None:
+        self._connections.pop(stream, None)
+        stream.close()
 
-    def _serve(self, caller: Stream) -> Coroutine[None]:
+    def _serve(self, stream: Stream) -> Coroutine[None]:
         try:
-            line = yield from self._line(caller)
+            line = yield from self._read_line(stream)
             if line is None:
                 return
             reply = self.reply(line)
-            if line.strip() not in QUIET:
-                call = line.decode("ascii", "backslashreplace").strip()
-                say(log, events.CALL, call=call[:LINE], reply=reply.strip())
-            yield from caller.write(reply.encode(), self._loop.now + REPLY_TIME)
+            if line.strip() not in UNLOGGED:
+                command = line.decode("ascii", "backslashreplace").strip()
+                say(log, events.CALL, call=command[:MAX_LINE_BYTES], reply=reply.strip())
+            yield from stream.write(reply.encode(), self._loop.now + REPLY_TIMEOUT_US)
         except Ended:
-            pass  # nobody is left to tell
+            pass  # the client has disconnected
         finally:
-            self._ended(caller)
+            self._release(stream)
 
-    def _line(self, caller: Stream) -> Coroutine[bytes | None]:
-        """The call's line, or as much as came of it in time; None from a caller that left without a word."""
-        until = self._loop.now + CALL_TIME
-        while len(caller.buffer) <= LINE:
+    def _read_line(self, stream: Stream) -> Coroutine[bytes | None]:
+        """Returns the command line, or the part that arrived in time; None if the client sent nothing."""
+        deadline = self._loop.now + COMMAND_TIMEOUT_US
+        while len(stream.buffer) <= MAX_LINE_BYTES:
             try:
-                got = caller.buffer.fill(caller.sock)
+                received = stream.buffer.fill(stream.sock)
             except BlockingIOError:
-                if not (yield caller.sock.fileno(), READ, until):
-                    return caller.buffer.rest()
+                if not (yield stream.sock.fileno(), READ, deadline):
+                    return stream.buffer.rest()
             except OSError as error:
                 raise Ended(Ending.BROKEN, str(error)) from None
             else:
-                line = caller.buffer.line()
+                line = stream.buffer.line()
                 if line is not None:
                     return line
-                if not got:  # some tools end their sending in place of the line
-                    return caller.buffer.rest() or None
-        return caller.buffer.rest()[:LINE]
+                if not received:  # some tools close their sending side instead of ending the line
+                    return stream.buffer.rest() or None
+        return stream.buffer.rest()[:MAX_LINE_BYTES]
 
     def reply(self, line: bytes) -> str:
-        """What is said to a call."""
+        """Executes a command line and returns the reply."""
         try:
             words = line.decode("ascii").split()
         except UnicodeDecodeError:
@@ -118,24 +121,28 @@
                 rows = "".join(f"svc.{name}={figure}\n" for name, figure in self._operations.figures())
                 return rows + END
             case ["DETAIL"]:
-                return _rows(self._operations.detail_figures, "figures.detail")
+                return _format_rows(self._operations.detail_figures, "figures.detail")
             case ["TAKEOVER"]:
-                return _rows(self._operations.takeover_figures, "takeover")
-            case [word] if word in self._calls:
-                return _said(self._calls[word]())
-            case [word, uid] if word in self._calls_on:
-                return _said(self._calls_on[word](uid))
-            case [word, *_] if word in FIGURES or word in self._calls or word in self._calls_on:
-                return f"NO {word} wants {'one id' if word in self._calls_on else 'nothing else'}\n"
+                return _format_rows(self._operations.takeover_figures, "takeover")
+            case [command] if command in self._commands:
+                return _format_reply(self._commands[command]())
+            case [command, uid] if command in self._server_commands:
+                return _format_reply(self._server_commands[command](uid))
+            case [command, *_] if (
+                command in FIGURE_COMMANDS or command in self._commands or command in self._server_commands
+            ):
+                return (
+                    f"NO {command} wants {'one id' if command in self._server_commands else 'nothing else'}\n"
+                )
         return "NO such call\n"
 
 
-def _rows(figures: Callable[[], Iterable[tuple[str, str]]] | None, key: str) -> str:
-    """Further figures; `key`: what asks for them in the operator's file."""
+def _format_rows(figures: Callable[[], Iterable[tuple[str, str]]] | None, key: str) -> str:
+    """Formats optional figures; `key` is the operator setting that enables them."""
     if figures is None:
         return f"NO {key} is off in the operator's file\n"
     return "".join(f"svc.{name}={figure}\n" for name, figure in figures()) + END
 
 
-def _said(reply: Reply) -> str:
-    return f"{'YES' if reply.good else 'NO'} {reply.text}\n"
+def _format_reply(reply: Reply) -> str:
+    return f"{'YES' if reply.ok else 'NO'} {reply.text}\n"
--- a/heronstall/net/administration.py
+++ b/heronstall/net/administration.py
@@ -1,7 +1,7 @@
-"""What an operator's address brings: the door, the book and the succession, put together.
+"""Daily operation: combines the admin endpoint, the operators' shared state and the handover.
 
-Imported only where such an address is told. Guards starts on all other days: the program is read and compiled
-anew at each of them, and after a mass kill they are what clients wait for.
+Imported only where an operator address is configured. Every start reads and compiles the program anew, and
+after a mass kill clients wait for those starts, so unused modules must not add to their duration.
 """
 
 from __future__ import annotations
@@ -11,12 +11,12 @@
 from typing import Any
 
 from heronstall.config import Address, Config, ConfigError
-from heronstall.net.admin_endpoint import CALLERS, AdminEndpoint
+from heronstall.net.admin_endpoint import MAX_CONNECTIONS, AdminEndpoint
 from heronstall.net.backend import Pool
 from heronstall.net.book import Book
 from heronstall.net.dispatcher import Dispatcher
 from heronstall.net.frontend import Frontend
-from heronstall.net.handover import Sharing, ProcessHandover, claim
+from heronstall.net.handover import ProcessHandover, Sharing, connect_predecessor
 from heronstall.net.loop import Loop
 from heronstall.net.operations import Operations
 from heronstall.net.server_table import ServerTable
@@ -25,9 +25,9 @@
 
 
 class Administration:
-    """Daily operation of one process. Made before anything is sent, begun once everything else stands."""
+    """Daily operation of one process. Created before anything is sent; started after all other parts."""
 
-    descriptors = CALLERS  # that it needs beside those of clients and servers
+    descriptors = MAX_CONNECTIONS  # needed in addition to those of clients and servers
 
     def __init__(
         self,
@@ -37,20 +37,20 @@
         offset: int,
         bans: Bans,
         shutdown: GracefulShutdown,
-        folder: Path | None,
+        directory: Path | None,
     ) -> None:
         self._config, self._address, self._loop, self._shutdown = config, address, loop, shutdown
         self._book = Book(loop, offset, bans, shutdown)
-        self._path: Path | None = None
-        self._claimed = None
-        self._succession: ProcessHandover | None = None
-        if folder is not None:
-            self._book.open(folder, config.name)
-            self._path = folder / f"heronstall-{config.name}.sock".replace("/", "_")
-            self._claimed = claim(self._path, config.name, config.listen)
-        # What the process before has handed over, if one runs.
-        self.inherited_listener = self._claimed.listener if self._claimed else None
-        self.inherited_server_list: Any = self._claimed.table if self._claimed else None
+        self._socket_path: Path | None = None
+        self._predecessor = None
+        self._handover: ProcessHandover | None = None
+        if directory is not None:
+            self._book.open(directory, config.name)
+            self._socket_path = directory / f"heronstall-{config.name}.sock".replace("/", "_")
+            self._predecessor = connect_predecessor(self._socket_path, config.name, config.listen)
+        # What a running predecessor has handed over, if there is one.
+        self.inherited_listener = self._predecessor.listener if self._predecessor else None
+        self.inherited_server_list: Any = self._predecessor.server_list if self._predecessor else None
         self.admin_endpoint: AdminEndpoint
         self.operations: Operations
 
@@ -60,24 +60,25 @@
         table: ServerTable,
         frontend: Frontend,
         pool: Pool,
-        taking: Callable[[], bool],
-        half: Callable[[int], int],
+        accepting: Callable[[], bool],
+        descriptor_limit: Callable[[int], int],
     ) -> None:
-        """Open the door, be heir of the process before, and be ready for the one that comes after.
+        """Opens the admin endpoint, succeeds a running predecessor and waits for a successor.
 
-        `half`: descriptors for clients, and as many for servers, where so many processes share them. Raises
-        ConfigError for an address of no use.
+        `descriptor_limit` returns how many descriptors clients may use, and servers likewise, when the given
+        number of processes share them. Raises ConfigError for an unusable address.
         """
-        self._frontend, self._pool, self._half = frontend, pool, half
-        if self._path is not None:
+        self._frontend, self._pool, self._descriptor_limit = frontend, pool, descriptor_limit
+        if self._socket_path is not None:
             self._book.follow(table)
-            self._succeed(self._path, table, taking)
+            self._start_handover(self._socket_path, table, accepting)
 
-        def begun() -> bool:
-            # Guards against a yes that has the process before stopped while it knows of no heir yet.
-            return taking() if self._succession is None else self._succession.begun
+        def announced() -> bool:
+            # PING must not succeed earlier: whoever sees it may stop the predecessor, which would not yet
+            # know its successor.
+            return accepting() if self._handover is None else self._handover.announced
 
-        self.operations = operations = Operations(dispatcher, table, self._shutdown, begun)
+        self.operations = operations = Operations(dispatcher, table, self._shutdown, announced)
         operations.on_change = self._book.changed
         try:
             self.admin_endpoint = AdminEndpoint(self._loop, self._address, operations)
@@ -85,33 +86,33 @@
             host, port = self._address
             raise ConfigError(f"operator: cannot listen on {host}:{port}: {error}") from None
 
-    def _succeed(self, path: Path, table: ServerTable, taking: Callable[[], bool]) -> None:
+    def _start_handover(self, path: Path, table: ServerTable, accepting: Callable[[], bool]) -> None:
         config, frontend = self._config, self._frontend
-        self._succession = succession = ProcessHandover(
-            self._loop, path, config.name, config.listen, frontend.listener, taking, table.whole
+        self._handover = handover = ProcessHandover(
+            self._loop, path, config.name, config.listen, frontend.listener, accepting, table.whole
         )
-        succession.adopt, succession.know = frontend.adopt, frontend.know
-        succession.shared, succession.orphaned = self._share, frontend.take_back
-        succession.heired = self.hand_over
-        if self._claimed is not None:
-            succession.inherit(self._claimed.channel)
-        succession.begin()
-
-    def _share(self, share: Sharing) -> None:
-        """Whether two processes have the dispatcher's room together.
-
-        Each has half of it, until one leaves: then each client's connection is with one of the two, and what
-        is left in the other are a few.
+        handover.adopt_connection, handover.add_known_ids = frontend.adopt, frontend.know
+        handover.on_sharing_changed, handover.on_successor_lost = self._apply_sharing, frontend.take_back
+        handover.on_successor_ready = self.hand_over
+        if self._predecessor is not None:
+            handover.inherit(self._predecessor.channel)
+        handover.announce()
+
+    def _apply_sharing(self, sharing: Sharing) -> None:
+        """Adjusts the limits to whether two processes share the dispatcher's descriptors and memory.
+
+        Each has half of the descriptors until one of them stops. From then on each client connection belongs
+        to one of the two, and the stopping one holds only a few.
         """
-        half = self._half(1 if share is Sharing.ALONE else 2)
-        self._pool.limit(half)
-        clients = self._half(1) * 7 // 8 if share is Sharing.AFTER else half
-        self._frontend.share(clients, share is not Sharing.ALONE)
+        limit = self._descriptor_limit(1 if sharing is Sharing.NONE else 2)
+        self._pool.limit(limit)
+        clients = self._descriptor_limit(1) * 7 // 8 if sharing is Sharing.WITH_STOPPING_PROCESS else limit
+        self._frontend.share(clients, sharing is not Sharing.NONE)
 
     def hand_over(self) -> None:
-        """Leave clients to the heir, if there is one and a signal has come, whichever came first."""
+        """Hands the clients to the successor once there is one and a signal has arrived, in either order."""
         stopping = self._shutdown.stage is Stage.STOPPING
-        if stopping and self._succession is not None and self._succession.heir:
-            self._succession.leave(self._frontend.ids())
+        if stopping and self._handover is not None and self._handover.has_successor:
+            self._handover.leave(self._frontend.ids())
             self._pool.rest()
-            self._frontend.hand_over(self._succession.pass_on)
+            self._frontend.hand_over(self._handover.pass_connection)
--- a/heronstall/net/book.py
+++ b/heronstall/net/book.py
@@ -11,7 +11,7 @@
 from heronstall.net.server_table import ServerTable
 from heronstall.net.shutdown import GracefulShutdown
 from heronstall.ops.bans import Bans, TimedFlag
-from heronstall.ops.state_files import StateDirectory, State, InvalidFile
+from heronstall.ops.state_files import InvalidFile, State, StateDirectory
 
 LOOK = 200_000  # between looks at what the others have heard: a tenth of the least drain grace met so far
 log = logging.getLogger("heronstall.book")
--- a/heronstall/net/dispatcher.py
+++ b/heronstall/net/dispatcher.py
@@ -19,7 +19,7 @@
 from heronstall.net.connection import OUTCOME, Ending
 from heronstall.net.loop import Coroutine, Task
 from heronstall.net.server_table import BackendServer
-from heronstall.ops.counters import JobResult, JobCounters
+from heronstall.ops.counters import JobCounters, JobResult
 
 REPORT_EVERY = 10_000_000
 # What each kind of answer was to the client. One that has left counts as failed: nobody was served.
--- a/heronstall/net/handover.py
+++ b/heronstall/net/handover.py
@@ -1,10 +1,10 @@
-"""Two processes, one dispatcher: a running process hands its successor the listening socket and its clients.
+"""Handover between two processes of one dispatcher: the listening socket and the client connections.
 
-A Unix socket in the shared folder, one message a packet, descriptors beside it (SCM_RIGHTS). The successor
-says hello and gets the listener: there is one accept queue, which nobody ever closes. Once it takes clients
-it says so and puts its own socket in the place of the old one. When the old process is told to stop, each
-client connection that idles changes its owner: its client sees nothing, and what it sends meanwhile waits in
-the kernel for whoever reads next.
+The processes talk over a Unix socket in the shared directory, one message per packet, with file descriptors
+attached (SCM_RIGHTS). A successor introduces itself and receives the listener, so there is one accept queue,
+which is never closed. Once it accepts clients it announces that and puts its own socket in place of the
+old one. When the old process is told to stop, each idle client connection changes its owner. The client
+does not notice: what it sends meanwhile stays in the kernel until the next owner reads it.
 """
 
 from __future__ import annotations
@@ -26,11 +26,13 @@
 from heronstall.net.loop import READ, Coroutine, Loop, Task, sleep
 
 VERSION = 1
-PACKET = 200 * 1024  # bytes of a message at the most; a server list beyond it stays behind
-HELLO_TIME = 1.0  # seconds that a successor waits, before it serves anything, for a running process
-LOOK = 20_000  # between looks at whether this process takes clients by now
-IDS_AT_ONCE = 512
-NAME_LIMIT = 100  # bytes of a Unix socket's path
+MAX_PACKET_BYTES = 200 * 1024  # a larger server list is not handed over
+HELLO_TIMEOUT_S = (
+    1.0  # how long a starting process waits for a running one's answer, before it serves anything
+)
+RETRY_DELAY_US = 20_000  # between checks whether this process accepts clients, and after a failed accept
+IDS_PER_PACKET = 512
+MAX_SOCKET_PATH_BYTES = 100  # the kernel limits the path of a Unix socket
 log = logging.getLogger("heronstall.succession")
 
 
@@ -39,50 +41,50 @@
 
     channel: socket.socket
     listener: socket.socket
-    table: Any  # its server list in discovery's form, or None
+    server_list: Any  # in the discovery service's form, or None
 
 
-def _packet(**told: Any) -> bytes:
-    return ujson.dumps({"v": VERSION, **told}).encode()
+def _packet(**fields: Any) -> bytes:
+    return ujson.dumps({"v": VERSION, **fields}).encode()
 
 
-def _read(data: bytes) -> dict[str, Any]:
-    """A message. Raises ValueError."""
-    told = ujson.loads(data)
-    if not isinstance(told, dict) or told.get("v") != VERSION:
+def _parse(data: bytes) -> dict[str, Any]:
+    """Parses a message. Raises ValueError."""
+    message = ujson.loads(data)
+    if not isinstance(message, dict) or message.get("v") != VERSION:
         raise ValueError("a message of another version")
-    return told
+    return message
 
 
 @contextlib.contextmanager
-def _reachable(path: Path) -> Iterator[str]:
-    """The path, or a short one to the same place: a Unix socket's may not be long."""
-    if len(os.fsencode(path)) <= NAME_LIMIT:
+def _socket_name(path: Path) -> Iterator[str]:
+    """Yields the path, or a short alias of it where the path is too long for a Unix socket."""
+    if len(os.fsencode(path)) <= MAX_SOCKET_PATH_BYTES:
         yield str(path)
         return
-    folder = os.open(path.parent, os.O_PATH | os.O_DIRECTORY)
+    directory = os.open(path.parent, os.O_PATH | os.O_DIRECTORY)
     try:
-        yield f"/proc/self/fd/{folder}/{path.name}"
+        yield f"/proc/self/fd/{directory}/{path.name}"
     finally:
-        os.close(folder)
+        os.close(directory)
 
 
-def claim(path: Path, node: str, listen: Address) -> Predecessor | None:
-    """Ask the process that runs, if any, for its listening socket. Blocks, for HELLO_TIME at the most."""
+def connect_predecessor(path: Path, node: str, listen: Address) -> Predecessor | None:
+    """Asks a running process, if any, for its listening socket. Blocks for at most HELLO_TIMEOUT_S."""
     channel = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-    channel.settimeout(HELLO_TIME)
+    channel.settimeout(HELLO_TIMEOUT_S)
     fds: list[int] = []
     try:
-        with _reachable(path) as name:
+        with _socket_name(path) as name:
             channel.connect(name)
         channel.send(_packet(node=node, listen=list(listen)))
-        data, fds, _, _ = socket.recv_fds(channel, PACKET, 1)
-        told = _read(data)
+        data, fds, _, _ = socket.recv_fds(channel, MAX_PACKET_BYTES, 1)
+        message = _parse(data)
         if not fds:
-            raise ValueError(str(told.get("no") or "no listening socket came"))
-        return Predecessor(channel, socket.socket(fileno=fds[0]), told.get("table"))
+            raise ValueError(str(message.get("no") or "no listening socket received"))
+        return Predecessor(channel, socket.socket(fileno=fds[0]), message.get("table"))
     except (FileNotFoundError, ConnectionRefusedError):
-        pass  # nobody runs
+        pass  # no process is running
     except (OSError, ValueError) as error:
         for fd in fds:
             os.close(fd)
@@ -92,15 +94,15 @@
 
 
 class Sharing(enum.Enum):
-    """With whom this process shares what the dispatcher may hold."""
+    """With which other process this one shares the dispatcher's descriptors and memory."""
 
-    ALONE = "nobody"
-    BESIDE = "a process that takes clients as well"
-    AFTER = "a process that hands its clients over"
+    NONE = "no other process"
+    WITH_SERVING_PROCESS = "a process that accepts clients as well"
+    WITH_STOPPING_PROCESS = "a process that hands over its clients"
 
 
 class ProcessHandover:
-    """This process's part: heir of the one before, and predecessor of the next."""
+    """This process's part in handovers: successor of the previous process, predecessor of the next one."""
 
     def __init__(
         self,
@@ -109,36 +111,38 @@
         node: str,
         listen: Address,
         listener: socket.socket,
-        taking: Callable[[], bool],
-        table: Callable[[], Any],
+        accepting: Callable[[], bool],
+        server_list: Callable[[], Any],
     ) -> None:
         self._loop, self._path, self._node, self._listen = loop, path, node, listen
-        self._listener, self._taking, self._table = listener, taking, table
-        self._own: socket.socket | None = None
-        self._serving: Task | None = None
-        self._heir: socket.socket | None = None  # a process that takes clients as well
-        self._before: socket.socket | None = None  # the process that we have come after, while it lives
-        self.adopt: Callable[[socket.socket, bool], None] = lambda sock, proven: sock.close()
-        self.know: Callable[[list[str]], None] = lambda ids: None  # ids of jobs that others had
-        self.begun = False  # this process has told the one before that it takes clients
-        self.heired: Callable[[], None] = lambda: None  # an heir takes clients from now on
-        self.shared: Callable[[Sharing], None] = lambda share: None  # with whom this process shares the room
-        self.orphaned: Callable[[bool], None] = lambda alone: None  # the heir has gone; whether all have
-
-    # ------------------------------------------------------------------ heir
+        self._listener, self._accepting, self._server_list = listener, accepting, server_list
+        self._own_socket: socket.socket | None = None
+        self._accept_task: Task | None = None
+        self._successor: socket.socket | None = None  # channel to a process that accepts clients as well
+        self._predecessor: socket.socket | None = None  # channel to the previous process, while it lives
+        self.adopt_connection: Callable[[socket.socket, bool], None] = lambda sock, proven: sock.close()
+        self.add_known_ids: Callable[[list[str]], None] = lambda ids: None  # ids of other processes' jobs
+        self.announced = False  # the previous process has been told that this one accepts clients
+        self.on_successor_ready: Callable[[], None] = lambda: None  # a successor accepts clients from now on
+        self.on_sharing_changed: Callable[[Sharing], None] = lambda sharing: None
+        self.on_successor_lost: Callable[[bool], None] = lambda alone: (
+            None
+        )  # whether no other process is left
+
+    # ------------------------------------------------------------------ as the successor
 
     def inherit(self, channel: socket.socket) -> None:
-        """Go on with what the process before hands over."""
+        """Receives what the previous process hands over from now on."""
         channel.setblocking(False)
-        self._before = channel
-        self.shared(Sharing.BESIDE)
-        self._loop.spawn(self._inherit(channel), "inheriting")
+        self._predecessor = channel
+        self.on_sharing_changed(Sharing.WITH_SERVING_PROCESS)
+        self._loop.spawn(self._receive_handover(channel), "inheriting")
 
-    def _inherit(self, channel: socket.socket) -> Coroutine[None]:
-        taken = 0
+    def _receive_handover(self, channel: socket.socket) -> Coroutine[None]:
+        adopted = 0
         while True:
             try:
-                data, fds, _, _ = socket.recv_fds(channel, PACKET, 1)
+                data, fds, _, _ = socket.recv_fds(channel, MAX_PACKET_BYTES, 1)
             except BlockingIOError:
                 yield channel.fileno(), READ, None
                 continue
@@ -148,138 +152,143 @@
                 break
             socks = [socket.socket(fileno=fd) for fd in fds]
             try:
-                told = _read(data)
-                if "ids" in told:
-                    self.know([str(name) for name in told["ids"]])
-                    self.shared(Sharing.AFTER)
+                message = _parse(data)
+                if "ids" in message:
+                    self.add_known_ids([str(name) for name in message["ids"]])
+                    self.on_sharing_changed(Sharing.WITH_STOPPING_PROCESS)
                 for sock in socks:
-                    self.adopt(sock, told.get("proven") is True)
-                    taken += 1
+                    self.adopt_connection(sock, message.get("proven") is True)
+                    adopted += 1
             except (ValueError, TypeError) as error:
                 for sock in socks:
                     sock.close()
                 say(log, events.NOT_HANDED, reason=str(error))
         self._loop.close(channel)
-        self._before = None
-        self.shared(Sharing.ALONE if self._heir is None else Sharing.BESIDE)
-        say(log, events.INHERITED, connections=taken)
+        self._predecessor = None
+        self.on_sharing_changed(Sharing.NONE if self._successor is None else Sharing.WITH_SERVING_PROCESS)
+        say(log, events.INHERITED, connections=adopted)
 
-    # ------------------------------------------------------------------ predecessor
+    # ------------------------------------------------------------------ as the predecessor
 
-    def begin(self) -> None:
-        """Once this process takes clients, say so to the one before and stand where the next will ask."""
-        if not self._taking():
-            self._loop.at(self._loop.now + LOOK, self.begin)
+    def announce(self) -> None:
+        """Tells the previous process once this one accepts clients, and starts listening for a successor."""
+        if not self._accepting():
+            self._loop.at(self._loop.now + RETRY_DELAY_US, self.announce)
             return
-        if self._before is not None:
+        if self._predecessor is not None:
             with contextlib.suppress(OSError):
-                self._before.send(_packet(ready=True))
-        self._publish()
-        self.begun = True
+                self._predecessor.send(_packet(ready=True))
+        self._publish_socket()
+        self.announced = True
 
-    def _publish(self) -> None:
-        own = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET | socket.SOCK_NONBLOCK)
-        aside = self._path.with_suffix(f".{os.urandom(4).hex()}")
+    def _publish_socket(self) -> None:
+        sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET | socket.SOCK_NONBLOCK)
+        temporary = self._path.with_suffix(f".{os.urandom(4).hex()}")
         try:
-            with _reachable(aside) as name:
-                own.bind(name)
-            own.listen(8)
-            os.replace(aside, self._path)
+            with _socket_name(temporary) as name:
+                sock.bind(name)
+            sock.listen(8)
+            os.replace(temporary, self._path)
         except OSError as error:
-            own.close()
+            sock.close()
             say(log, events.NO_SUCCESSION, reason=str(error))
             return
-        if self._serving is not None and self._own is not None:
-            self._serving.kill()
-            self._loop.close(self._own)
-        self._own = own
-        self._serving = self._loop.spawn(self._heirs(own), "heirs")
+        if self._accept_task is not None and self._own_socket is not None:
+            self._accept_task.kill()
+            self._loop.close(self._own_socket)
+        self._own_socket = sock
+        self._accept_task = self._loop.spawn(self._accept_successors(sock), "successors")
 
-    def _heirs(self, own: socket.socket) -> Coroutine[None]:
+    def _accept_successors(self, sock: socket.socket) -> Coroutine[None]:
         while True:
             try:
-                channel, _ = own.accept()
+                channel, _ = sock.accept()
             except BlockingIOError:
-                yield own.fileno(), READ, None
-            except OSError as error:  # guards against spinning when descriptors run out: an heir can wait
+                yield sock.fileno(), READ, None
+            except OSError as error:  # do not spin when descriptors run out: a successor can wait
                 say(log, events.ACCEPT_FAILED, reason=str(error))
-                yield from sleep(self._loop.now + LOOK)
+                yield from sleep(self._loop.now + RETRY_DELAY_US)
             else:
                 channel.setblocking(False)
-                self._loop.spawn(self._meet(channel), "an heir")
+                self._loop.spawn(self._serve_successor(channel), "a successor")
 
-    def _meet(self, channel: socket.socket) -> Coroutine[None]:
-        """One process that may become the heir."""
+    def _serve_successor(self, channel: socket.socket) -> Coroutine[None]:
+        """Serves one process that may become the successor."""
         try:
             while True:
                 try:
-                    data = channel.recv(PACKET)
+                    data = channel.recv(MAX_PACKET_BYTES)
                 except BlockingIOError:
                     yield channel.fileno(), READ, None
                     continue
                 if not data:
                     break
-                told = _read(data)
-                if told.get("ready") is True:
-                    self._heir = channel
+                message = _parse(data)
+                if message.get("ready") is True:
+                    self._successor = channel
                     say(log, events.HEIR)
-                    self.shared(Sharing.BESIDE)
-                    self.heired()
+                    self.on_sharing_changed(Sharing.WITH_SERVING_PROCESS)
+                    self.on_successor_ready()
                 else:
-                    self._answer(channel, told)
+                    self._answer_hello(channel, message)
         except (OSError, ValueError) as error:
             say(log, events.NOT_HANDED, reason=str(error))
         finally:
             self._loop.close(channel)
-            if self._heir is channel:
-                self._heir = None
-                self.shared(Sharing.ALONE if self._before is None else Sharing.BESIDE)
+            if self._successor is channel:
+                self._successor = None
+                self.on_sharing_changed(
+                    Sharing.NONE if self._predecessor is None else Sharing.WITH_SERVING_PROCESS
+                )
                 say(log, events.HEIR_LOST)
-                alone = not self._answered()
-                if alone:  # guards whoever has come after the heir and stands there by now
-                    self._publish()
-                self.orphaned(alone)
-
-    def _answered(self) -> bool:
-        """Whether some process answers where an heir would ask."""
-        with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET | socket.SOCK_NONBLOCK) as ask:
+                alone = not self._socket_answers()
+                if alone:  # otherwise a later process listens there already, and must not be replaced
+                    self._publish_socket()
+                self.on_successor_lost(alone)
+
+    def _socket_answers(self) -> bool:
+        """Returns whether some process answers at the path where a successor would connect."""
+        with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET | socket.SOCK_NONBLOCK) as probe:
             try:
-                with _reachable(self._path) as name:
-                    ask.connect(name)
+                with _socket_name(self._path) as name:
+                    probe.connect(name)
             except BlockingIOError:
-                return True  # and is asked by many
+                return True  # it listens, and its backlog is full
             except OSError:
                 return False
         return True
 
-    def _answer(self, channel: socket.socket, told: dict[str, Any]) -> None:
-        if told.get("node") != self._node or told.get("listen") != list(self._listen):
+    def _answer_hello(self, channel: socket.socket, message: dict[str, Any]) -> None:
+        if message.get("node") != self._node or message.get("listen") != list(self._listen):
             channel.send(_packet(no="another node or address"))
             return
-        table = self._table()
-        packet = _packet(table=table)
-        if len(packet) > PACKET:
+        server_list = self._server_list()
+        packet = _packet(table=server_list)
+        if len(packet) > MAX_PACKET_BYTES:
             packet = _packet(table=None)
         socket.send_fds(channel, [packet], [self._listener.fileno()])
 
     @property
-    def heir(self) -> bool:
-        """Whether another process takes this one's clients."""
-        return self._heir is not None
+    def has_successor(self) -> bool:
+        """Whether another process accepts this one's clients."""
+        return self._successor is not None
 
-    def pass_on(self, sock: socket.socket, proven: bool) -> bool:
-        """Hand a client's connection to the heir; whether it has it. It is ours to close in either case."""
-        if self._heir is None:
+    def pass_connection(self, sock: socket.socket, proven: bool) -> bool:
+        """Hands a client connection to the successor and returns whether it arrived.
+
+        The caller closes its own descriptor in either case.
+        """
+        if self._successor is None:
             return False
         try:
-            socket.send_fds(self._heir, [_packet(proven=proven)], [sock.fileno()])
-        except OSError:  # its queue is full, or it has gone
+            socket.send_fds(self._successor, [_packet(proven=proven)], [sock.fileno()])
+        except OSError:  # the channel is full, or the successor has gone
             return False
         return True
 
     def leave(self, ids: list[str]) -> None:
-        """Tell the heir that this process leaves, and the ids of the jobs that it had."""
-        if self._heir is not None:
-            for at in range(0, max(1, len(ids)), IDS_AT_ONCE):
+        """Tells the successor that this process stops, and the ids of the jobs that it had."""
+        if self._successor is not None:
+            for start in range(0, max(1, len(ids)), IDS_PER_PACKET):
                 with contextlib.suppress(OSError):
-                    self._heir.send(_packet(ids=ids[at : at + IDS_AT_ONCE]))
+                    self._successor.send(_packet(ids=ids[start : start + IDS_PER_PACKET]))
--- a/heronstall/net/operations.py
+++ b/heronstall/net/operations.py
@@ -1,4 +1,4 @@
-"""What the operators' staff can have this dispatcher do or tell, in no protocol's words."""
+"""The operators' commands on a running dispatcher, independent of the protocol that carries them."""
 
 from __future__ import annotations
 
@@ -11,38 +11,43 @@
 
 
 class Reply(NamedTuple):
-    """Whether a call was carried out, or its question is answered yes; and a word for people."""
+    """Whether a command succeeded, or its question is answered with yes, and a short explanation."""
 
-    good: bool
+    ok: bool
     text: str
 
 
 class Operations:
-    """The calls. Each is harmless when it is made again."""
+    """Executes operators' commands. Every command is idempotent."""
 
     def __init__(
         self,
         dispatcher: Dispatcher,
         table: ServerTable,
         shutdown: GracefulShutdown,
-        taking: Callable[[], bool],
+        accepting: Callable[[], bool],
     ) -> None:
-        self._dispatcher, self._table, self._shutdown, self._taking = dispatcher, table, shutdown, taking
-        self.on_change: Callable[[], None] = lambda: None  # a ban or the drain has changed
-        # Further figures, where the operator's file asks for what they are of.
+        self._dispatcher, self._table, self._shutdown, self._accepting = (
+            dispatcher,
+            table,
+            shutdown,
+            accepting,
+        )
+        self.on_change: Callable[[], None] = lambda: None  # called when a ban or the drain has changed
+        # Optional figures, set where the operator's file enables them.
         self.detail_figures: Callable[[], Iterator[tuple[str, str]]] | None = None
         self.takeover_figures: Callable[[], Iterator[tuple[str, str]]] | None = None
 
     def ping(self) -> Reply:
-        """Whether this process takes clients. A drained one still takes those who come, so it says yes."""
+        """Returns whether this process accepts clients; a drained process still does."""
         if self._shutdown.stage is Stage.STOPPING:
             return Reply(False, "leaving")
-        if not self._taking():
+        if not self._accepting():
             return Reply(False, "no server list yet")
         return Reply(True, self._shutdown.stage.value)
 
     def figures(self) -> Iterator[tuple[str, int]]:
-        """Every figure and its name, as they are now."""
+        """Yields the name and the current value of every figure."""
         yield from self._dispatcher.figures.rows()
         listed = self._table.listed()
         avoided = set(self._dispatcher.avoided())
@@ -50,30 +55,30 @@
         yield "ejected", sum(s.banned_since is not None or s.number in avoided for s in listed)
 
     def detach(self, uid: str) -> Reply:
-        """Take a server out: nothing new goes there, whatever the list says, until `attach`."""
-        return self._ban(uid, True, "detached", "detached already")
+        """Takes a server out of service until `attach`, whatever the server list says."""
+        return self._set_banned(uid, True, "detached", "detached already")
 
     def attach(self, uid: str) -> Reply:
-        """Put a server back, however often it was taken out."""
-        return self._ban(uid, False, "attached", "attached already")
+        """Puts a server back into service, however often it was taken out."""
+        return self._set_banned(uid, False, "attached", "attached already")
 
-    def _ban(self, uid: str, out: bool, done: str, before: str) -> Reply:
+    def _set_banned(self, uid: str, banned: bool, changed_text: str, unchanged_text: str) -> Reply:
         if not self._table.knows(uid):
             return Reply(False, "never listed")
-        changed = self._table.ban(uid, out)
+        changed = self._table.ban(uid, banned)
         if changed:
             self.on_change()
-        return Reply(True, done if changed else before)
+        return Reply(True, changed_text if changed else unchanged_text)
 
     def lameduck(self) -> Reply:
-        """Drain: `/healthz` says no from now on, and clients are led away."""
+        """Starts a drain: `/healthz` reports unhealthy and clients' connections are closed gradually."""
         before = self._shutdown.stage
         self._shutdown.drain()
         self.on_change()
         return Reply(True, "draining" if before is Stage.SERVING else f"{before.value} already")
 
     def rejoin(self) -> Reply:
-        """End the drain. A signal's cannot be ended."""
+        """Ends a drain. A shutdown that a signal started cannot be reverted."""
         before = self._shutdown.stage
         if before is Stage.STOPPING:
             return Reply(False, "leaving")
--- a/heronstall/net/peers/service.py
+++ b/heronstall/net/peers/service.py
@@ -118,7 +118,9 @@
         self.request_handlers: dict[
             bytes, Callable[[Connection], Coroutine[None]]
         ] = {}  # requests of others, by target
-        self.on_member_gone: Callable[[str, bool], None] = lambda name, left: None  # a member is, or says that it goes
+        self.on_member_gone: Callable[[str, bool], None] = lambda name, left: (
+            None
+        )  # a member is, or says that it goes
         self._unreadable, self._unreadable_told = 0, 0
 
     def start(self, table: ServerTable, dispatcher: Dispatcher) -> None:
--- a/heronstall/net/server_table.py
+++ b/heronstall/net/server_table.py
@@ -263,7 +263,11 @@
 
     def _look_up(self, server: BackendServer) -> bool:
         """Put to a server what the book of bans says; whether it went out or came back."""
-        was, since, back = server.banned_since, self._bans.banned_since(server.uid), self._bans.readmitted_at(server.uid)
+        was, since, back = (
+            server.banned_since,
+            self._bans.banned_since(server.uid),
+            self._bans.readmitted_at(server.uid),
+        )
         server.banned_since = None if since is None else since - self._offset
         if was is not None and since is None:
             server.was_out = was
--- a/heronstall/net/takeover/links.py
+++ b/heronstall/net/takeover/links.py
@@ -126,7 +126,13 @@
     """All of one process."""
 
     def __init__(
-        self, guard: TakeoverCoordinator, loop: Loop, swim: Swim, host: str, me: tuple[str, int], names: list[str]
+        self,
+        guard: TakeoverCoordinator,
+        loop: Loop,
+        swim: Swim,
+        host: str,
+        me: tuple[str, int],
+        names: list[str],
     ) -> None:
         self.guard, self.loop, self._swim, self.host, self.me = guard, loop, swim, host, me
         self._lives: dict[str, int] = {}  # the latest of each owner's processes that has spoken here
--- a/heronstall/net/takeover/start.py
+++ b/heronstall/net/takeover/start.py
@@ -11,7 +11,9 @@
 from heronstall.operator import TakeoverFile
 
 
-def begin(config: Config, told: TakeoverFile, loop: Loop, peers: PeerService, dispatcher: Dispatcher) -> TakeoverCoordinator:
+def begin(
+    config: Config, told: TakeoverFile, loop: Loop, peers: PeerService, dispatcher: Dispatcher
+) -> TakeoverCoordinator:
     """Guard a dispatcher's jobs from now on."""
     guard = TakeoverCoordinator(config, told, loop, config.name, peers.started_ms)
     guard.start(dispatcher)
--- a/heronstall/ops/__init__.py
+++ b/heronstall/ops/__init__.py
@@ -1,1 +1,1 @@
-"""Daily operation: figures, bans, and what passes from a process to the one that replaces it."""
+"""Daily operation: counters, detailed metrics, bans, and the state files that processes share."""
--- a/heronstall/ops/bans.py
+++ b/heronstall/ops/bans.py
@@ -1,7 +1,7 @@
-"""Which servers are out by hand. Free of I/O: the newest word on an id wins, whichever process heard it.
+"""Servers that operators took out of service. Free of I/O: per server the newest command wins.
 
-Two processes that serve as one dispatcher put their books together with `merge`; in whatever order and
-however often they do it, both come to the same book. Times are Unix time in microseconds.
+Two processes that serve as one dispatcher combine their records with `merge`. Whatever the order and the
+number of merges, both arrive at the same records. Times are Unix time in microseconds.
 """
 
 from __future__ import annotations
@@ -9,63 +9,68 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-KEPT = 4096  # ids with a word on them; of those that are back in, the oldest go first
+MAX_RECORDS = 4096  # server ids with a record; beyond it the oldest records of servers in service are dropped
 
 
 class TimedFlag(NamedTuple):
-    """The newest word on an id."""
+    """The newest command on a server or on the drain: when it was given, and whether it took it out."""
 
     at_us: int
     out: bool
 
 
 class Bans:
-    """The book of words."""
+    """The newest command on each server, by server id."""
 
     def __init__(self) -> None:
-        self._words: dict[str, TimedFlag] = {}
+        self._records: dict[str, TimedFlag] = {}
 
     def banned_since(self, uid: str) -> int | None:
-        """Since when the server is out by hand; None when it is not."""
-        word = self._words.get(uid)
-        return word.at_us if word is not None and word.out else None
+        """Returns since when the server is banned; None when it is not."""
+        record = self._records.get(uid)
+        return record.at_us if record is not None and record.out else None
 
     def readmitted_at(self, uid: str) -> int | None:
-        """When the server's last ban ended; None where none has."""
-        word = self._words.get(uid)
-        return word.at_us if word is not None and not word.out else None
+        """Returns when the server's last ban ended; None where none has."""
+        record = self._records.get(uid)
+        return record.at_us if record is not None and not record.out else None
 
     def has_record(self, uid: str) -> bool:
-        """Whether there is a word on this id, out or in."""
-        return uid in self._words
+        """Returns whether there is a command on this server, banning or readmitting it."""
+        return uid in self._records
 
     def set_banned(self, uid: str, out: bool, now: int) -> bool:
-        """A call's word; whether it changes anything. A ban said again keeps its first moment."""
-        word = self._words.get(uid)
-        if (word is not None and word.out) == out:
+        """Records a command and returns whether it changes anything.
+
+        A repeated ban keeps the time of the first one.
+        """
+        record = self._records.get(uid)
+        if (record is not None and record.out) == out:
             return False
-        # Guards against a clock set back: the newer word must look newer to whoever reads both.
-        self._words[uid] = TimedFlag(now if word is None else max(now, word.at_us + 1), out)
-        self._bound()
+        # The clock may have been set back: the newer record must compare as newer everywhere.
+        self._records[uid] = TimedFlag(now if record is None else max(now, record.at_us + 1), out)
+        self._drop_oldest()
         return True
 
     def merge(self, rows: Iterable[tuple[str, TimedFlag]]) -> list[str]:
-        """Another book's words; the ids on which they were newer."""
+        """Merges another process's records and returns the ids whose records were newer there."""
         changed = []
-        for uid, word in rows:
-            mine = self._words.get(uid)
-            if mine is None or (word.at_us, word.out) > mine:
-                self._words[uid] = word
+        for uid, record in rows:
+            own = self._records.get(uid)
+            if own is None or (record.at_us, record.out) > own:
+                self._records[uid] = record
                 changed.append(uid)
-        self._bound()
+        self._drop_oldest()
         return changed
 
     def rows(self) -> list[tuple[str, TimedFlag]]:
-        """Every word, by id."""
-        return sorted(self._words.items())
-
-    def _bound(self) -> None:
-        if len(self._words) > KEPT:
-            back = sorted((word.at_us, uid) for uid, word in self._words.items() if not word.out)
-            for _, uid in back[: len(self._words) - KEPT]:
-                del self._words[uid]
+        """Returns all records, ordered by id."""
+        return sorted(self._records.items())
+
+    def _drop_oldest(self) -> None:
+        if len(self._records) > MAX_RECORDS:
+            in_service = sorted(
+                (record.at_us, uid) for uid, record in self._records.items() if not record.out
+            )
+            for _, uid in in_service[: len(self._records) - MAX_RECORDS]:
+                del self._records[uid]
--- a/heronstall/ops/detail.py
+++ b/heronstall/ops/detail.py
@@ -1,10 +1,9 @@
-"""What a change of the program is judged by and INFO does not say: lateness, latency, footprint, cost,
-version.
+"""Detailed metrics for judging a new release: lateness, latency, memory, CPU cost and version.
 
-An `Observer` of the `Dispatcher`, made only where the operator's file asks for it (`figures: detail:
-true`). All counts run from the process's start; whoever reads them takes differences. Latencies and loop
-delays are HdrHistogram V2 (Gil Tene), compressed, in base64, so that differences and sums of them are
-exact.
+The dispatcher's INFO figures lack these. `DetailedMetrics` is an `Observer` of the `Dispatcher`, created only
+where the operator's file enables it (`figures: detail: true`). All counts run from the process's start;
+readers take differences. Latencies and loop delays are HdrHistogram V2 (Gil Tene), compressed, in base64, so
+that their differences and sums are exact.
 """
 
 from __future__ import annotations
@@ -19,18 +18,18 @@
 from heronstall import events
 from heronstall import interface as i
 
-VERSION = 1  # of the rows; a reader passes over names that it does not know
-STEP = 100  # microseconds: what histograms count in
-LONGEST = 6_000_000  # steps: ten minutes
-DIGITS = 2
-RELEASE = "HERONSTALL_RELEASE"  # name@digest, as whoever started this process told it
+VERSION = 1  # of the rows; readers ignore names that they do not know
+HISTOGRAM_STEP_US = 100  # the histograms' unit
+HISTOGRAM_MAX_STEPS = 6_000_000  # ten minutes
+HISTOGRAM_DIGITS = 2  # significant digits
+RELEASE_VARIABLE = "HERONSTALL_RELEASE"  # environment variable, name@digest, set by what starts the process
 PAGE_KB = os.sysconf("SC_PAGE_SIZE") // 1024
-GUARDS = tuple(event.name for event in (events.NO_ANSWER, events.NOT_MADE, events.UNKNOWN_SESSION))
+INVARIANT_EVENTS = tuple(event.name for event in (events.NO_ANSWER, events.NOT_MADE, events.UNKNOWN_SESSION))
 COUNTS = ("taken", "intime", "served", "refused", "failed", "gone")
 
 
 def resident_kb() -> int:
-    """This process's memory now, in KiB; 0 where the system does not tell."""
+    """Returns this process's resident memory in KiB; 0 where the system does not report it."""
     try:
         with open("/proc/self/statm", "rb") as file:
             return int(file.read().split()[1]) * PAGE_KB
@@ -38,79 +37,79 @@
         return 0
 
 
-def own_cost() -> tuple[int, int]:
-    """This process's CPU time so far in microseconds, and its memory in KiB."""
+def process_cost() -> tuple[int, int]:
+    """Returns this process's CPU time so far in microseconds, and its memory in KiB."""
     return time.process_time_ns() // 1000, resident_kb()
 
 
 class DetailedMetrics:
-    """Counts by class, histograms, and what this process is. Free of I/O but for its own memory's size."""
+    """Counts by class, histograms, and the process's identity. Its only I/O is reading its memory size."""
 
     def __init__(
         self, names: Sequence[str], classes: Sequence[i.RequestClass], born: int, environ: Mapping[str, str]
     ) -> None:
         self._names, self._classes = list(names), classes
-        self._born, self._release = born, environ.get(RELEASE, "-")
-        self._open: dict[int, tuple[int, int, int]] = {}  # request: class, when taken, when it is late
+        self._born, self._release = born, environ.get(RELEASE_VARIABLE, "-")
+        self._open_requests: dict[int, tuple[int, int, int]] = {}  # class, arrival, when it becomes late
         self._counts = {name: [0] * len(self._names) for name in COUNTS}
-        self._latency = [HdrHistogram(1, LONGEST, DIGITS) for _ in self._names]
-        self._loop = HdrHistogram(1, LONGEST, DIGITS)
+        self._latency = [HdrHistogram(1, HISTOGRAM_MAX_STEPS, HISTOGRAM_DIGITS) for _ in self._names]
+        self._loop_delay = HdrHistogram(1, HISTOGRAM_MAX_STEPS, HISTOGRAM_DIGITS)
         self._probes = 0
-        self.alarms = 0  # times that a guard met a rule about to break
-        self.attempts: Callable[[], int] = lambda: 0  # written whole
-        self.cost: Callable[[], tuple[int, int]] = own_cost
-        self.connects: Callable[[], int] = lambda: 0  # connections to servers that were asked for
+        self.alarms = 0  # how often a check prevented the violation of a rule
+        self.attempts: Callable[[], int] = lambda: 0  # attempts that were written completely
+        self.cost: Callable[[], tuple[int, int]] = process_cost
+        self.connects: Callable[[], int] = lambda: 0  # connections to servers that were requested
 
-    # ------------------------------------------------------------------ what is seen
+    # ------------------------------------------------------------------ recording
 
-    def observe(self, now: int, told: Sequence[i.Event], said: Sequence[i.Action]) -> None:
-        """One turn of the decisions."""
-        for event in told:
+    def observe(self, now: int, seen_events: Sequence[i.Event], actions: Sequence[i.Action]) -> None:
+        """Records the events and actions of one turn of the decisions."""
+        for event in seen_events:
             if isinstance(event, i.Outcome):
-                if event.ended and event.request in self._open:
+                if event.ended and event.request in self._open_requests:
                     # UNUSABLE ends its request too, without a result.
-                    self._end(now, event.request, "served" if event.status == "ok" else "failed")
+                    self._end_request(now, event.request, "served" if event.status == "ok" else "failed")
             elif isinstance(event, i.Arrival):
                 cls = self._classes[event.cls]
-                late = now + cls.aim + int(cls.stretch * (event.work or 0))
-                self._open[event.request] = (event.cls, now, late)
+                late_at = now + cls.aim + int(cls.stretch * (event.work or 0))
+                self._open_requests[event.request] = (event.cls, now, late_at)
                 self.record_accepted(event.cls)
             elif isinstance(event, i.ClientGone):
-                self._end(now, event.request, "gone")
-        for action in said:
+                self._end_request(now, event.request, "gone")
+        for action in actions:
             if isinstance(action, i.Probe):
                 self._probes += 1
             elif isinstance(action, i.Refuse):
-                self._end(now, action.request, "refused")
+                self._end_request(now, action.request, "refused")
             elif isinstance(action, i.Fail):
-                self._end(now, action.request, "failed")
+                self._end_request(now, action.request, "failed")
 
     def record_accepted(self, cls: int) -> None:
-        """A job has come whole."""
+        """Counts a job that was received completely."""
         self._counts["taken"][cls] += 1
 
-    def _end(self, now: int, request: int, how: str) -> None:
-        row = self._open.pop(request, None)
+    def _end_request(self, now: int, request: int, end: str) -> None:
+        row = self._open_requests.pop(request, None)
         if row is None:
             return
-        cls, taken, late = row
-        self.record_end(cls, how, now - taken, now <= late)
+        cls, arrived, late_at = row
+        self.record_end(cls, end, now - arrived, now <= late_at)
 
-    def record_end(self, cls: int, how: str, after: int, intime: bool) -> None:
-        """A job that was taken has its end, so many microseconds later."""
-        self._counts[how][cls] += 1
-        if how == "served":
-            self._counts["intime"][cls] += intime
-            self._latency[cls].record_value(min(LONGEST, max(1, after // STEP)))
+    def record_end(self, cls: int, end: str, duration: int, in_time: bool) -> None:
+        """Counts the end of an accepted job, after `duration` microseconds."""
+        self._counts[end][cls] += 1
+        if end == "served":
+            self._counts["intime"][cls] += in_time
+            self._latency[cls].record_value(min(HISTOGRAM_MAX_STEPS, max(1, duration // HISTOGRAM_STEP_US)))
 
-    def record_loop_delay(self, by: int) -> None:
-        """A call of the loop came so many microseconds after it was due."""
-        self._loop.record_value(min(LONGEST, max(1, by // STEP)))
+    def record_loop_delay(self, delay: int) -> None:
+        """Records by how many microseconds a timer of the event loop was late."""
+        self._loop_delay.record_value(min(HISTOGRAM_MAX_STEPS, max(1, delay // HISTOGRAM_STEP_US)))
 
-    # ------------------------------------------------------------------ what is told
+    # ------------------------------------------------------------------ reporting
 
     def rows(self) -> Iterator[tuple[str, str]]:
-        """Every figure by its name."""
+        """Yields every figure by its name."""
         yield "about.v", str(VERSION)
         yield "about.release", self._release
         yield "about.pid", str(os.getpid())
@@ -122,7 +121,7 @@
         yield "connects", str(self.connects())
         yield "probes", str(self._probes)
         yield "alarms", str(self.alarms)
-        yield "loop", self._loop.encode().decode()
+        yield "loop", self._loop_delay.encode().decode()
         for n, name in enumerate(self._names):
             for count in COUNTS:
                 yield f"{count}.{name}", str(self._counts[count][n])
@@ -131,13 +130,13 @@
 
 
 class AlarmCounter(logging.Handler):
-    """Counts the log lines by which this program's own guards say that a rule was about to break."""
+    """Counts the log events of checks that prevented the violation of a rule."""
 
-    def __init__(self, detail: DetailedMetrics) -> None:
+    def __init__(self, metrics: DetailedMetrics) -> None:
         super().__init__(logging.ERROR)
-        self._detail = detail
+        self._metrics = metrics
 
     def emit(self, record: logging.LogRecord) -> None:
-        """One line."""
-        if getattr(record, "event", None) in GUARDS:
-            self._detail.alarms += 1
+        """Counts one log record if it is such an event."""
+        if getattr(record, "event", None) in INVARIANT_EVENTS:
+            self._metrics.alarms += 1
--- a/heronstall/ops/state_files.py
+++ b/heronstall/ops/state_files.py
@@ -1,14 +1,14 @@
-"""What processes that serve as one dispatcher tell each other in files: who is out by hand, and the drain.
+"""Files in which the processes of one dispatcher share their state: the banned servers and the drain.
 
-Each process writes a file of its own in a folder that they share, aside and then renamed, and reads those of
-the others when the folder has changed. A file is one JSON object:
+Each process writes a file of its own in a shared directory, to a temporary name first and then renamed, and
+reads the others' files when the directory has changed. A file is one JSON object:
 
     {"format": "heronstall.state", "v": 1, "node": "n0", "sum": CRC-32 of the rest as JSON,
      "bans": [["s-5be2a07c", AT, OUT], ...], "drain": [AT, OUT]}
 
-AT is Unix time in microseconds, OUT true or false; the newest word wins (`bans.py`). A file that is cut,
-damaged, foreign or of another version is a `Wrong`, told once, and nothing of it counts. A process holds a
-lock for as long as it lives; what a dead one left is read once more and removed.
+AT is Unix time in microseconds, OUT true or false; the newest record wins (`bans.py`). A file that is
+truncated, damaged, foreign or of another version is reported once as an `InvalidFile` and ignored as a whole.
+A process holds a lock for as long as it lives; the file of a dead process is read once more and removed.
 """
 
 from __future__ import annotations
@@ -27,17 +27,17 @@
 from heronstall.ops.bans import TimedFlag
 
 FORMAT, VERSION = "heronstall.state", 1
-LARGEST = 1024 * 1024  # bytes of a file
-TICK = 100_000_000  # nanoseconds: more than a tick of any file system's clock
-STATE, LOCK = ".state", ".lock"
+MAX_FILE_BYTES = 1024 * 1024
+CLOCK_TICK_NS = 100_000_000  # more than the clock tick of any file system
+STATE_SUFFIX, LOCK_SUFFIX = ".state", ".lock"
 
 
 class State(NamedTuple):
-    """What a process has heard by hand."""
+    """What operators have told one process."""
 
     bans: list[tuple[str, TimedFlag]]
-    drain: TimedFlag | None  # out: drained
-    alive: bool = True  # whether whoever wrote it is
+    drain: TimedFlag | None  # its `out` means drained
+    alive: bool = True  # whether the process that wrote it still runs
 
 
 class InvalidFile(NamedTuple):
@@ -48,35 +48,41 @@
 
 
 def pack(node: str, state: State) -> bytes:
-    """A state as a file holds it."""
-    told = {
-        "bans": [[uid, word.at_us, word.out] for uid, word in state.bans],
+    """Encodes a state as the content of a file."""
+    content = {
+        "bans": [[uid, record.at_us, record.out] for uid, record in state.bans],
         "drain": list(state.drain) if state.drain else None,
     }
-    whole = {"format": FORMAT, "v": VERSION, "node": node, "sum": crc32(ujson.dumps(told).encode()), **told}
-    return ujson.dumps(whole).encode()
+    document = {
+        "format": FORMAT,
+        "v": VERSION,
+        "node": node,
+        "sum": crc32(ujson.dumps(content).encode()),
+        **content,
+    }
+    return ujson.dumps(document).encode()
 
 
 def unpack(node: str, data: bytes) -> State:
-    """The state that a file holds. Raises ValueError that says what is wrong."""
+    """Decodes a file's content. Raises ValueError with the reason."""
     try:
-        whole = ujson.loads(data)
+        document = ujson.loads(data)
     except ValueError:
-        raise ValueError("cut or not JSON") from None
-    if not isinstance(whole, dict) or whole.get("format") != FORMAT:
-        raise ValueError("not a state of ours")
-    if whole.get("v") != VERSION:
-        raise ValueError(f"version {whole.get('v')!r}, {VERSION} is known")
-    if whole.get("node") != node:
-        raise ValueError(f"of another dispatcher, {whole.get('node')!r}")
-    told: dict[str, Any] = {"bans": whole.get("bans"), "drain": whole.get("drain")}
-    if whole.get("sum") != crc32(ujson.dumps(told).encode()):
-        raise ValueError("damaged: its sum is wrong")
+        raise ValueError("truncated or not JSON") from None
+    if not isinstance(document, dict) or document.get("format") != FORMAT:
+        raise ValueError("not a state file")
+    if document.get("v") != VERSION:
+        raise ValueError(f"version {document.get('v')!r}, {VERSION} is known")
+    if document.get("node") != node:
+        raise ValueError(f"belongs to another dispatcher, {document.get('node')!r}")
+    content: dict[str, Any] = {"bans": document.get("bans"), "drain": document.get("drain")}
+    if document.get("sum") != crc32(ujson.dumps(content).encode()):
+        raise ValueError("damaged: wrong checksum")
     try:
-        bans = [(_text(uid), _word(at, out)) for uid, at, out in told["bans"]]
-        return State(bans, None if told["drain"] is None else _word(*told["drain"]))
+        bans = [(_text(uid), _timed_flag(at_us, out)) for uid, at_us, out in content["bans"]]
+        return State(bans, None if content["drain"] is None else _timed_flag(*content["drain"]))
     except (TypeError, ValueError):
-        raise ValueError("damaged: a row is wrong") from None
+        raise ValueError("damaged: invalid row") from None
 
 
 def _text(uid: Any) -> str:
@@ -85,73 +91,76 @@
     return uid
 
 
-def _word(at: Any, out: Any) -> TimedFlag:
-    if not isinstance(at, int) or not isinstance(out, bool):
-        raise ValueError(at)
-    return TimedFlag(at, out)
+def _timed_flag(at_us: Any, out: Any) -> TimedFlag:
+    if not isinstance(at_us, int) or not isinstance(out, bool):
+        raise ValueError(at_us)
+    return TimedFlag(at_us, out)
 
 
 class StateDirectory:
-    """The files of one dispatcher's processes. Raises OSError at the start only, where it cannot be used."""
-
-    def __init__(self, folder: Path, node: str) -> None:
-        self._folder, self._node = folder, node
-        safe = "".join(letter if letter.isalnum() else "_" for letter in node)
-        self.file_prefix = f"heronstall-{safe}-"
-        self._mine = folder / f"{self.file_prefix}{os.urandom(6).hex()}"
-        self._lock = os.open(f"{self._mine}{LOCK}", os.O_CREAT | os.O_RDWR | os.O_CLOEXEC, 0o600)
+    """The state files of one dispatcher's processes.
+
+    Only the constructor raises OSError for a directory that cannot be used at all.
+    """
+
+    def __init__(self, directory: Path, node: str) -> None:
+        self._directory, self._node = directory, node
+        safe_name = "".join(letter if letter.isalnum() else "_" for letter in node)
+        self.file_prefix = f"heronstall-{safe_name}-"
+        self._own_path = directory / f"{self.file_prefix}{os.urandom(6).hex()}"
+        self._lock = os.open(f"{self._own_path}{LOCK_SUFFIX}", os.O_CREAT | os.O_RDWR | os.O_CLOEXEC, 0o600)
         fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
-        self._changed, self._settled = -1, False  # the folder's time of change when it was read last
-        self._seen: dict[str, tuple[int, int, int]] = {}
+        self._read_mtime, self._settled = -1, False  # the directory's modification time at the last read
+        self._file_stamps: dict[str, tuple[int, int, int]] = {}
 
     def write(self, state: State) -> None:
-        """Put this process's state in the place of its last one. Raises OSError."""
-        aside = f"{self._mine}.aside"
-        with open(aside, "wb") as file:
+        """Replaces this process's state file. Raises OSError."""
+        temporary = f"{self._own_path}.aside"
+        with open(temporary, "wb") as file:
             file.write(pack(self._node, state))
-        os.replace(aside, f"{self._mine}{STATE}")
+        os.replace(temporary, f"{self._own_path}{STATE_SUFFIX}")
 
     def read(self) -> Iterator[State | InvalidFile]:
-        """The others' states that are new since the last call. Raises OSError."""
-        changed = os.stat(self._folder).st_mtime_ns
-        if changed == self._changed and self._settled:
+        """Yields the other processes' states that have changed since the last call. Raises OSError."""
+        mtime = os.stat(self._directory).st_mtime_ns
+        if mtime == self._read_mtime and self._settled:
             return
-        # Guards against a file that comes within the same tick of the file system's clock as the last look.
-        self._changed, self._settled = changed, time.time_ns() - changed > TICK
-        for path in self._others():
+        # A file may still be written within the clock tick of the last read, and leave the time unchanged.
+        self._read_mtime, self._settled = mtime, time.time_ns() - mtime > CLOCK_TICK_NS
+        for path in self._other_files():
             try:
-                about = path.stat()
-                mark = (about.st_ino, about.st_mtime_ns, about.st_size)
-                if self._seen.get(path.name) == mark:
+                status = path.stat()
+                stamp = (status.st_ino, status.st_mtime_ns, status.st_size)
+                if self._file_stamps.get(path.name) == stamp:
                     continue
-                self._seen[path.name] = mark
-                if about.st_size > LARGEST:
+                self._file_stamps[path.name] = stamp
+                if status.st_size > MAX_FILE_BYTES:
                     raise ValueError("too large")
                 state = unpack(self._node, path.read_bytes())
             except FileNotFoundError:
-                continue  # its process has just gone
+                continue  # its process has just ended
             except (OSError, ValueError) as error:
                 yield InvalidFile(str(path), str(error))
             else:
-                yield state._replace(alive=self._alive(path))
+                yield state._replace(alive=self._is_alive(path))
 
     def remove_stale_files(self) -> None:
-        """Remove what dead processes have left. To be called once their states are read and written anew."""
-        for path in self._others():
-            if not self._alive(path):
-                for end in (STATE, LOCK):
+        """Removes the files of dead processes. Call it after their states were read and written again."""
+        for path in self._other_files():
+            if not self._is_alive(path):
+                for suffix in (STATE_SUFFIX, LOCK_SUFFIX):
                     with contextlib.suppress(OSError):
-                        path.with_suffix(end).unlink()
+                        path.with_suffix(suffix).unlink()
 
-    def _others(self) -> list[Path]:
-        """The other processes' state files, in a fixed order."""
-        found = sorted(self._folder.glob(f"{self.file_prefix}*{STATE}"))
-        return [path for path in found if not path.name.startswith(self._mine.name)]
+    def _other_files(self) -> list[Path]:
+        """Returns the other processes' state files, sorted by name."""
+        found = sorted(self._directory.glob(f"{self.file_prefix}*{STATE_SUFFIX}"))
+        return [path for path in found if not path.name.startswith(self._own_path.name)]
 
-    def _alive(self, path: Path) -> bool:
-        """Whether the process that wrote a file still holds its lock."""
+    def _is_alive(self, path: Path) -> bool:
+        """Returns whether the process that wrote a file still holds its lock."""
         try:
-            lock = os.open(path.with_suffix(LOCK), os.O_RDWR | os.O_CLOEXEC)
+            lock = os.open(path.with_suffix(LOCK_SUFFIX), os.O_RDWR | os.O_CLOEXEC)
         except OSError:
             return False
         try:
--- a/tests/test_admin_endpoint.py
+++ b/tests/test_admin_endpoint.py
@@ -11,7 +11,7 @@
 
 from heronstall.__main__ import Program as Dispatching
 from heronstall.config import ConfigError, configuration
-from heronstall.net.admin_endpoint import CALLERS, LINE
+from heronstall.net.admin_endpoint import MAX_CONNECTIONS, MAX_LINE_BYTES
 from heronstall.net.dispatcher import FATE
 from heronstall.net.loop import Loop
 from heronstall.net.takeover.coordinator import TakeoverCoordinator
@@ -69,22 +69,22 @@
             ("LAMEDUCK", "YES drained already"),
             ("PING", "YES drained"),
             ("REJOIN", "YES serving"),
-            (b"x" * (LINE + 1), "NO such call"),  # endless: said as soon as it is too long
+            (b"x" * (MAX_LINE_BYTES + 1), "NO such call"),  # endless: said as soon as it is too long
         ):
             with self.subTest(line):
                 self.assertEqual(self.call(line), reply + "\n")
 
     def test_a_call_may_come_in_pieces_beside_many_that_hold_half_a_line(self) -> None:
-        half = [Peer(socket.create_connection(self.door)) for _ in range(3 * CALLERS)]
+        half = [Peer(socket.create_connection(self.door)) for _ in range(3 * MAX_CONNECTIONS)]
         for peer in half:
             peer.sock.sendall(b"PI")
             self.rest(0.001)
         self.assertIn("END", self.call("INFO"))
-        self.assertEqual(sum(peer.read() == b"" and not peer.closed for peer in half), CALLERS - 1)
+        self.assertEqual(sum(peer.read() == b"" and not peer.closed for peer in half), MAX_CONNECTIONS - 1)
         half[-1].sock.sendall(b"NG\n")
         self.spin(lambda: half[-1].read())
         self.assertTrue(half[-1].got.startswith((b"YES", b"NO")))
-        with mock.patch("heronstall.net.admin_endpoint.CALL_TIME", 10_000):
+        with mock.patch("heronstall.net.admin_endpoint.COMMAND_TIMEOUT_US", 10_000):
             late = Peer(socket.create_connection(self.door))
             late.sock.sendall(b"PING")
             self.spin(lambda: self.gone(late))
@@ -113,7 +113,10 @@
         self.story()
 
     def test_a_planted_miscount_of_attempts_is_seen(self) -> None:
-        with mock.patch.object(JobCounters, "record_forward", lambda figures: None), self.assertRaises(AssertionError):
+        with (
+            mock.patch.object(JobCounters, "record_forward", lambda figures: None),
+            self.assertRaises(AssertionError),
+        ):
             self.story()
 
     def test_a_planted_miscount_of_those_who_leave_is_seen(self) -> None:
--- a/tests/test_replacement.py
+++ b/tests/test_replacement.py
@@ -18,8 +18,8 @@
 from pathlib import Path
 from typing import Any
 
-from heronstall.ops.bans import KEPT, Bans, TimedFlag
-from heronstall.ops.state_files import StateDirectory, State, InvalidFile, pack, unpack
+from heronstall.ops.bans import MAX_RECORDS, Bans, TimedFlag
+from heronstall.ops.state_files import InvalidFile, State, StateDirectory, pack, unpack
 from tests.test_net import PATIENCE, ROOT, SETTINGS, STREAM, Peer, at, listener, raw_config
 
 CROWD = 400  # connections: more than the way between two processes holds at a time
@@ -283,10 +283,10 @@
         self.assertEqual(one.rows(), other.rows())
         self.assertIsNone(one.banned_since("a"))
         self.assertEqual(one.readmitted_at("a"), 11)
-        for n in range(KEPT + 10):
+        for n in range(MAX_RECORDS + 10):
             one.set_banned(f"x{n}", True, 100 + n)
             one.set_banned(f"x{n}", False, 200 + n)
-        self.assertEqual((len(one.rows()), one.banned_since("b")), (KEPT, 30))
+        self.assertEqual((len(one.rows()), one.banned_since("b")), (MAX_RECORDS, 30))
 
     def test_a_state_is_read_back_and_whatever_is_not_one_is_told_once(self) -> None:
         state = State([("a", TimedFlag(1, True)), ("b", TimedFlag(2, False))], TimedFlag(3, True))
--- a/tests/versions.py
+++ b/tests/versions.py
@@ -171,9 +171,9 @@
     held: list[bytes] = []
     before = DetailedMetrics.record_loop_delay
 
-    def delayed(self: DetailedMetrics, by: int) -> None:
+    def delayed(self: DetailedMetrics, delay: int) -> None:
         held.append(os.urandom(1024) * (LEAK // 1024))
-        before(self, by)
+        before(self, delay)
 
     DetailedMetrics.record_loop_delay = delayed  # type: ignore[method-assign]
 
