--- a/heronstall/net/peers/__init__.py
+++ b/heronstall/net/peers/__init__.py
@@ -1,6 +1,6 @@
-"""Talk among dispatchers, imported only where the operator's file names a port for it.
+"""Communication between dispatchers, imported only where the operator's file configures a port for it.
 
-What is said and decided is in `heronstall.membership` and `heronstall.knowledge`; here are the sockets. `hub`
-has one process's part in it, `followers` those who ask it, `learning` what it asks others at its start.
-docs/peers.md is the page on it.
+The messages and decisions are in `heronstall.membership` and `heronstall.knowledge`; this package has the
+sockets. `service` is one process's part, `followers` serves other processes' requests, and
+`knowledge_exchange` asks others at the start. docs/peers.md documents it.
 """
--- a/heronstall/net/peers/followers.py
+++ b/heronstall/net/peers/followers.py
@@ -1,4 +1,4 @@
-"""Those who ask this process: for the server list, until they go, or once for what it has seen."""
+"""Requests of other processes: to follow the server list, or to read once what this process knows."""
 
 from __future__ import annotations
 
@@ -13,102 +13,102 @@
 from heronstall.net.connection import Connection, Ended
 from heronstall.net.loop import READ, Coroutine, Loop, Task
 
-QUEUE = 64  # messages that a follower may be behind
-REQUEST_TIME = 2_000_000  # for a follower's request to come
-WRITE_TIME = 2_000_000  # for a follower to take a message
-KNOWLEDGE = b"/v1/knowledge"
+MAX_QUEUED_MESSAGES = 64  # a follower that falls further behind is disconnected
+REQUEST_TIMEOUT_US = 2_000_000  # for a follower's request to arrive
+WRITE_TIMEOUT_US = 2_000_000  # for a follower to accept a message
+KNOWLEDGE_PATH = b"/v1/knowledge"
 
 
 class Source(Protocol):
-    """What is told to others."""
+    """Provides the content of the answers."""
 
     def serves_list(self) -> bool:
-        """Whether the list may be taken from here."""
+        """Returns whether others may take the server list from this process."""
 
     def list_line(self, whole: bool) -> bytes:
-        """The whole list, or that nothing has changed; only a line's end without a list."""
+        """Returns the whole list, or a message without changes; only a newline without a list."""
 
     def knowledge(self) -> bytes:
-        """What this process has seen of the servers."""
+        """Returns what this process has observed of the servers."""
 
     def find_handler(self, target: bytes, connection: Connection) -> Coroutine[None] | None:
-        """Whoever else answers a request, until it ends."""
+        """Returns the coroutine that serves another kind of request, if there is one."""
 
 
 class Follower:
-    """One who takes the list from us, or asks once what we have seen."""
+    """A connection of a process that follows the server list or makes a single request."""
 
     def __init__(self, loop: Loop, sock: socket.socket, source: Source) -> None:
         self._loop, self._source = loop, source
         self._connection = Connection(loop, sock, h11.SERVER)
-        self._waiting: deque[bytes] = deque()
+        self._queue: deque[bytes] = deque()
         self.task: Task | None = None
-        self._told = self._resting = False  # it has had the whole list; it waits for news
+        self._has_whole_list = self._idle = False  # idle: waiting for the next message
 
-    def dismiss(self) -> None:
-        """Let go of it."""
+    def close(self) -> None:
+        """Ends the connection."""
         if self.task is not None:
             self.task.kill()
-        self._connection.close()  # a coroutine that has yet to begin ends without its `finally`
-
-    def tell(self, line: bytes) -> None:
-        """A message for it; the first one is the whole list, which holds whatever came before."""
-        if self._told:
-            self._waiting.append(line)
-        if self._resting and self.task is not None:
-            self._resting = False
+        self._connection.close()  # a coroutine that has not started yet ends without its `finally`
+
+    def send(self, line: bytes) -> None:
+        """Queues a message. Before the whole list was sent none is needed: the list includes it."""
+        if self._has_whole_list:
+            self._queue.append(line)
+        if self._idle and self.task is not None:
+            self._idle = False
             self.task.wake(READ)
 
-    def serve(self, gone: Callable[[Follower], None]) -> Coroutine[None]:
-        """Answer its one request until either side ends."""
+    def serve(self, on_closed: Callable[[Follower], None]) -> Coroutine[None]:
+        """Answers the connection's one request until either side ends it."""
         connection, loop = self._connection, self._loop
-        begun = loop.now
+        started = loop.now
         try:
-            request = yield from connection.event(loop.now + REQUEST_TIME)
+            request = yield from connection.event(loop.now + REQUEST_TIMEOUT_US)
             if not isinstance(request, h11.Request):
                 return
-            if request.target.startswith(KNOWLEDGE):
-                yield from self._answer(self._source.knowledge())
+            if request.target.startswith(KNOWLEDGE_PATH):
+                yield from self._send_body(self._source.knowledge())
                 return
-            other = self._source.find_handler(request.target, connection)
-            if other is not None:
-                yield from other
+            handler = self._source.find_handler(request.target, connection)
+            if handler is not None:
+                yield from handler
                 return
             if not request.target.startswith(b"/v1/servers?watch=1") or not self._source.serves_list():
-                return  # somebody else is to be asked
+                return  # the follower has to ask another process
             yield from self._send(h11.Response(status_code=200, headers=[("Transfer-Encoding", "chunked")]))
             while True:
-                if not self._told:
+                if not self._has_whole_list:
                     line = self._source.list_line(True)
-                    self._told = line != b"\n"
-                    if not self._told and loop.now > begun + HOLD:
-                        return  # another relay may have it already
-                elif len(self._waiting) > QUEUE:
+                    self._has_whole_list = line != b"\n"
+                    if not self._has_whole_list and loop.now > started + HOLD:
+                        return  # another relay may have the list already
+                elif len(self._queue) > MAX_QUEUED_MESSAGES:
                     return
                 else:
-                    line = b"".join(self._waiting) or self._source.list_line(False)
-                self._waiting.clear()
+                    line = b"".join(self._queue) or self._source.list_line(False)
+                self._queue.clear()
                 yield from self._send(h11.Data(data=line))
-                if not self._waiting:
-                    yield from self._pause(loop.now + BEAT)
+                if not self._queue:
+                    yield from self._wait(loop.now + BEAT)
         except Ended:
             pass
         finally:
-            gone(self)
+            on_closed(self)
             connection.close()
 
-    def _answer(self, body: bytes) -> Coroutine[None]:
+    def _send_body(self, body: bytes) -> Coroutine[None]:
         headers = [("Content-Length", str(len(body)))]
         yield from self._send(h11.Response(status_code=200, headers=headers))
         yield from self._send(h11.Data(data=body))
         yield from self._send(h11.EndOfMessage())
 
-    def _pause(self, until: int) -> Coroutine[None]:
-        """Wait for a message or a moment."""
-        self._resting = True
-        yield -1, 0, until
-        self._resting = False
+    def _wait(self, deadline: int) -> Coroutine[None]:
+        """Waits for a message, at most until the deadline."""
+        self._idle = True
+        yield -1, 0, deadline
+        self._idle = False
 
     def _send(self, event: h11.Event) -> Coroutine[None]:
         data = self._connection.parser.send(event) or b""
-        yield from self._connection.write(data, self._loop.now + WRITE_TIME)
+        yield from self._connection.write(data, self._loop.now + WRITE_TIMEOUT_US)
--- a/heronstall/net/peers/knowledge_exchange.py
+++ b/heronstall/net/peers/knowledge_exchange.py
@@ -1,7 +1,8 @@
-"""A new process learns what running ones have seen of the servers: one question to a few, at the start.
+"""Exchange of what dispatchers have observed of the servers: a new process asks a few others at its start.
 
-Who began at about the same moment is not asked, since it knows nothing either; so a fleet that starts at
-once asks nobody. What comes is one event each server for the decisions (`interface.Hearsay`).
+Processes that started at about the same time are not asked, since they know nothing either; so in a fleet
+that starts at once nobody is asked. The answers become one event per server for the decisions
+(`interface.Hearsay`).
 """
 
 from __future__ import annotations
@@ -21,97 +22,103 @@
 from heronstall.net.connection import Connection, Ended, Ending, connect
 from heronstall.net.dispatcher import Dispatcher
 from heronstall.net.loop import Coroutine, Loop, sleep
-from heronstall.net.peers.followers import KNOWLEDGE
+from heronstall.net.peers.followers import KNOWLEDGE_PATH
 from heronstall.net.server_table import BackendServer, ServerTable
 
-LOOK = 50_000
-WITHIN = 2_000_000  # of the start: later one's own attempts have told as much
-ENOUGH = 3  # processes that are asked; of three one alone can neither lie nor be wrong to any effect
-OLDER = 2_000  # milliseconds that one has to have begun before us
-ASK_TIME = 500_000  # for the whole of an answer
+RETRY_DELAY_US = 50_000
+ASKING_PERIOD_US = 2_000_000  # after the start; later a process's own attempts have told it as much
+WANTED_ANSWERS = 3  # with three, a single process that is wrong or lies has no effect
+MIN_AGE_DIFFERENCE_MS = 2_000  # how much earlier than this process an asked one has to have started
+ANSWER_TIMEOUT_US = 500_000  # for a complete answer
 log = logging.getLogger("heronstall.peers")
 
 
 class KnowledgeExchange:
-    """One process's: what it asks at its start, and what it answers from then on."""
+    """One process's part: what it asks at its start, and what it answers from then on."""
 
-    def __init__(self, wanted: bool, loop: Loop, host: str) -> None:
-        self._wanted, self._loop, self._host = wanted, loop, host
-        self._begun = loop.now
+    def __init__(self, ask_others: bool, loop: Loop, host: str) -> None:
+        self._ask_others, self._loop, self._host = ask_others, loop, host
+        self._started_at = loop.now
         self._witness = Witness()
-        self._told = 0  # words of ours so far
+        self._answer_count = 0  # numbers this process's answers
         self._book = Book()
         self._asked: set[str] = set()
 
     def start(self, swim: Swim, table: ServerTable, dispatcher: Dispatcher) -> None:
-        """Keep in mind what is seen from now on, and ask others what they have seen."""
+        """Records observations from now on, and asks others for theirs."""
         self._swim, self._table, self._dispatcher = swim, table, dispatcher
         dispatcher.observers.append(self._witness)
-        moved = table.moved
+        previous_callback = table.moved
 
-        def gone(server: BackendServer) -> None:
+        def on_moved(server: BackendServer) -> None:
             self._witness.forget(server.number)
-            moved(server)
+            previous_callback(server)
 
-        table.moved = gone
-        if self._wanted:
-            self._loop.spawn(self._ask_some(), "learning")
+        table.moved = on_moved
+        if self._ask_others:
+            self._loop.spawn(self._ask_members(), "learning")
 
     def answer(self, me: Row) -> bytes:
-        """What this process has seen itself."""
-        self._told += 1
+        """Returns what this process has observed itself, encoded."""
+        self._answer_count += 1
         servers = [(s.number, s.uid, s.boot_ms) for s in self._table.listed()]
         sights = self._witness.sights(self._loop.now, servers)
-        return pack(Word(me.name, (me.incarnation, self._told), tuple(sights)))
+        return pack(Word(me.name, (me.incarnation, self._answer_count), tuple(sights)))
 
-    def _elders(self) -> list[Row]:
-        """Whom to ask, the best first: of one's own zone, each newcomer in an order of its own."""
+    def _candidates(self) -> list[Row]:
+        """Returns the members to ask: those of the own zone first, each process in an order of its own."""
         me = self._swim.me
         rows = [r for r in self._swim.living() if r.name != me.name and r.name not in self._asked]
-        elders = order(me.name, (r for r in rows if r.incarnation < me.incarnation - OLDER))
-        return sorted(elders, key=lambda r: r.zone != me.zone)
+        older = order(me.name, (r for r in rows if r.incarnation < me.incarnation - MIN_AGE_DIFFERENCE_MS))
+        return sorted(older, key=lambda r: r.zone != me.zone)
 
-    def _ask_some(self) -> Coroutine[None]:
-        while len(self._book.words) < ENOUGH and self._loop.now - self._begun < WITHIN:
-            for row in self._elders()[: ENOUGH - len(self._book.words)]:
+    def _ask_members(self) -> Coroutine[None]:
+        while len(self._book.words) < WANTED_ANSWERS and self._loop.now - self._started_at < ASKING_PERIOD_US:
+            for row in self._candidates()[: WANTED_ANSWERS - len(self._book.words)]:
                 self._asked.add(row.name)
                 try:
-                    word = yield from self._ask((row.host, row.port))
+                    answer = yield from self._ask((row.host, row.port))
                 except (Ended, Unreadable) as error:
                     say(log, events.KNOWLEDGE_IGNORED, peer=row.name, reason=str(error))
                     continue
-                if word.sights and word.node == row.name:
-                    self._tell()
-            yield from sleep(self._loop.now + LOOK)
+                if answer.sights and answer.node == row.name:
+                    self._post_events()
+            yield from sleep(self._loop.now + RETRY_DELAY_US)
 
-    def _tell(self) -> None:
-        """Tell the decisions what all who answered have said; more may come."""
+    def _post_events(self) -> None:
+        """Posts the combined answers received so far to the decisions; more may follow."""
         numbers = {(s.uid, s.boot_ms): s.number for s in self._table.listed()}
-        told = self._book.hearsay(self._loop.now, lambda uid, boot_ms: numbers.get((uid, boot_ms)))
-        for event in told:
+        hearsay = self._book.hearsay(self._loop.now, lambda uid, boot_ms: numbers.get((uid, boot_ms)))
+        for event in hearsay:
             self._dispatcher.post(event)
-        shunned = sum(event.shun > 0 for event in told)
-        say(log, events.KNOWLEDGE_HEARD, peers=len(self._book.words), servers=len(told), shunned=shunned)
-
-    def _ask(self, to: Address) -> Coroutine[Word]:
-        """One process's word, merged. Raises Ended, Unreadable."""
-        asked, until = self._loop.now, self._loop.now + ASK_TIME
-        connection = yield from connect(self._loop, to, until, self._host)
+        shunned = sum(event.shun > 0 for event in hearsay)
+        say(
+            log,
+            events.KNOWLEDGE_HEARD,
+            peers=len(self._book.words),
+            servers=len(hearsay),
+            shunned=shunned,
+        )
+
+    def _ask(self, address: Address) -> Coroutine[Word]:
+        """Fetches and merges one process's answer. Raises Ended, Unreadable."""
+        asked_at, deadline = self._loop.now, self._loop.now + ANSWER_TIMEOUT_US
+        connection = yield from connect(self._loop, address, deadline, self._host)
         try:
-            request = h11.Request(method="GET", target=KNOWLEDGE, headers=[("Host", "peer")])
+            request = h11.Request(method="GET", target=KNOWLEDGE_PATH, headers=[("Host", "peer")])
             for event in (request, h11.EndOfMessage()):
-                yield from connection.write(connection.parser.send(event) or b"", until)
-            word = unpack((yield from _body(connection, until)))
+                yield from connection.write(connection.parser.send(event) or b"", deadline)
+            answer = unpack((yield from _read_body(connection, deadline)))
         finally:
             connection.close()
-        self._book.merge(word, asked)
-        return word
+        self._book.merge(answer, asked_at)
+        return answer
 
 
-def _body(connection: Connection, until: int) -> Coroutine[bytes]:
+def _read_body(connection: Connection, deadline: int) -> Coroutine[bytes]:
     body = bytearray()
     while True:
-        event = yield from connection.event(until)
+        event = yield from connection.event(deadline)
         if isinstance(event, h11.Data):
             body += event.data
             if len(body) > LARGEST:
