--- a/heronstall/__main__.py
+++ b/heronstall/__main__.py
@@ -98,9 +98,9 @@
             self.peers.start(table, self.dispatcher)
         guard = None
         if self.peers is not None and takeover is not None:
-            from heronstall.net.takeover.start import begin
+            from heronstall.net.takeover.start import start_takeover
 
-            guard = begin(config, takeover, loop, self.peers, self.dispatcher)
+            guard = start_takeover(config, takeover, loop, self.peers, self.dispatcher)
         handed = self.daily.inherited_server_list if self.daily is not None else None
         if snapshot is not None:
             from heronstall.net.snapshots import Snapshots
--- a/heronstall/net/takeover/__init__.py
+++ b/heronstall/net/takeover/__init__.py
@@ -1,5 +1,5 @@
-"""Work in hand that survives its dispatcher, imported only where the operator's file names witnesses.
+"""Takeover of jobs whose dispatcher is lost, imported only where the operator's file names witnesses.
 
-What is decided is in `heronstall.takeover`; `guard` hooks it on to the `Dispatcher`, `links` carries words.
-docs/takeover.md is the page on it.
+The decisions are in `heronstall.takeover`. `coordinator` connects them to the `Dispatcher`, and `links`
+carries the messages. docs/takeover.md documents it.
 """
--- a/heronstall/net/takeover/coordinator.py
+++ b/heronstall/net/takeover/coordinator.py
@@ -1,8 +1,8 @@
-"""One process's part: its own jobs' registers, those that it keeps for others, and what it takes over.
+"""One process's part in takeover: its own jobs' registers, its witness, and the jobs that it takes over.
 
-Hooked on to the `Dispatcher` as its `guard`: told of each session, asked before a first byte, told of each
-end. A job whose identity somebody else has is lent: the decisions are done with it, its client is answered
-from the register's end.
+The coordinator is the `Dispatcher`'s `guard`: it is told of each session, asked before an attempt's first
+byte is written, and told of each end. A session whose job another process has is delegated: it is withdrawn
+from the decisions, and its client is answered once the register records the job's end.
 """
 
 from __future__ import annotations
@@ -31,15 +31,15 @@
 from heronstall.takeover.words import Job as HeldJob
 from heronstall.takeover.words import Phase, Word
 
-GRACE = 2_000_000  # beyond the longest deadline: so long a result is kept for whoever comes back
-ASK_EVERY = 30_000  # between looks at a register that somebody else ends
-SWEEP = 1_000_000
-COUNTS_EVERY = 10_000_000
-FIRST_LOOK = 100_000  # after a loss, so that its last words have come
-TAKE_TIME = 300_000  # for a majority's promises
-AT_ONCE = 16  # registers that are being taken
-AHEAD = 200_000  # of a client's time: with less left nothing is begun
-BODY = 64 * 1024  # of an answer that is kept
+RESULT_RETENTION_US = 2_000_000  # beyond the longest deadline, for clients that repeat a job
+POLL_INTERVAL_US = 30_000  # between queries of a register that another process will end
+SWEEP_INTERVAL_US = 1_000_000
+LOG_INTERVAL_US = 10_000_000  # between log lines with the counts
+TAKEOVER_DELAY_US = 100_000  # after the loss of an owner, so that its last messages have arrived
+PROMISE_TIMEOUT_US = 300_000  # for the promises of a majority
+MAX_CONCURRENT_TAKEOVERS = 16
+MIN_TIME_LEFT_US = 200_000  # of the client's deadline; with less left a job is not run
+MAX_STORED_BODY_BYTES = 64 * 1024  # of an answer in a register
 COUNTS = ("unprotected", "alone", "returned", "lost", "run", "ended", "unsure")
 log = logging.getLogger("heronstall.takeover")
 
@@ -47,59 +47,61 @@
 class ProtectedSession:
     """A session whose job has a register."""
 
-    __slots__ = ("session", "holder", "task", "lent", "refusal")
+    __slots__ = ("session", "holder", "task", "delegated", "refusal")
 
     def __init__(self, session: Session, holder: Holder) -> None:
         self.session, self.holder = session, holder
-        self.task: Task | None = None  # the dispatch that waits for its word to be known
-        self.lent = False
-        self.refusal: Answer | None = None  # waits until a majority knows of it
+        self.task: Task | None = None  # the attempt that waits until a majority knows of it
+        self.delegated = False
+        self.refusal: Answer | None = None  # held back until a majority knows of it
 
     def wake(self) -> None:
-        """Let the dispatch that waits look again; once, since it may wait for something else by then."""
+        """Wakes the waiting attempt, once, since it may wait for something else by the next call."""
         task, self.task = self.task, None
         if task is not None:
             task.wake(0)
 
     @property
-    def made(self) -> str:
-        """The register whose end is waited for."""
+    def register_id(self) -> str:
+        """The identity of the register whose end this session waits for."""
         other = self.holder.other
         return self.holder.state.made if other is None else other.made
 
 
 class TakeoverCoordinator:
-    """All of it."""
+    """Replicates this process's jobs to witnesses, and takes over the jobs of lost processes."""
 
-    def __init__(self, config: Config, told: TakeoverFile, loop: Loop, name: str, life: int) -> None:
-        self._config, self._told, self._loop = config, told, loop
+    def __init__(self, config: Config, settings: TakeoverFile, loop: Loop, name: str, life: int) -> None:
+        self._config, self._settings, self._loop = config, settings, loop
         self._name, self._life = name, life
-        self._roster = Roster(told.witnesses)
-        longest = max(c.deadline for c in config.settings.classes) + GRACE
-        self.witness = Witness(loop.now, longest, told.room)
-        self._wait = told.wait
-        self._protected = {n for c, n in config.classes.items() if not told.classes or c in told.classes}
-        self._held: dict[str, ProtectedSession] = {}
+        self._roster = Roster(settings.witnesses)
+        longest = max(c.deadline for c in config.settings.classes) + RESULT_RETENTION_US
+        self.witness = Witness(loop.now, longest, settings.room)
+        self._majority_timeout = settings.wait
+        self._protected_classes = {
+            n for c, n in config.classes.items() if not settings.classes or c in settings.classes
+        }
+        self._owned: dict[str, ProtectedSession] = {}
         self._by_session: dict[int, ProtectedSession] = {}
-        self._takers: dict[str, tuple[Taker, Register, int]] = {}
-        self._gone: dict[tuple[str, int], int] = {}  # owners that are, and when that was heard
+        self._takeovers: dict[str, tuple[Taker, Register, int]] = {}
+        self._gone_owners: dict[tuple[str, int], int] = {}  # and when their loss was reported
         self.counts: Counter[str] = Counter()
-        self._totals: Counter[str] = Counter()  # of counts that have been told in the log
-        self._counted = loop.now
-        self.send: Callable[[str, Word], None] = lambda name, word: None  # a word to another's witness
+        self._totals: Counter[str] = Counter()  # of counts that have been logged
+        self._counts_logged_at = loop.now
+        self.send: Callable[[str, Word], None] = lambda name, word: None  # sends to another process's witness
         self.is_reachable: Callable[[str], bool] = lambda name: False
 
     def start(self, dispatcher: Dispatcher) -> None:
-        """Guard its jobs from now on."""
+        """Protects the dispatcher's jobs from now on."""
         self._dispatcher = dispatcher
         dispatcher.guard = self
-        self._loop.at(self._loop.now + SWEEP, self._sweep)
-        self._loop.at(self._loop.now + ASK_EVERY, self._look)
+        self._loop.at(self._loop.now + SWEEP_INTERVAL_US, self._sweep)
+        self._loop.at(self._loop.now + POLL_INTERVAL_US, self._poll_delegated)
 
     def figures(self) -> Iterator[tuple[str, str]]:
-        """Every figure and its name: others' jobs that are kept, own ones that are, counts of this life."""
+        """Yields the numbers of registers kept for others and of own ones, and the counts since the start."""
         yield "takeover.kept", str(len(self.witness.registers))
-        yield "takeover.held", str(len(self._held))
+        yield "takeover.held", str(len(self._owned))
         totals = self._totals + self.counts
         for name in COUNTS:
             yield f"takeover.{name}", str(totals[name])
@@ -107,22 +109,22 @@
     # ------------------------------------------------------------------ own jobs
 
     def taken(self, session: Session) -> None:
-        """A session was made. Its first word is said when the decisions have had their turn."""
+        """Registers a new session's job. The first message is sent after the next turn of the decisions."""
         job: Job = session.job
-        identity = _identity(job, self._told.header)
-        if session.cls not in self._protected or not identity or len(job.body) > self._told.body:
+        identity = _identity(job, self._settings.header)
+        if session.cls not in self._protected_classes or not identity or len(job.body) > self._settings.body:
             self.counts["unprotected"] += 1
             return
         key = f"{session.cls}/{identity}"
         digest = blake2b(job.target + b"\0" + job.body, digest_size=8).hexdigest()
         witnesses = self._roster.witnesses(key)
-        if key in self._held or not self._reachable(witnesses):
-            if key in self._held:
-                self._joins(session, key, digest)
-            elif not self._may_have_run(session, key):
+        if key in self._owned or not self._majority_reachable(witnesses):
+            if key in self._owned:
+                self._join_owned(session, key, digest)
+            elif not self._fail_if_may_have_run(session, key):
                 self.counts["unprotected"] += 1
             return
-        left = session.deadline - self._loop.now
+        time_left = session.deadline - self._loop.now
         holder = Holder(
             key,
             witnesses,
@@ -130,265 +132,290 @@
             self._life,
             0,
             digest,
-            HeldJob(session.cls, left, pack(session)),
+            HeldJob(session.cls, time_left, pack_request(session)),
             True,
             f"{self._name}/{self._life}/{session.number}",
         )
-        self._guards(session, holder)
-        self._loop.soon(lambda: self._first(key, holder))
+        self._protect(session, holder)
+        self._loop.soon(lambda: self._announce(key, holder))
 
-    def _reachable(self, witnesses: tuple[str, ...]) -> bool:
-        """Whether a majority of them can be spoken to; of those of a job that is not kept, too."""
-        there = sum(name == self._name or self.is_reachable(name) for name in witnesses)
-        return not witnesses or there > len(witnesses) // 2
+    def _majority_reachable(self, witnesses: tuple[str, ...]) -> bool:
+        """Returns whether a majority of the witnesses is reachable; true for a job without a register."""
+        reachable = sum(name == self._name or self.is_reachable(name) for name in witnesses)
+        return not witnesses or reachable > len(witnesses) // 2
 
-    def _may_have_run(self, session: Session, key: str) -> bool:
-        """Without a majority: whether this process alone knows that a job was somebody's, and may not run
-        twice. Then its client is told at once that it failed."""
+    def _fail_if_may_have_run(self, session: Session, key: str) -> bool:
+        """Answers a job at once that its register here shows as another's, while no majority is reachable.
+
+        This applies to a job that may not run twice and was not refused. Returns whether it was answered.
+        """
         register = self.witness.registers.get(key)
         state = None if register is None else register.state
         unsafe = self._config.settings.classes[session.cls].effect == "unsafe"
         if state is None or not unsafe or state.answer == "refused":
             return False
         kind, body = (state.answer, state.body) if state.phase is Phase.ENDED else ("failed", "")
-        held = ProtectedSession(session, Holder(key, (), self._name, self._life, 0, state.digest, None))
+        protected = ProtectedSession(session, Holder(key, (), self._name, self._life, 0, state.digest, None))
         self._dispatcher.lend(session)
-        self._loop.soon(lambda: self._give(held, kind, body))
+        self._loop.soon(lambda: self._settle(protected, kind, body))
         return True
 
-    def _guards(self, session: Session, holder: Holder) -> ProtectedSession:
-        held = self._held[holder.key] = self._by_session[session.number] = ProtectedSession(session, holder)
-        return held
-
-    def _first(self, key: str, holder: Holder) -> None:
-        held = self._held.get(key)
-        if held is not None and held.holder is holder and not holder.said and not held.session.over:
-            self._say(holder.put(Phase.HELD), holder)
-
-    def _joins(self, session: Session, key: str, digest: str) -> None:
-        """The same job has come to us twice: the later one waits for the end of the first."""
+    def _protect(self, session: Session, holder: Holder) -> ProtectedSession:
+        protected = self._owned[holder.key] = self._by_session[session.number] = ProtectedSession(
+            session, holder
+        )
+        return protected
+
+    def _announce(self, key: str, holder: Holder) -> None:
+        protected = self._owned.get(key)
+        if (
+            protected is not None
+            and protected.holder is holder
+            and not holder.said
+            and not protected.session.over
+        ):
+            self._broadcast(holder.put(Phase.HELD), holder)
+
+    def _join_owned(self, session: Session, key: str, digest: str) -> None:
+        """Lets a session wait for the end of the same job in an earlier session of this process."""
         self.counts["returned"] += 1
-        first = self._held[key]
+        first = self._owned[key]
         if first.holder.state.digest != digest:
             self._loop.soon(lambda: self._dispatcher.settle(session, Answer("unusable")))
             return
         self._dispatcher.lend(session)
         waiting = ProtectedSession(session, first.holder)
-        waiting.lent = True
+        waiting.delegated = True
         self._by_session[session.number] = waiting
 
     def writing(self, session: Session, server: BackendServer, index: int) -> None:
-        """An attempt is about to be made."""
-        held = self._by_session.get(session.number)
-        if held is not None and not held.lent:
-            self._say(held.holder.put(Phase.WRITING, server=server.uid, attempt=index), held.holder)
+        """Announces that an attempt is about to be made."""
+        protected = self._by_session.get(session.number)
+        if protected is not None and not protected.delegated:
+            self._broadcast(
+                protected.holder.put(Phase.WRITING, server=server.uid, attempt=index), protected.holder
+            )
 
     def may_write(self, session: Session, task: Task | None, until: int) -> Coroutine[None]:
-        """Wait until a majority knows that an attempt begins. Raises Ended where it may not."""
-        held = self._by_session.get(session.number)
-        if held is None:
+        """Waits until a majority knows that an attempt begins. Raises Ended where it must not begin."""
+        protected = self._by_session.get(session.number)
+        if protected is None:
             if session.over:
-                raise Ended(Ending.WITHDRAWN, "it was answered meanwhile")
+                raise Ended(Ending.WITHDRAWN, "the session was answered in the meantime")
             return
-        holder = held.holder
-        alone_at = self._loop.now + self._wait
+        holder = protected.holder
+        alone_at = self._loop.now + self._majority_timeout
         while True:
-            if held.lent or session.over or holder.verdict in ("known", "lost"):
-                raise Ended(Ending.WITHDRAWN, "somebody else has the job")
+            if protected.delegated or session.over or holder.verdict in ("known", "lost"):
+                raise Ended(Ending.WITHDRAWN, "another process has the job")
             if holder.verdict == "go":
                 return
             repeatable = self._config.settings.classes[session.cls].effect != "unsafe"
-            no_use = self._loop.now >= alone_at or holder.hopeless()
-            if no_use and (holder.alone() or repeatable):
+            no_majority = self._loop.now >= alone_at or holder.hopeless()
+            if no_majority and (holder.alone() or repeatable):
                 self.counts["alone"] += 1
                 return
-            if no_use and holder.gives_way():
-                self._lend(held)
+            if no_majority and holder.gives_way():
+                self._delegate(protected)
                 continue
             if self._loop.now >= until:
                 raise Ended(Ending.UNSENT_IN_TIME)
-            held.task = task
+            protected.task = task
             yield -1, 0, min(until, alone_at) if self._loop.now < alone_at else until
-            held.task = None
+            protected.task = None
 
     def ended(self, session: Session, ending: Ending) -> None:
-        """An attempt has: one that certainly has not run leaves the job as if it had never been made."""
-        held = self._by_session.get(session.number)
-        if held is None or held.lent or session.over or held.holder.verdict in ("known", "lost"):
+        """Handles an attempt's end. One that certainly did not run is undone in the job's register."""
+        protected = self._by_session.get(session.number)
+        if (
+            protected is None
+            or protected.delegated
+            or session.over
+            or protected.holder.verdict in ("known", "lost")
+        ):
             return
         if OUTCOME[ending] in i.PROVES_NOT_RUN:
-            phase = Phase.CONFIRMED if held.holder.confirmed else Phase.HELD
-            self._say(held.holder.put(phase, server="", attempt=0), held.holder)
+            phase = Phase.CONFIRMED if protected.holder.confirmed else Phase.HELD
+            self._broadcast(protected.holder.put(phase, server="", attempt=0), protected.holder)
 
     def answers(self, session: Session, answer: Answer) -> bool:
-        """A session's answer: whether it has to wait. A refusal says that nothing was done, and is given once
-        nobody else can do it any more; every other answer goes at once."""
-        held = self._by_session.get(session.number)
-        if held is None or held.lent:
+        """Records a session's answer and returns whether the answer has to wait.
+
+        A refusal states that nothing was done, so it is held back until no other process can run the job any
+        more. Every other answer is given at once.
+        """
+        protected = self._by_session.get(session.number)
+        if protected is None or protected.delegated:
             return False
-        holder = held.holder
+        holder = protected.holder
         ran = holder.said and holder.state.phase is Phase.WRITING
         if answer.kind == "refused" and holder.confirmed:
-            held.refusal = answer
-            self._say(holder.put(Phase.ENDED, answer="refused"), holder)
-            if held.refusal is not None:  # our own witness may have said already that the job was taken
-                self._loop.at(self._loop.now + self._wait, lambda: self._unsure(held))
+            protected.refusal = answer
+            self._broadcast(holder.put(Phase.ENDED, answer="refused"), holder)
+            if protected.refusal is not None:  # the own witness may have replied that the job was taken over
+                self._loop.at(
+                    self._loop.now + self._majority_timeout, lambda: self._fail_unconfirmed_refusal(protected)
+                )
             return True
         kind = answer.kind if answer.kind in ("served", "unusable") or ran else "refused"
-        body = answer.body.decode("latin-1") if len(answer.body) <= BODY else ""
+        body = answer.body.decode("latin-1") if len(answer.body) <= MAX_STORED_BODY_BYTES else ""
         if kind == "served" and not body and answer.body:
-            kind = "failed"  # too large to be kept for whoever comes back
-        self._close(held, kind, body)
+            kind = "failed"  # too large to be stored for clients that repeat the job
+        self._close_register(protected, kind, body)
         return False
 
     def gone(self, session: Session) -> None:
-        """Its client has left."""
-        held = self._by_session.get(session.number)
-        if held is not None and not held.lent:
-            ran = held.holder.said and held.holder.state.phase is Phase.WRITING
-            self._close(held, "failed" if ran else "refused", "")
-        elif held is not None:
-            self._drop(held)
-
-    def _close(self, held: ProtectedSession, kind: str, body: str) -> None:
-        holder = held.holder
+        """Handles the departure of a session's client."""
+        protected = self._by_session.get(session.number)
+        if protected is not None and not protected.delegated:
+            ran = protected.holder.said and protected.holder.state.phase is Phase.WRITING
+            self._close_register(protected, "failed" if ran else "refused", "")
+        elif protected is not None:
+            self._remove(protected)
+
+    def _close_register(self, protected: ProtectedSession, kind: str, body: str) -> None:
+        holder = protected.holder
         if holder.said and holder.verdict not in ("known", "lost"):
-            self._say(holder.put(Phase.ENDED, answer=kind, body=body), holder)
-        self._end_joined(held, kind, body)
-
-    def _end_joined(self, held: ProtectedSession, kind: str, body: str) -> None:
-        """A job's end, for those that came here with it again."""
-        self._drop(held)
-        for other in [h for h in self._by_session.values() if h.holder is held.holder]:
-            self._give(other, kind, body)
-
-    def _drop(self, held: ProtectedSession) -> None:
-        self._by_session.pop(held.session.number, None)
-        mine = self._held.get(held.holder.key)
-        if mine is held:
-            del self._held[held.holder.key]
-
-    def _unsure(self, held: ProtectedSession) -> None:
-        """No majority has said that it knows of a refusal: then nothing may be said of what was done."""
-        if held.refusal is not None:
-            held.refusal = None
+            self._broadcast(holder.put(Phase.ENDED, answer=kind, body=body), holder)
+        self._settle_joined(protected, kind, body)
+
+    def _settle_joined(self, protected: ProtectedSession, kind: str, body: str) -> None:
+        """Answers the other sessions of this process that wait for the same job's end."""
+        self._remove(protected)
+        for other in [p for p in self._by_session.values() if p.holder is protected.holder]:
+            self._settle(other, kind, body)
+
+    def _remove(self, protected: ProtectedSession) -> None:
+        self._by_session.pop(protected.session.number, None)
+        owned = self._owned.get(protected.holder.key)
+        if owned is protected:
+            del self._owned[protected.holder.key]
+
+    def _fail_unconfirmed_refusal(self, protected: ProtectedSession) -> None:
+        """Answers with a failure, because no majority knows of the refusal: the job might still be run."""
+        if protected.refusal is not None:
+            protected.refusal = None
             self.counts["unsure"] += 1
-            self._end_joined(held, "failed", "")
-            self._dispatcher.settle(held.session, Answer("failed"))
+            self._settle_joined(protected, "failed", "")
+            self._dispatcher.settle(protected.session, Answer("failed"))
 
-    # ------------------------------------------------------------------ words
+    # ------------------------------------------------------------------ messages
 
-    def _say(self, word: Word, holder: Holder) -> None:
+    def _broadcast(self, word: Word, holder: Holder) -> None:
         for name in holder.witnesses:
-            self._to(name, word)
+            self._send_to(name, word)
 
-    def _to(self, name: str, word: Word) -> None:
+    def _send_to(self, name: str, word: Word) -> None:
         if name == self._name:
             self.handle_reply(name, self.handle_message(word))
         else:
             self.send(name, word)
 
     def handle_message(self, word: Word) -> Word:
-        """A word to this process's witness; its answer."""
+        """Passes a message to this process's witness and returns the reply."""
         return self.witness.heard(word, self._loop.now)
 
     def handle_reply(self, witness: str, word: Word) -> None:
-        """A witness's answer."""
-        taker = self._takers.get(word.key)
-        if taker is not None and word.kind in ("promise", "no") and word.epoch == taker[0].epoch:
-            taker[0].heard(witness, word)
-            self._decided(word.key)
+        """Processes a witness's reply."""
+        takeover = self._takeovers.get(word.key)
+        if takeover is not None and word.kind in ("promise", "no") and word.epoch == takeover[0].epoch:
+            takeover[0].heard(witness, word)
+            self._check_takeover(word.key)
             return
-        held = self._held.get(word.key)
-        if held is not None and word.kind in ("ack", "no"):
-            before = held.holder.verdict
-            after = held.holder.heard(witness, word)
+        protected = self._owned.get(word.key)
+        if protected is not None and word.kind in ("ack", "no"):
+            before = protected.holder.verdict
+            after = protected.holder.heard(witness, word)
             if after != before:
-                self._verdict(held, after)
-            elif held.holder.hopeless():
-                held.wake()
+                self._apply_verdict(protected, after)
+            elif protected.holder.hopeless():
+                protected.wake()
         if word.kind == "tell" and word.state is not None and word.state.phase is Phase.ENDED:
-            for waiting in [h for h in self._by_session.values() if h.lent and h.holder.key == word.key]:
-                if word.state.made == waiting.made:
-                    self._give(waiting, word.state.answer, word.state.body)
+            for waiting in [p for p in self._by_session.values() if p.delegated and p.holder.key == word.key]:
+                if word.state.made == waiting.register_id:
+                    self._settle(waiting, word.state.answer, word.state.body)
 
-    def _verdict(self, held: ProtectedSession, verdict: str) -> None:
-        holder = held.holder
+    def _apply_verdict(self, protected: ProtectedSession, verdict: str) -> None:
+        holder = protected.holder
         if verdict == "go" and holder.state.phase is Phase.HELD:
-            self._say(holder.put(Phase.CONFIRMED), holder)
-        if verdict == "go" and held.refusal is not None:
-            answer, held.refusal = held.refusal, None
-            self._end_joined(held, "refused", "")
-            self._dispatcher.settle(held.session, answer)
-        elif verdict in ("known", "lost") and held.refusal is not None:
-            self._unsure(held)
-        elif verdict in ("known", "lost") and not held.lent:
-            self._lend(held)
-        held.wake()
-
-    def _lend(self, held: ProtectedSession) -> None:
-        """Somebody else has the job: its client waits for that one's end."""
-        other, holder = held.holder.other, held.holder
+            self._broadcast(holder.put(Phase.CONFIRMED), holder)
+        if verdict == "go" and protected.refusal is not None:
+            answer, protected.refusal = protected.refusal, None
+            self._settle_joined(protected, "refused", "")
+            self._dispatcher.settle(protected.session, answer)
+        elif verdict in ("known", "lost") and protected.refusal is not None:
+            self._fail_unconfirmed_refusal(protected)
+        elif verdict in ("known", "lost") and not protected.delegated:
+            self._delegate(protected)
+        protected.wake()
+
+    def _delegate(self, protected: ProtectedSession) -> None:
+        """Lets a session wait for the end of its job at the other process that has it."""
+        other, holder = protected.holder.other, protected.holder
         self.counts["returned" if holder.verdict == "known" else "lost"] += 1
-        held.lent = True
-        if holder.verdict == "known" and holder.said:  # what we made of it at a witness is nobody's
-            self._say(holder.withdrawn(), holder)
-        if self._held.get(holder.key) is held:
-            del self._held[holder.key]
+        protected.delegated = True
+        if holder.verdict == "known" and holder.said:  # a register that it made at a witness has no owner
+            self._broadcast(holder.withdrawn(), holder)
+        if self._owned.get(holder.key) is protected:
+            del self._owned[holder.key]
         if holder.verdict == "known" and other is not None and other.digest != holder.state.digest:
-            self._drop(held)
-            self._dispatcher.settle(held.session, Answer("unusable"))
+            self._remove(protected)
+            self._dispatcher.settle(protected.session, Answer("unusable"))
             return
-        self._dispatcher.lend(held.session)
+        self._dispatcher.lend(protected.session)
         if other is not None and other.phase is Phase.ENDED:
-            self._give(held, other.answer, other.body)
+            self._settle(protected, other.answer, other.body)
 
-    def _give(self, held: ProtectedSession, kind: str, body: str) -> None:
-        """A lent session's end."""
-        self._drop(held)
+    def _settle(self, protected: ProtectedSession, kind: str, body: str) -> None:
+        """Answers a delegated session."""
+        self._remove(protected)
         answers: dict[str, Any] = {"served": "served", "refused": "refused", "unusable": "unusable"}
-        self._dispatcher.settle(held.session, Answer(answers.get(kind, "failed"), body.encode("latin-1")))
+        self._dispatcher.settle(
+            protected.session, Answer(answers.get(kind, "failed"), body.encode("latin-1"))
+        )
 
-    def _look(self) -> None:
-        """Ask how the jobs of lent sessions go; give up those whose time is over."""
+    def _poll_delegated(self) -> None:
+        """Asks for the state of the delegated sessions' jobs, and fails sessions whose time is over."""
         now = self._loop.now
-        for held in [h for h in self._by_session.values() if h.lent]:
-            if now >= held.session.deadline - ASK_EVERY or not self._reachable(held.holder.witnesses):
-                self._give(held, "failed", "")
-            elif held.holder.key not in self._held:
-                for name in held.holder.witnesses:
-                    self._to(name, Word("ask", held.holder.key))
-        self._loop.at(now + ASK_EVERY, self._look)
+        for protected in [p for p in self._by_session.values() if p.delegated]:
+            if now >= protected.session.deadline - POLL_INTERVAL_US or not self._majority_reachable(
+                protected.holder.witnesses
+            ):
+                self._settle(protected, "failed", "")
+            elif protected.holder.key not in self._owned:
+                for name in protected.holder.witnesses:
+                    self._send_to(name, Word("ask", protected.holder.key))
+        self._loop.at(now + POLL_INTERVAL_US, self._poll_delegated)
 
     # ------------------------------------------------------------------ taking over
 
     def owner_gone(self, name: str, life: int) -> None:
-        """A process is gone, by what members say or because a later one of its name speaks."""
-        if name != self._name and (name, life) not in self._gone:
-            self._gone[name, life] = self._loop.now
+        """Handles the loss of a process: members reported it, or a later process of its name connected."""
+        if name != self._name and (name, life) not in self._gone_owners:
+            self._gone_owners[name, life] = self._loop.now
             jobs = sum(1 for _ in self.witness.of(name))
             say(log, events.TAKEOVER_GONE, owner=name, jobs=jobs)
-            self._loop.at(self._loop.now + FIRST_LOOK, self._take_some)
+            self._loop.at(self._loop.now + TAKEOVER_DELAY_US, self._start_takeovers)
 
-    def _orphans(self) -> Iterator[tuple[str, Register]]:
+    def _orphaned_registers(self) -> Iterator[tuple[str, Register]]:
         def lives(name: str) -> bool:
             return self.is_reachable(name) and name not in gone
 
-        gone = {name for name, _ in self._gone}  # their connections may stand still
-        for name, life in list(self._gone):
+        gone = {name for name, _ in self._gone_owners}  # their connections may still be open
+        for name, life in list(self._gone_owners):
             for key, register in self.witness.of(name):
                 state = register.state
-                if state is None or state.life != life or key in self._takers:
+                if state is None or state.life != life or key in self._takeovers:
                     continue
                 if self._roster.successor(key, self._name, lives) == self._name:
                     yield key, register
 
-    def _take_some(self) -> None:
-        """Take what is most worth taking, a bounded number at a time."""
+    def _start_takeovers(self) -> None:
+        """Starts to take over the most valuable orphaned jobs, a bounded number at a time."""
         now, classes = self._loop.now, self._config.settings.classes
-        found = list(self._orphans())
+        found = list(self._orphaned_registers())
         for key, register in in_order(found, now, [c.worth for c in classes]):
-            if len(self._takers) >= AT_ONCE:
+            if len(self._takeovers) >= MAX_CONCURRENT_TAKEOVERS:
                 break
             if register.state is None:
                 continue
@@ -400,63 +427,69 @@
                 self._roster.place(self._name),
                 register.state,
             )
-            self._takers[key] = taker, register, now
+            self._takeovers[key] = taker, register, now
             for name in taker.witnesses:
-                self._to(name, taker.take())
+                self._send_to(name, taker.take())
         if found:
-            self._loop.at(now + max(5_000, round(1e6 / self._told.pace)), self._take_some)
+            self._loop.at(now + max(5_000, round(1e6 / self._settings.pace)), self._start_takeovers)
 
-    def _decided(self, key: str) -> None:
-        taker, register, _ = self._takers[key]
+    def _check_takeover(self, key: str) -> None:
+        taker, register, _ = self._takeovers[key]
         if taker.verdict == "lost":
-            del self._takers[key]
+            del self._takeovers[key]
         elif taker.verdict == "go":
-            del self._takers[key]
-            self._succeeds(taker, register)
+            del self._takeovers[key]
+            self._complete_takeover(taker, register)
 
-    def _succeeds(self, taker: Taker, register: Register) -> None:
-        """The register is ours: run the job, or end it."""
+    def _complete_takeover(self, taker: Taker, register: Register) -> None:
+        """Runs or ends a job whose register this process has taken over."""
         now, job, latest = self._loop.now, register.job, taker.latest
         if latest.phase is Phase.ENDED:
             return
         holder = taker.holder(job)
-        left = 0 if job is None else job.left - (now - register.since)
+        time_left = 0 if job is None else job.left - (now - register.since)
         cls = None if job is None else self._config.settings.classes[job.cls]
-        again = cls is not None and (cls.effect == "safe" or (cls.effect == "keyed" and cls.group == "all"))
-        if cls is None or job is None or left < AHEAD or not taker.may_run(again):
+        repeatable = cls is not None and (
+            cls.effect == "safe" or (cls.effect == "keyed" and cls.group == "all")
+        )
+        if cls is None or job is None or time_left < MIN_TIME_LEFT_US or not taker.may_run(repeatable):
             self.counts["ended"] += 1
-            never = latest.phase is Phase.CONFIRMED
-            self._say(holder.put(Phase.ENDED, answer="refused" if never else "failed"), holder)
+            never_ran = latest.phase is Phase.CONFIRMED
+            self._broadcast(holder.put(Phase.ENDED, answer="refused" if never_ran else "failed"), holder)
             return
         self.counts["run"] += 1
-        self._say(holder.put(latest.phase), holder)  # from here on it is no orphan
-        arrival, passed = unpack(job.request)
+        self._broadcast(holder.put(latest.phase), holder)  # the register has an owner again
+        arrival, request = unpack_request(job.request)
         session = self._dispatcher.submit(
-            arrival._replace(time_left=left), passed, lambda answer: None, guarded=True
+            arrival._replace(time_left=time_left), request, lambda answer: None, guarded=True
         )
-        back = self._held.get(holder.key)  # its client may have come here already
-        self._guards(session, holder)
-        if back is not None:
-            back.lent, back.holder = True, holder
-            self._dispatcher.lend(back.session)
-            back.wake()
-        say(log, events.TAKEN_OVER, owner=latest.owner, job=passed.id)
+        returned = self._owned.get(holder.key)  # its client may have repeated the job here already
+        self._protect(session, holder)
+        if returned is not None:
+            returned.delegated, returned.holder = True, holder
+            self._dispatcher.lend(returned.session)
+            returned.wake()
+        say(log, events.TAKEN_OVER, owner=latest.owner, job=request.id)
 
     def _sweep(self) -> None:
         now = self._loop.now
         self.witness.sweep(now)
-        if self.counts and now - self._counted > COUNTS_EVERY:
-            told = " ".join(f"{name}={count}" for name, count in sorted(self.counts.items()))
-            say(log, events.TAKEOVER_COUNTS, counts=told, kept=len(self.witness.registers))
-            self._counted = now
+        if self.counts and now - self._counts_logged_at > LOG_INTERVAL_US:
+            text = " ".join(f"{name}={count}" for name, count in sorted(self.counts.items()))
+            say(log, events.TAKEOVER_COUNTS, counts=text, kept=len(self.witness.registers))
+            self._counts_logged_at = now
             self._totals += self.counts
             self.counts.clear()
-        for key in [key for key, (_, _, at) in self._takers.items() if now - at > TAKE_TIME]:
-            del self._takers[key]  # no majority: another look may find one
-        if self._gone:
-            self._take_some()
-            self._gone = {who: at for who, at in self._gone.items() if now - at < 30_000_000}
-        self._loop.at(now + SWEEP, self._sweep)
+        for key in [
+            key for key, (_, _, started) in self._takeovers.items() if now - started > PROMISE_TIMEOUT_US
+        ]:
+            del self._takeovers[key]  # there was no majority; a later attempt may find one
+        if self._gone_owners:
+            self._start_takeovers()
+            self._gone_owners = {
+                owner: since for owner, since in self._gone_owners.items() if now - since < 30_000_000
+            }
+        self._loop.at(now + SWEEP_INTERVAL_US, self._sweep)
 
 
 def _identity(job: Job, header: bytes) -> str:
@@ -466,23 +499,23 @@
     return ""
 
 
-def pack(session: Session) -> str:
-    """A session's request, as a successor wants it."""
+def pack_request(session: Session) -> str:
+    """Encodes a session's request for a successor."""
     job: Job = session.job
     headers = [[name.decode("latin-1"), value.decode("latin-1")] for name, value in job.headers]
-    passed = [
+    request = [
         job.id,
         job.method.decode("latin-1"),
         job.target.decode("latin-1"),
         headers,
         job.body.decode("latin-1"),
     ]
-    told: str = ujson.dumps([list(session.arrival), passed], escape_forward_slashes=False)
-    return told
+    text: str = ujson.dumps([list(session.arrival), request], escape_forward_slashes=False)
+    return text
 
 
-def unpack(text: str) -> tuple[i.Arrival, Job]:
-    """The request again. Raises ValueError."""
+def unpack_request(text: str) -> tuple[i.Arrival, Job]:
+    """Decodes a request. Raises ValueError."""
     arrival, (id_, method, target, headers, body) = ujson.loads(text)
     rows = [(name.encode("latin-1"), value.encode("latin-1")) for name, value in headers]
     job = Job(id_, method.encode("latin-1"), target.encode("latin-1"), rows, body.encode("latin-1"))
--- a/heronstall/net/takeover/links.py
+++ b/heronstall/net/takeover/links.py
@@ -1,7 +1,8 @@
-"""The words of takeover on their way: one connection to each witness's process, one from each owner's.
+"""The transport of takeover messages: one connection to each witness's process, one from each owner's.
 
-A request and its answer that do not end, over the peers' TCP port: lines of words in chunks, all that a turn
-of the loop has said in one chunk. What a broken connection loses is lost: parties say it again or do without.
+A link is an HTTP request and its response that do not end, over the peers' TCP port. Both carry lines of
+messages in chunks; all messages of one turn of the loop share a chunk. Messages on a connection that breaks
+are lost: the parties repeat them or do without.
 """
 
 from __future__ import annotations
@@ -25,49 +26,49 @@
 from heronstall.takeover.words import LARGEST, Unreadable, Word, pack, unpack
 
 PATH = b"/v1/takeover"
-CONNECT_TIME = 500_000
-AGAIN = (50_000, 500_000)  # between attempts at a connection
-QUEUE = 4 * 1024 * 1024  # bytes that wait for a witness; beyond them words are lost
-WRITE_TIME = 1_000_000
+CONNECT_TIMEOUT_US = 500_000
+RECONNECT_DELAY_US = (50_000, 500_000)  # the range of the random delay between connection attempts
+MAX_QUEUED_BYTES = 4 * 1024 * 1024  # for one witness; messages beyond it are lost
+WRITE_TIMEOUT_US = 1_000_000
 log = logging.getLogger("heronstall.takeover")
 
 
 class WitnessLink:
-    """To one witness, over the lives of its process."""
+    """The link to one witness, which outlives restarts of the witness's process."""
 
     def __init__(self, links: WitnessLinks, name: str) -> None:
         self._links, self._name, self._loop = links, name, links.loop
         self._connection: Connection | None = None
-        self._waiting: deque[bytes] = deque()
-        self._size = 0
-        self._writer: Task | None = None  # while it waits
+        self._queue: deque[bytes] = deque()
+        self._queued_bytes = 0
+        self._waiting_sender: Task | None = None  # set while the sender waits for a message
         self._sender: Task | None = None
-        self._draw = random.Random(name)
+        self._random = random.Random(name)
         self.up = False
-        self._loop.spawn(self._keep_up(), f"link to {name}")
+        self._loop.spawn(self._keep_connected(), f"link to {name}")
 
-    def say(self, word: Word) -> None:
-        """A word goes with all that this turn of the loop says."""
+    def send(self, word: Word) -> None:
+        """Queues a message; it is sent together with the other messages of this turn of the loop."""
         if not self.up:
             return
         line = pack(word)
-        self._size += len(line)
-        if self._size > QUEUE:
-            self._size -= len(line)
+        self._queued_bytes += len(line)
+        if self._queued_bytes > MAX_QUEUED_BYTES:
+            self._queued_bytes -= len(line)
             return
-        self._waiting.append(line)
-        if self._writer is not None:
-            self._writer.wake(READ)
-            self._writer = None
+        self._queue.append(line)
+        if self._waiting_sender is not None:
+            self._waiting_sender.wake(READ)
+            self._waiting_sender = None
 
-    def _keep_up(self) -> Coroutine[None]:
+    def _keep_connected(self) -> Coroutine[None]:
         while True:
-            to = self._links.address(self._name)
-            if to is not None:
+            address = self._links.address(self._name)
+            if address is not None:
                 try:
-                    until = self._loop.now + CONNECT_TIME
+                    deadline = self._loop.now + CONNECT_TIMEOUT_US
                     connection = self._connection = yield from connect(
-                        self._loop, to, until, self._links.host
+                        self._loop, address, deadline, self._links.host
                     )
                     headers = [("Host", "peer"), ("Transfer-Encoding", "chunked")]
                     request = h11.Request(method="POST", target=PATH, headers=headers)
@@ -75,22 +76,22 @@
                     data = (connection.parser.send(request) or b"") + (
                         connection.parser.send(h11.Data(data=hello)) or b""
                     )
-                    yield from connection.write(data, until)
-                    yield from self._hear(connection)
+                    yield from connection.write(data, deadline)
+                    yield from self._receive(connection)
                 except Ended:
                     pass
                 finally:
                     self.up = False
-                    self._waiting.clear()
-                    self._size = 0
+                    self._queue.clear()
+                    self._queued_bytes = 0
                     if self._connection is not None:
                         self._connection.close()
                         self._connection = None
                 self._links.link_lost(self._name)
-            yield from sleep(self._loop.now + self._draw.randrange(*AGAIN))
+            yield from sleep(self._loop.now + self._random.randrange(*RECONNECT_DELAY_US))
 
-    def _hear(self, connection: Connection) -> Coroutine[None]:
-        lines, sender = Lines(LARGEST), self._loop.spawn(self._write(connection), "takeover's words")
+    def _receive(self, connection: Connection) -> Coroutine[None]:
+        lines, sender = Lines(LARGEST), self._loop.spawn(self._send_queued(connection), "takeover's words")
         self._sender, self.up = sender, True
         try:
             while True:
@@ -103,19 +104,19 @@
         finally:
             sender.kill()
 
-    def _write(self, connection: Connection) -> Coroutine[None]:
+    def _send_queued(self, connection: Connection) -> Coroutine[None]:
         loop = self._loop
         while True:
-            if not self._waiting:
-                self._writer = self._sender
+            if not self._queue:
+                self._waiting_sender = self._sender
                 yield -1, 0, None
                 continue
-            data = b"".join(self._waiting)
-            self._waiting.clear()
-            self._size = 0
+            data = b"".join(self._queue)
+            self._queue.clear()
+            self._queued_bytes = 0
             try:
                 yield from connection.write(
-                    connection.parser.send(h11.Data(data=data)) or b"", loop.now + WRITE_TIME
+                    connection.parser.send(h11.Data(data=data)) or b"", loop.now + WRITE_TIMEOUT_US
                 )
             except Ended:
                 connection.close()
@@ -123,104 +124,104 @@
 
 
 class WitnessLinks:
-    """All of one process."""
+    """All links of one process, in both directions."""
 
     def __init__(
         self,
-        guard: TakeoverCoordinator,
+        coordinator: TakeoverCoordinator,
         loop: Loop,
         swim: Swim,
         host: str,
         me: tuple[str, int],
         names: list[str],
     ) -> None:
-        self.guard, self.loop, self._swim, self.host, self.me = guard, loop, swim, host, me
-        self._lives: dict[str, int] = {}  # the latest of each owner's processes that has spoken here
-        self._speaking: Counter[tuple[str, int]] = Counter()  # connections of processes that are open
-        self._ending: set[tuple[str, int]] = set()  # processes that go as planned, and finish what they have
+        self.coordinator, self.loop, self._swim, self.host, self.me = coordinator, loop, swim, host, me
+        self._latest_lives: dict[str, int] = {}  # by owner, the latest process that has connected
+        self._open_connections: Counter[tuple[str, int]] = Counter()  # by owner's process
+        self._ending: set[tuple[str, int]] = set()  # processes that stop as planned and finish their jobs
         self._links = {name: WitnessLink(self, name) for name in names if name != me[0]}
         self.on_link_lost: Callable[[str], None] = lambda name: None
-        guard.send, guard.is_reachable = self._tell, self.lives
+        coordinator.send, coordinator.is_reachable = self._send, self._is_reachable
 
     def address(self, name: str) -> Address | None:
-        """Where a member is, if it is there."""
+        """Returns a member's address, unless the member is gone."""
         member = self._swim.members.get(name)
         return None if member is None or member.row.state > MemberState.SUSPECT else member.address
 
-    def lives(self, name: str) -> bool:
-        """Whether a witness can be spoken to."""
+    def _is_reachable(self, name: str) -> bool:
+        """Returns whether a witness can be sent messages."""
         link = self._links.get(name)
         return link is not None and link.up and self.address(name) is not None
 
-    def _tell(self, name: str, word: Word) -> None:
+    def _send(self, name: str, word: Word) -> None:
         link = self._links.get(name)
         if link is not None:
-            link.say(word)
+            link.send(word)
 
     def link_lost(self, name: str) -> None:
-        """A witness's connection has ended: is it there?"""
+        """Reports that a witness's connection has ended, so that the witness is probed."""
         self.on_link_lost(name)
 
     def handle_line(self, name: str, line: bytes) -> None:
-        """A witness's line."""
+        """Processes a line that a witness has sent."""
         try:
-            self.guard.handle_reply(name, unpack(line))
+            self.coordinator.handle_reply(name, unpack(line))
         except Unreadable as error:
             say(log, events.TAKEOVER_UNREADABLE, peer=name, reason=str(error))
 
     def serve(self, connection: Connection) -> Coroutine[None]:
-        """Answer an owner's words until its connection ends. Raises Ended."""
-        loop, lines, who = self.loop, Lines(LARGEST), ("", 0)
+        """Answers an owner's messages until its connection ends. Raises Ended."""
+        loop, lines, owner = self.loop, Lines(LARGEST), ("", 0)
         headers = [("Transfer-Encoding", "chunked")]
         response = connection.parser.send(h11.Response(status_code=200, headers=headers)) or b""
-        yield from connection.write(response, loop.now + WRITE_TIME)
+        yield from connection.write(response, loop.now + WRITE_TIMEOUT_US)
         try:
             while True:
                 event = yield from connection.event(None)
                 if not isinstance(event, h11.Data):
                     return
-                said = []
+                replies = []
                 for line in lines.feed(bytes(event.data)):
                     if line.startswith(b'["hello"'):
-                        who = self._hello(line)
+                        owner = self._handle_hello(line)
                         continue
                     try:
-                        said.append(pack(self.guard.handle_message(unpack(line))))
+                        replies.append(pack(self.coordinator.handle_message(unpack(line))))
                     except Unreadable as error:
-                        say(log, events.TAKEOVER_UNREADABLE, peer=who[0], reason=str(error))
-                if said:
-                    data = connection.parser.send(h11.Data(data=b"".join(said))) or b""
-                    yield from connection.write(data, loop.now + WRITE_TIME)
+                        say(log, events.TAKEOVER_UNREADABLE, peer=owner[0], reason=str(error))
+                if replies:
+                    data = connection.parser.send(h11.Data(data=b"".join(replies))) or b""
+                    yield from connection.write(data, loop.now + WRITE_TIMEOUT_US)
         finally:
-            self._speaking[who] -= 1
-            if who in self._ending and not self._speaking[who]:
-                self._ending.discard(who)
-                self.guard.owner_gone(*who)
+            self._open_connections[owner] -= 1
+            if owner in self._ending and not self._open_connections[owner]:
+                self._ending.discard(owner)
+                self.coordinator.owner_gone(*owner)
 
-    def _hello(self, line: bytes) -> tuple[str, int]:
+    def _handle_hello(self, line: bytes) -> tuple[str, int]:
         try:
             _, name, life, *_ = ujson.loads(line)
             name, life = str(name), int(life)
         except (ValueError, TypeError):
             return "", 0
-        before = self._lives.get(name)
-        self._lives[name] = max(life, before or 0)
-        self._speaking[name, life] += 1
+        before = self._latest_lives.get(name)
+        self._latest_lives[name] = max(life, before or 0)
+        self._open_connections[name, life] += 1
         if before is not None and before < life:
-            self._goes((name, before))
+            self._handle_planned_end((name, before))
         return name, life
 
-    def _goes(self, who: tuple[str, int]) -> None:
-        """A process ends, or is replaced: what it has in hand is its own while it is there."""
-        if self._speaking[who] > 0:
-            self._ending.add(who)
+    def _handle_planned_end(self, owner: tuple[str, int]) -> None:
+        """Notes that a process stops or was replaced; it keeps its jobs for as long as it is connected."""
+        if self._open_connections[owner] > 0:
+            self._ending.add(owner)
         else:
-            self.guard.owner_gone(*who)
+            self.coordinator.owner_gone(*owner)
 
-    def member_gone(self, name: str, left: bool) -> None:
-        """Members say that it is; `left`, by its own word."""
-        life = self._lives.get(name)
+    def handle_member_gone(self, name: str, left: bool) -> None:
+        """Handles the end of a member, as the membership reports it; `left` if the member announced it."""
+        life = self._latest_lives.get(name)
         if life is not None and left:
-            self._goes((name, life))
+            self._handle_planned_end((name, life))
         elif life is not None:
-            self.guard.owner_gone(name, life)
+            self.coordinator.owner_gone(name, life)
--- a/heronstall/net/takeover/start.py
+++ b/heronstall/net/takeover/start.py
@@ -1,4 +1,4 @@
-"""Puts the guard, its links and the peers together."""
+"""Creates and connects the takeover coordinator, its links and the peer service."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 from heronstall.operator import TakeoverFile
 
 
-def begin(
-    config: Config, told: TakeoverFile, loop: Loop, peers: PeerService, dispatcher: Dispatcher
+def start_takeover(
+    config: Config, settings: TakeoverFile, loop: Loop, peers: PeerService, dispatcher: Dispatcher
 ) -> TakeoverCoordinator:
-    """Guard a dispatcher's jobs from now on."""
-    guard = TakeoverCoordinator(config, told, loop, config.name, peers.started_ms)
-    guard.start(dispatcher)
-    names = sorted({name for group in told.witnesses for name in group})
-    links = WitnessLinks(guard, loop, peers.swim, peers.host, (config.name, peers.started_ms), names)
+    """Protects a dispatcher's jobs from now on."""
+    coordinator = TakeoverCoordinator(config, settings, loop, config.name, peers.started_ms)
+    coordinator.start(dispatcher)
+    names = sorted({name for group in settings.witnesses for name in group})
+    links = WitnessLinks(coordinator, loop, peers.swim, peers.host, (config.name, peers.started_ms), names)
     links.on_link_lost = peers.probe_member
     peers.request_handlers[PATH] = links.serve
-    peers.on_member_gone = links.member_gone
-    return guard
+    peers.on_member_gone = links.handle_member_gone
+    return coordinator
--- a/tests/test_admin_endpoint.py
+++ b/tests/test_admin_endpoint.py
@@ -157,7 +157,7 @@
         rows = dict(row[4:].split("=", 1) for row in self.call("TAKEOVER").splitlines()[:-1])
         self.assertEqual((rows["takeover.unprotected"], rows["takeover.kept"]), ("1", "0"))
         self.rest(0.02)
-        guard._counted -= 60_000_000
+        guard._counts_logged_at -= 60_000_000
         guard._sweep()  # tells the log, and begins anew to count for it
         rows = dict(row[4:].split("=", 1) for row in self.call("TAKEOVER").splitlines()[:-1])
         self.assertEqual(rows["takeover.unprotected"], "1")
