--- a/tests/test_admin_endpoint.py
+++ b/tests/test_admin_endpoint.py
@@ -1,4 +1,4 @@
-"""The operators' door over loopback: words, figures, bans and the drain, between scripted peers."""
+"""The admin endpoint over loopback, between scripted clients and servers: commands, figures, bans, drain."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from heronstall.__main__ import Program as Dispatching
+from heronstall.__main__ import Program
 from heronstall.config import ConfigError, configuration
 from heronstall.net.admin_endpoint import MAX_CONNECTIONS, MAX_LINE_BYTES
 from heronstall.net.dispatcher import FATE
@@ -21,17 +21,17 @@
 from tests.test_net import Peer, Story, raw_config
 
 
-class Operated(Story):
-    """A node with a door."""
+class AdminEndpointTestCase(Story):
+    """A dispatcher with an admin endpoint."""
 
     operated = True
 
     def call(self, line: str | bytes) -> str:
-        """One call, and all that is said to it."""
-        caller = Peer(socket.create_connection(self.door))
-        caller.sock.sendall(line if isinstance(line, bytes) else line.encode() + b"\n")
-        self.spin(lambda: self.gone(caller))
-        return caller.got.decode()
+        """Sends a command on a new connection and returns the whole reply."""
+        client = Peer(socket.create_connection(self.door))
+        client.sock.sendall(line if isinstance(line, bytes) else line.encode() + b"\n")
+        self.spin(lambda: self.gone(client))
+        return client.got.decode()
 
     def figures(self) -> dict[str, int]:
         *rows, end = self.call("INFO").splitlines()
@@ -39,18 +39,18 @@
         self.assertTrue(all(row.startswith("svc.") for row in rows))
         return {name: int(figure) for name, figure in (row[4:].split("=") for row in rows)}
 
-    def tell(self, *numbers: int, rev: int, **more: Any) -> None:
-        """A list from discovery."""
-        self.program.table.take(self.table(*numbers, rev=rev, **more))
+    def take_list(self, *numbers: int, rev: int, **fields: Any) -> None:
+        """Applies a server list as if it came from the discovery service."""
+        self.program.table.take(self.table(*numbers, rev=rev, **fields))
 
 
-class Words(Operated):
-    def test_each_call_has_its_reply_and_what_is_no_call_gets_one_no(self) -> None:
+class Commands(AdminEndpointTestCase):
+    def test_each_command_has_its_reply_and_invalid_lines_are_rejected(self) -> None:
         self.program.table.heard = True
         for line, reply in (
             ("PING", "YES serving"),
             (b"PING\r\n", "YES serving"),
-            (b"PING\nREJOIN\n", "YES serving"),  # a connection carries one line
+            (b"PING\nREJOIN\n", "YES serving"),  # only the first line of a connection is read
             ("ping", "NO such call"),
             ("", "NO such call"),
             (b"\xff\x00\xfe\n", "NO not text"),
@@ -69,70 +69,72 @@
             ("LAMEDUCK", "YES drained already"),
             ("PING", "YES drained"),
             ("REJOIN", "YES serving"),
-            (b"x" * (MAX_LINE_BYTES + 1), "NO such call"),  # endless: said as soon as it is too long
+            (b"x" * (MAX_LINE_BYTES + 1), "NO such call"),  # without a line end: rejected once it is too long
         ):
             with self.subTest(line):
                 self.assertEqual(self.call(line), reply + "\n")
 
-    def test_a_call_may_come_in_pieces_beside_many_that_hold_half_a_line(self) -> None:
-        half = [Peer(socket.create_connection(self.door)) for _ in range(3 * MAX_CONNECTIONS)]
-        for peer in half:
+    def test_a_command_may_arrive_in_pieces_while_many_connections_hold_half_a_line(self) -> None:
+        half_open = [Peer(socket.create_connection(self.door)) for _ in range(3 * MAX_CONNECTIONS)]
+        for peer in half_open:
             peer.sock.sendall(b"PI")
             self.rest(0.001)
         self.assertIn("END", self.call("INFO"))
-        self.assertEqual(sum(peer.read() == b"" and not peer.closed for peer in half), MAX_CONNECTIONS - 1)
-        half[-1].sock.sendall(b"NG\n")
-        self.spin(lambda: half[-1].read())
-        self.assertTrue(half[-1].got.startswith((b"YES", b"NO")))
+        self.assertEqual(
+            sum(peer.read() == b"" and not peer.closed for peer in half_open), MAX_CONNECTIONS - 1
+        )
+        half_open[-1].sock.sendall(b"NG\n")
+        self.spin(lambda: half_open[-1].read())
+        self.assertTrue(half_open[-1].got.startswith((b"YES", b"NO")))
         with mock.patch("heronstall.net.admin_endpoint.COMMAND_TIMEOUT_US", 10_000):
             late = Peer(socket.create_connection(self.door))
             late.sock.sendall(b"PING")
             self.spin(lambda: self.gone(late))
 
-    def test_nothing_is_opened_where_no_address_is_told_and_a_wrong_one_is_named(self) -> None:
-        program = Dispatching(configuration(raw_config()), Loop())
+    def test_the_endpoint_needs_an_address_and_an_unusable_one_is_reported(self) -> None:
+        program = Program(configuration(raw_config()), Loop())
         self.assertIsNone(program.daily)
         with self.assertRaisesRegex(ConfigError, "^operator: "):
             configuration(raw_config(operator="nowhere"))
         with self.assertRaisesRegex(ConfigError, "^operator: cannot listen on 192.0.2.1:9: "):
-            Dispatching(configuration(raw_config(operator="192.0.2.1:9")), Loop())
+            Program(configuration(raw_config(operator="192.0.2.1:9")), Loop())
 
 
-class FullHouse(Operated):
-    sockets = 64  # with the door, four clients
+class DescriptorLimit(AdminEndpointTestCase):
+    sockets = 64  # leaves four clients beside the admin endpoint
 
-    def test_the_door_answers_while_clients_hold_every_descriptor(self) -> None:
-        crowd = [self.client() for _ in range(60)]
+    def test_commands_are_answered_while_clients_hold_every_descriptor(self) -> None:
+        clients = [self.client() for _ in range(60)]
         self.rest(0.05)
         self.assertIn("END", self.call("INFO"))
-        self.assertEqual(len(crowd), 60)
+        self.assertEqual(len(clients), 60)
 
 
-class Counting(Operated):
-    def test_figures_are_what_clients_and_servers_saw_whatever_ended_a_job(self) -> None:
-        self.story()
+class FigureCounts(AdminEndpointTestCase):
+    def test_figures_agree_with_what_clients_and_servers_saw_however_jobs_ended(self) -> None:
+        self.run_jobs()
 
-    def test_a_planted_miscount_of_attempts_is_seen(self) -> None:
+    def test_a_wrong_count_of_attempts_is_detected(self) -> None:
         with (
-            mock.patch.object(JobCounters, "record_forward", lambda figures: None),
+            mock.patch.object(JobCounters, "record_forward", lambda counters: None),
             self.assertRaises(AssertionError),
         ):
-            self.story()
+            self.run_jobs()
 
-    def test_a_planted_miscount_of_those_who_leave_is_seen(self) -> None:
+    def test_a_wrong_count_of_disconnected_clients_is_detected(self) -> None:
         with mock.patch.dict(FATE, {"gone": "succeeded"}), self.assertRaises(AssertionError):
-            self.story()
+            self.run_jobs()
 
-    def test_detail_is_off_until_asked_for_and_then_tells_what_clients_saw(self) -> None:
+    def test_detail_is_off_by_default_and_agrees_with_what_clients_saw_when_enabled(self) -> None:
         self.assertTrue(self.call("DETAIL").startswith("NO figures.detail is off"))
         detail = self.program.detail()
         assert detail is not None
         self.program.dispatcher.observers.append(detail)
-        self.story()
+        self.run_jobs()
         rows = dict(row[4:].split("=", 1) for row in self.call("DETAIL").splitlines()[:-1])
-        told = {name: [int(rows[f"{name}.{cls}"]) for cls in ("unsafe", "keyed")] for name in COUNTS}
+        counts = {name: [int(rows[f"{name}.{cls}"]) for cls in ("unsafe", "keyed")] for name in COUNTS}
         self.assertEqual(
-            told,
+            counts,
             {"taken": [3, 2], "intime": [2, 0], "served": [2, 0], "refused": [0, 1], "failed": [1, 0]}
             | {"gone": [0, 1]},
         )
@@ -144,45 +146,45 @@
         self.assertGreater(HdrHistogram.decode(rows["loop"]).get_total_count(), 0)
         self.assertEqual(self.call("DETAIL all"), "NO DETAIL wants nothing else\n")
 
-    def test_what_takeover_counts_is_told_where_it_is_on(self) -> None:
+    def test_takeover_figures_are_reported_where_takeover_is_enabled(self) -> None:
         self.assertTrue(self.call("TAKEOVER").startswith("NO takeover is off"))
         assert self.program.daily is not None
-        told = TakeoverFile((("n0",), ("n1",), ("n2",)))
-        guard = TakeoverCoordinator(self.program.config, told, self.loop, "n0", 1)
-        guard.start(self.program.dispatcher)
-        self.program.daily.operations.takeover_figures = guard.figures
-        self.assertEqual(self.call("INFO").count("takeover"), 0)  # as its page words it
+        settings = TakeoverFile((("n0",), ("n1",), ("n2",)))
+        coordinator = TakeoverCoordinator(self.program.config, settings, self.loop, "n0", 1)
+        coordinator.start(self.program.dispatcher)
+        self.program.daily.operations.takeover_figures = coordinator.figures
+        self.assertEqual(self.call("INFO").count("takeover"), 0)  # as documented
         self.ask("unsafe")  # without an identity
         self.dispatched()
         rows = dict(row[4:].split("=", 1) for row in self.call("TAKEOVER").splitlines()[:-1])
         self.assertEqual((rows["takeover.unprotected"], rows["takeover.kept"]), ("1", "0"))
         self.rest(0.02)
-        guard._counts_logged_at -= 60_000_000
-        guard._sweep()  # tells the log, and begins anew to count for it
+        coordinator._counts_logged_at -= 60_000_000
+        coordinator._sweep()  # logs the counts and resets those of the log
         rows = dict(row[4:].split("=", 1) for row in self.call("TAKEOVER").splitlines()[:-1])
         self.assertEqual(rows["takeover.unprotected"], "1")
 
-    def story(self) -> None:
-        for n, state in enumerate(("done", "failed", "done", "leaves", "refused")):
+    def run_jobs(self) -> None:
+        for n, end in enumerate(("done", "failed", "done", "leaves", "refused")):
             client = self.ask("unsafe" if n < 3 else "keyed", name=f"id-{n}")
-            if state == "refused":
+            if end == "refused":
                 self.call("DETACH s-0")
                 self.call("DETACH s-1")
             server = self.dispatched()
             self.assertEqual(self.figures()["outstanding"], 1)
-            if state == "leaves":
+            if end == "leaves":
                 client.sock.close()
                 self.spin(lambda: self.figures()["outstanding"] == 0)
-            elif state == "refused":
+            elif end == "refused":
                 server.sock.sendall(
                     b"HTTP/1.1 503 Full\r\nSrv-Declined: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
                 )
                 self.assertEqual(self.status(client), 503)
             else:
                 server.sock.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-                server.say(f'{{"id":"id-{n}","state":"{state}","result":"ok"}}')
+                server.say(f'{{"id":"id-{n}","state":"{end}","result":"ok"}}')
                 server.sock.sendall(b"0\r\n\r\n")
-                self.assertEqual(self.status(client), 200 if state == "done" else 500)
+                self.assertEqual(self.status(client), 200 if end == "done" else 500)
         self.assertEqual(
             self.figures(),
             {
@@ -200,44 +202,45 @@
         )
 
 
-class Banning(Operated):
-    def test_no_list_lifts_a_ban_and_what_comes_back_is_cold(self) -> None:
+class Bans(AdminEndpointTestCase):
+    def test_a_ban_outlasts_server_lists_and_a_readmitted_server_counts_as_just_started(self) -> None:
         table = self.program.table
-        told: list[Any] = []
-        table._told = told.append
+        updates: list[Any] = []
+        table._told = updates.append
         self.call("DETACH s-0")
-        (ban,) = told[-1].entries
+        (ban,) = updates[-1].entries
         self.assertEqual((ban.worker, ban.state), (1, "leaving"))
         server = table.by_number[1]
         since = server.off_since
         assert since is not None
-        for rev, numbers in ((3, (0, 1)), (4, (1,)), (5, (0, 1))):  # it goes and comes back meanwhile
-            self.tell(*numbers, rev=rev)
+        # The server disappears from the list and returns.
+        for rev, numbers in ((3, (0, 1)), (4, (1,)), (5, (0, 1))):
+            self.take_list(*numbers, rev=rev)
             self.assertEqual(server.off_since, since)
-            self.assertNotIn((1, "active"), [(e.worker, e.state) for e in told[-1].entries])
+            self.assertNotIn((1, "active"), [(e.worker, e.state) for e in updates[-1].entries])
         self.assertEqual(self.figures()["ejected"], 1)
         self.call("ATTACH s-0")
-        (back,) = told[-1].entries
+        (entry,) = updates[-1].entries
         self.assertIsNone(server.off_since)
-        self.assertEqual((back.state, back.started_at), ("active", server.back_at))
-        self.tell(0, 1, rev=6)  # the list says that it started long ago: it may be late
-        self.assertEqual(told[-1].entries[0].started_at, server.back_at)
+        self.assertEqual((entry.state, entry.started_at), ("active", server.back_at))
+        self.take_list(0, 1, rev=6)  # the list reports an old start: it may be outdated
+        self.assertEqual(updates[-1].entries[0].started_at, server.back_at)
         restarted = self.table(0, 1, rev=7)
         boot = (since + 1_000 + table._offset) // 1000
         restarted["targets"][0]["boot_ms"] = boot
-        table.take(restarted)  # now it tells of the restart, during the ban: that is exact
-        self.assertEqual(told[-1].entries[0].started_at, boot * 1000 - table._offset)
+        table.take(restarted)  # a restart during the ban is taken from the list
+        self.assertEqual(updates[-1].entries[0].started_at, boot * 1000 - table._offset)
 
-    def test_a_server_that_is_long_gone_was_listed_all_the_same(self) -> None:
-        self.tell(1, rev=3)
+    def test_a_server_that_was_forgotten_can_still_be_banned(self) -> None:
+        self.take_list(1, rev=3)
         with mock.patch("heronstall.net.server_table.FORGET", -1):
-            self.tell(1, rev=4)
+            self.take_list(1, rev=4)
         self.assertNotIn(1, self.program.table.by_number)
         self.assertEqual(self.call("DETACH s-0"), "YES detached\n")
-        self.tell(0, 1, rev=5)
+        self.take_list(0, 1, rev=5)
         self.assertEqual(self.figures()["ejected"], 1)
 
-    def test_with_every_server_out_by_hand_jobs_are_refused_and_not_sent(self) -> None:
+    def test_with_every_server_banned_jobs_are_refused_and_not_sent(self) -> None:
         self.call("DETACH s-0")
         self.call("DETACH s-1")
         client = self.ask(wait="0.5")
@@ -245,13 +248,13 @@
         self.assertEqual(self.figures()["forwards"], 0)
 
 
-class Draining(Operated):
+class Drain(AdminEndpointTestCase):
     def healthy(self) -> bool:
         client = self.client()
         client.sock.sendall(b"GET /healthz HTTP/1.1\r\nHost: o\r\n\r\n")
         return self.status(client) == 200
 
-    def test_a_drain_says_no_ends_what_idles_and_is_taken_back(self) -> None:
+    def test_a_drain_fails_health_checks_closes_idle_connections_and_can_be_ended(self) -> None:
         self.program.table.heard = True
         self.assertTrue(self.healthy())
         used = self.ask("unsafe", name="id-0")
@@ -266,11 +269,11 @@
         self.assertIn(b"connection: close", used.got.lower())
         self.assertEqual(self.call("REJOIN"), "YES serving\n")
         self.assertTrue(self.healthy())
-        stays = self.client()
+        remaining = self.client()
         self.rest(0.6)
-        self.assertFalse(self.gone(stays))
+        self.assertFalse(self.gone(remaining))
 
-    def test_a_signal_ends_a_drain_for_good(self) -> None:
+    def test_after_a_signal_a_drain_cannot_be_ended(self) -> None:
         self.front._finished = stopped = mock.Mock()
         self.call("LAMEDUCK")
         self.program.shutdown.begin()
@@ -280,7 +283,7 @@
         self.spin(lambda: stopped.called)
 
 
-del Story  # its stories are run where it is defined
+del Story  # its own tests run in the module that defines it
 
 
 if __name__ == "__main__":
--- a/tests/test_replacement.py
+++ b/tests/test_replacement.py
@@ -1,4 +1,4 @@
-"""Replacing the process: real programs, started beside each other, between scripted peers; and the files."""
+"""Replacement of a running process by another one, with real processes; and the files that they share."""
 
 from __future__ import annotations
 
@@ -22,25 +22,25 @@
 from heronstall.ops.state_files import InvalidFile, State, StateDirectory, pack, unpack
 from tests.test_net import PATIENCE, ROOT, SETTINGS, STREAM, Peer, at, listener, raw_config
 
-CROWD = 400  # connections: more than the way between two processes holds at a time
+MANY_CLIENTS = 400  # more connections than the socket between two processes queues at a time
 
 
-class Replacing(unittest.TestCase):
-    """Programs that share a folder and an address, one backend server, a discovery that says nothing."""
+class ProcessReplacement(unittest.TestCase):
+    """Processes that share a directory and an address, with one backend server and a silent discovery."""
 
     def setUp(self) -> None:
-        self.folder = Path(self.enterContext(tempfile.TemporaryDirectory()))
+        self.directory = Path(self.enterContext(tempfile.TemporaryDirectory()))
         self.server, self.discovery = listener(), listener()
         with listener() as free:
             self.address = free.getsockname()
-        self.ends: list[Peer] = []
+        self.server_connections: list[Peer] = []  # accepted by the backend server
         self.clients: list[Peer] = []
         self.logs: dict[int, Path] = {}
 
     def start(self, **environ: str) -> tuple[Any, Any]:
-        """A program and its door."""
+        """Starts a process; returns it and the address of its admin endpoint."""
         with listener() as free:
-            door = free.getsockname()
+            admin = free.getsockname()
         targets = [
             {
                 "uid": "s-0",
@@ -51,7 +51,7 @@
                 "boot_ms": 0,
             }
         ]
-        config = self.folder / "config.json"
+        config = self.directory / "config.json"
         known = {"rev": 1, "all": True, "targets": targets}
         raw = raw_config(
             listen="{}:{}".format(*self.address),
@@ -61,47 +61,47 @@
             settings={
                 **SETTINGS,
                 "rules": {**SETTINGS["rules"], "cold": 0},
-            },  # one server, put back: used at once
+            },  # the only server is used at once after a ban
         )
         config.write_text(json.dumps(raw))
-        told = {
+        variables = {
             "NODE_CONFIG": str(config),
-            "NODE_OPERATOR": "{}:{}".format(*door),
-            "TMPDIR": str(self.folder),
+            "NODE_OPERATOR": "{}:{}".format(*admin),
+            "TMPDIR": str(self.directory),
         }
-        log = self.folder / f"log-{len(self.logs)}"
+        log = self.directory / f"log-{len(self.logs)}"
         with log.open("wb") as file:
-            program = subprocess.Popen(
+            process = subprocess.Popen(
                 [sys.executable, "-B", "-m", "heronstall"],
-                env={**os.environ, **told, **environ},
+                env={**os.environ, **variables, **environ},
                 stderr=file,
                 cwd=ROOT,
             )
-        self.addCleanup(program.wait)
-        self.addCleanup(program.kill)
-        self.logs[program.pid] = log
-        self.spin(lambda: self.call(door, "PING").startswith("YES"))
-        return program, door
+        self.addCleanup(process.wait)
+        self.addCleanup(process.kill)
+        self.logs[process.pid] = log
+        self.spin(lambda: self.call(admin, "PING").startswith("YES"))
+        return process, admin
 
     def spin(self, done: Callable[[], Any]) -> Any:
-        end = time.monotonic() + PATIENCE
+        deadline = time.monotonic() + PATIENCE
         while not (result := done()):
-            if time.monotonic() > end:
-                told = [client.got for client in self.clients], [p.read_text() for p in self.logs.values()]
-                self.fail(f"the story got stuck: {told}")
+            if time.monotonic() > deadline:
+                state = [client.got for client in self.clients], [p.read_text() for p in self.logs.values()]
+                self.fail(f"timed out: {state}")
             time.sleep(0.005)
         return result
 
-    def call(self, door: tuple[str, int], line: str) -> str:
+    def call(self, admin: tuple[str, int], line: str) -> str:
         try:
-            with socket.create_connection(door, PATIENCE) as caller:
-                caller.sendall(line.encode() + b"\n")
-                return caller.makefile().read()
+            with socket.create_connection(admin, PATIENCE) as client:
+                client.sendall(line.encode() + b"\n")
+                return client.makefile().read()
         except OSError:
             return ""
 
-    def figure(self, door: tuple[str, int], name: str) -> int:
-        found = re.search(rf"^svc\.{re.escape(name)}=(\d+)$", self.call(door, "INFO"), re.MULTILINE)
+    def figure(self, admin: tuple[str, int], name: str) -> int:
+        found = re.search(rf"^svc\.{re.escape(name)}=(\d+)$", self.call(admin, "INFO"), re.MULTILINE)
         assert found is not None
         return int(found[1])
 
@@ -117,114 +117,114 @@
         )
 
     def dispatched(self, name: str) -> Peer:
-        """The backend server's end of the dispatch of a job."""
+        """Waits for and returns the backend server's connection that carries a job."""
 
-        def job() -> Peer | None:
+        def find_attempt() -> Peer | None:
             while select.select([self.server], [], [], 0)[0]:
-                self.ends.append(Peer(self.server.accept()[0]))
-            for end in self.ends:
-                if end.read().startswith(b"GET "):
-                    end.got = b""
+                self.server_connections.append(Peer(self.server.accept()[0]))
+            for connection in self.server_connections:
+                if connection.read().startswith(b"GET "):
+                    connection.got = b""
                     with contextlib.suppress(OSError):
-                        end.sock.sendall(b'HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\n{"x0":4}')
-                elif end.got.endswith(b"pay") and name.encode() in end.got:
-                    end.got = b""
-                    return end
+                        connection.sock.sendall(b'HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\n{"x0":4}')
+                elif connection.got.endswith(b"pay") and name.encode() in connection.got:
+                    connection.got = b""
+                    return connection
             return None
 
-        found = self.spin(job)
+        found = self.spin(find_attempt)
         assert isinstance(found, Peer)
         return found
 
-    def serve(self, client: Peer, name: str, end: Peer) -> None:
-        end.sock.sendall(STREAM)
-        end.say(f'{{"id":"{name}","state":"done","result":"of {name}"}}')
-        end.sock.sendall(b"0\r\n\r\n")
+    def serve(self, client: Peer, name: str, attempt: Peer) -> None:
+        attempt.sock.sendall(STREAM)
+        attempt.say(f'{{"id":"{name}","state":"done","result":"of {name}"}}')
+        attempt.sock.sendall(b"0\r\n\r\n")
         self.spin(lambda: client.read().endswith(f"of {name}".encode()))
         self.assertIn(b" 200 ", client.got)
         self.assertNotIn(b"connection: close", client.got.lower())
 
-    def whole(self, client: Peer, name: str) -> None:
-        """A job, there and back."""
+    def complete_job(self, client: Peer, name: str) -> None:
+        """Sends a job and answers it."""
         self.ask(client, name)
         self.serve(client, name, self.dispatched(name))
 
     def two_clients(self) -> tuple[Peer, Peer, Peer]:
-        """One that idles, one whose job id-2 is under way, and that job's end at the server."""
+        """Returns an idle client, one whose job id-2 is running, and the server's connection of that job."""
         idle, busy = self.client(), self.client()
-        self.whole(idle, "id-1")
+        self.complete_job(idle, "id-1")
         self.ask(busy, "id-2")
         return idle, busy, self.dispatched("id-2")
 
-    def test_clients_change_over_without_a_close_and_bans_and_drain_come_along(self) -> None:
-        first, door = self.start()
-        idle, busy, end = self.two_clients()
-        self.assertEqual(self.call(door, "DETACH s-0"), "YES detached\n")
-        second, later = self.start()
-        self.assertEqual(self.figure(later, "ejected"), 1)
-        self.assertEqual(self.call(later, "ATTACH s-0"), "YES attached\n")
-        self.spin(lambda: self.figure(door, "ejected") == 0)  # what one hears the other knows
+    def test_clients_are_handed_over_without_a_close_and_bans_are_shared(self) -> None:
+        first, admin = self.start()
+        idle, busy, attempt = self.two_clients()
+        self.assertEqual(self.call(admin, "DETACH s-0"), "YES detached\n")
+        second, next_admin = self.start()
+        self.assertEqual(self.figure(next_admin, "ejected"), 1)
+        self.assertEqual(self.call(next_admin, "ATTACH s-0"), "YES attached\n")
+        self.spin(lambda: self.figure(admin, "ejected") == 0)  # the processes share commands
         first.send_signal(signal.SIGTERM)
-        self.spin(lambda: self.call(door, "PING") == "NO leaving\n")
-        self.whole(idle, "id-3")  # by the second: its connection has changed its owner
-        self.whole(self.client(), "id-4")
+        self.spin(lambda: self.call(admin, "PING") == "NO leaving\n")
+        self.complete_job(idle, "id-3")  # by the second process, which owns the connection now
+        self.complete_job(self.client(), "id-4")
         self.assertIsNone(first.poll())
-        self.serve(busy, "id-2", end)  # by the first, which took it
+        self.serve(busy, "id-2", attempt)  # by the first process, which accepted it
         self.assertEqual(first.wait(PATIENCE), 0)
-        self.whole(busy, "id-5")
-        self.assertEqual(self.figure(later, "succeeded.unsafe"), 3)
-        self.ask(idle, "id-1")  # had by the first
+        self.complete_job(busy, "id-5")
+        self.assertEqual(self.figure(next_admin, "succeeded.unsafe"), 3)
+        self.ask(idle, "id-1")  # the first process has had this id
         self.spin(lambda: b" 400 " in idle.read())
 
-    def test_a_crowd_of_idle_clients_changes_over_whole(self) -> None:
+    def test_many_idle_clients_are_all_handed_over(self) -> None:
         first, _ = self.start()
-        crowd = [self.client() for _ in range(CROWD)]
-        self.whole(crowd[0], "id-1")
-        _, later = self.start()
+        clients = [self.client() for _ in range(MANY_CLIENTS)]
+        self.complete_job(clients[0], "id-1")
+        _, next_admin = self.start()
         first.send_signal(signal.SIGTERM)
         self.assertEqual(first.wait(PATIENCE), 0)
-        self.assertFalse(any(self.gone(client) for client in crowd[::30]))
-        self.whole(crowd[0], "id-2")
+        self.assertFalse(any(self.gone(client) for client in clients[::30]))
+        self.complete_job(clients[0], "id-2")
         log = next(path for pid, path in self.logs.items() if pid != first.pid)
-        self.spin(lambda: f"{CROWD} connections came from it" in log.read_text())
-        self.assertEqual(self.figure(later, "outstanding"), 0)
+        self.spin(lambda: f"{MANY_CLIENTS} connections came from it" in log.read_text())
+        self.assertEqual(self.figure(next_admin, "outstanding"), 0)
 
-    def test_replacements_may_follow_closely(self) -> None:
+    def test_replacements_in_quick_succession(self) -> None:
         first, _ = self.start()
-        idle, busy, end = self.two_clients()
+        idle, busy, attempt = self.two_clients()
         second, _ = self.start()
         first.send_signal(signal.SIGTERM)
         third, _ = self.start()
         second.send_signal(signal.SIGTERM)
         self.assertEqual(second.wait(PATIENCE), 0)
-        self.whole(idle, "id-3")
-        self.whole(self.client(), "id-4")
-        # The first has outlived its heir: what it took it answers itself, and its client comes again.
-        end.sock.sendall(STREAM)
-        end.say('{"id":"id-2","state":"done","result":"of id-2"}')
-        end.sock.sendall(b"0\r\n\r\n")
+        self.complete_job(idle, "id-3")
+        self.complete_job(self.client(), "id-4")
+        # The first process has outlived its successor: it answers its own jobs, and the client reconnects.
+        attempt.sock.sendall(STREAM)
+        attempt.say('{"id":"id-2","state":"done","result":"of id-2"}')
+        attempt.sock.sendall(b"0\r\n\r\n")
         self.spin(lambda: busy.read().endswith(b"of id-2"))
         self.assertEqual(first.wait(PATIENCE), 0)
-        self.start()  # by the third, though the first has lost its heir since
+        self.start()  # succeeds the third process, although the first one has lost its successor since
         third.send_signal(signal.SIGTERM)
         self.assertEqual(third.wait(PATIENCE), 0)
-        self.whole(idle, "id-5")
+        self.complete_job(idle, "id-5")
 
-    def test_a_drain_comes_along_and_is_taken_back_at_either_door(self) -> None:
-        first, door = self.start()
-        self.assertEqual(self.call(door, "LAMEDUCK"), "YES draining\n")
-        _, later = self.start()
-        self.assertEqual(self.call(later, "PING"), "YES drained\n")
-        self.assertEqual(self.call(later, "REJOIN"), "YES serving\n")
-        self.spin(lambda: self.call(door, "PING") == "YES serving\n")
-        self.assertEqual(self.call(door, "LAMEDUCK"), "YES draining\n")
-        self.spin(lambda: self.call(later, "PING") == "YES drained\n")
-        first.send_signal(signal.SIGTERM)  # whoever comes after both learns it from the second
+    def test_a_drain_is_handed_over_and_can_be_ended_at_either_process(self) -> None:
+        first, admin = self.start()
+        self.assertEqual(self.call(admin, "LAMEDUCK"), "YES draining\n")
+        _, next_admin = self.start()
+        self.assertEqual(self.call(next_admin, "PING"), "YES drained\n")
+        self.assertEqual(self.call(next_admin, "REJOIN"), "YES serving\n")
+        self.spin(lambda: self.call(admin, "PING") == "YES serving\n")
+        self.assertEqual(self.call(admin, "LAMEDUCK"), "YES draining\n")
+        self.spin(lambda: self.call(next_admin, "PING") == "YES drained\n")
+        first.send_signal(signal.SIGTERM)  # a later process learns of the drain from the second one
         self.assertEqual(first.wait(PATIENCE), 0)
-        _, last = self.start()
-        self.assertEqual(self.call(last, "PING"), "YES drained\n")
+        _, last_admin = self.start()
+        self.assertEqual(self.call(last_admin, "PING"), "YES drained\n")
 
-    def test_it_goes_on_when_either_dies_and_with_a_folder_full_of_nonsense(self) -> None:
+    def test_service_continues_when_either_process_dies_and_invalid_files_are_ignored(self) -> None:
         stem = "heronstall-n-"
         good = pack("n", State([("s-0", TimedFlag(1, True))], None))
         for name, data in (
@@ -233,53 +233,53 @@
             ("foreign", pack("m", State([], None))),
             ("newer", good.replace(b'"v":1', b'"v":2')),
         ):
-            (self.folder / f"{stem}{name}.state").write_bytes(data)
-        (self.folder / "heronstall-n.sock").write_bytes(b"no socket")
-        first, door = self.start()
-        self.assertEqual(self.figure(door, "ejected"), 0)
+            (self.directory / f"{stem}{name}.state").write_bytes(data)
+        (self.directory / "heronstall-n.sock").write_bytes(b"no socket")
+        first, admin = self.start()
+        self.assertEqual(self.figure(admin, "ejected"), 0)
         self.assertEqual(self.logs[first.pid].read_text().count(" ignored: "), 4)
         client = self.client()
-        self.whole(client, "id-1")
+        self.complete_job(client, "id-1")
         second, _ = self.start()
         second.kill()
         self.spin(lambda: "the other process has gone" in self.logs[first.pid].read_text())
-        self.whole(self.client(), "id-2")
-        third, later = self.start()
+        self.complete_job(self.client(), "id-2")
+        third, next_admin = self.start()
         waiting = self.client()
         first.kill()
         first.wait()
-        self.whole(self.client(), "id-3")
-        if not self.gone(waiting):  # the killed one had accepted it, or the third has it
-            self.whole(waiting, "id-4")
-        self.assertEqual(self.call(later, "DETACH s-0"), "YES detached\n")
+        self.complete_job(self.client(), "id-3")
+        if not self.gone(waiting):  # either the killed process had accepted it, or the third one has it
+            self.complete_job(waiting, "id-4")
+        self.assertEqual(self.call(next_admin, "DETACH s-0"), "YES detached\n")
         third.kill()
         third.wait()
-        _, last = self.start()  # alone, and a ban holds until it is called back
-        self.assertEqual(self.figure(last, "ejected"), 1)
+        _, last_admin = self.start()  # no other process runs, and the ban lasts until it is lifted
+        self.assertEqual(self.figure(last_admin, "ejected"), 1)
 
     def gone(self, peer: Peer) -> bool:
         time.sleep(0.05)
         peer.read()
         return peer.closed
 
-    def test_a_folder_that_cannot_be_used_costs_a_log_line(self) -> None:
-        first, door = self.start(TMPDIR=str(self.folder / "missing"))
-        self.whole(self.client(), "id-1")
-        self.assertEqual(self.call(door, "DETACH s-0"), "YES detached\n")
+    def test_an_unusable_directory_is_only_logged(self) -> None:
+        first, admin = self.start(TMPDIR=str(self.directory / "missing"))
+        self.complete_job(self.client(), "id-1")
+        self.assertEqual(self.call(admin, "DETACH s-0"), "YES detached\n")
         self.assertIn("kept by this process alone", self.logs[first.pid].read_text())
 
 
-class Files(unittest.TestCase):
-    def test_books_come_to_the_same_in_any_order_and_the_newest_word_wins(self) -> None:
+class SharedState(unittest.TestCase):
+    def test_bans_merge_to_the_same_records_in_any_order_and_the_newest_wins(self) -> None:
         one, other = Bans(), Bans()
         self.assertTrue(one.set_banned("a", True, 10))
         self.assertFalse(one.set_banned("a", True, 20))
         self.assertEqual(one.banned_since("a"), 10)
         self.assertEqual(other.merge(one.rows()), ["a"])
-        self.assertTrue(other.set_banned("a", False, 5))  # its clock is behind: newer all the same
+        self.assertTrue(other.set_banned("a", False, 5))  # its clock is behind, but the record is newer
         self.assertTrue(one.set_banned("b", True, 30))
-        for mine, theirs in ((one, other), (other, one), (one, other)):
-            mine.merge(theirs.rows())
+        for target, source in ((one, other), (other, one), (one, other)):
+            target.merge(source.rows())
         self.assertEqual(one.rows(), other.rows())
         self.assertIsNone(one.banned_since("a"))
         self.assertEqual(one.readmitted_at("a"), 11)
@@ -288,25 +288,25 @@
             one.set_banned(f"x{n}", False, 200 + n)
         self.assertEqual((len(one.rows()), one.banned_since("b")), (MAX_RECORDS, 30))
 
-    def test_a_state_is_read_back_and_whatever_is_not_one_is_told_once(self) -> None:
+    def test_a_state_file_is_read_back_and_an_invalid_one_is_reported_once(self) -> None:
         state = State([("a", TimedFlag(1, True)), ("b", TimedFlag(2, False))], TimedFlag(3, True))
         self.assertEqual(unpack("n", pack("n", state)), state)
         for data in (b"", b"[]", b"{}", pack("n", state)[:-1], b'{"format":"heronstall.state","v":1}'):
             with self.assertRaises(ValueError):
                 unpack("n", data)
         with tempfile.TemporaryDirectory() as name:
-            folder = Path(name)
-            mine, other = StateDirectory(folder, "n"), StateDirectory(folder, "n")
+            directory = Path(name)
+            own, other = StateDirectory(directory, "n"), StateDirectory(directory, "n")
             other.write(state)
-            mine.write(State([], None))
-            (folder / f"{mine.file_prefix}bad.state").write_bytes(b"{")
-            found = list(mine.read())
+            own.write(State([], None))
+            (directory / f"{own.file_prefix}bad.state").write_bytes(b"{")
+            found = list(own.read())
             self.assertEqual([s for s in found if isinstance(s, State)], [state])
             self.assertEqual(sum(isinstance(s, InvalidFile) for s in found), 1)
-            self.assertEqual(list(mine.read()), [])
-            os.close(other._lock)  # as its process's end does
-            mine.remove_stale_files()
-            self.assertEqual(len(list(folder.glob("*.state"))), 1)
+            self.assertEqual(list(own.read()), [])
+            os.close(other._lock)  # as the end of its process does
+            own.remove_stale_files()
+            self.assertEqual(len(list(directory.glob("*.state"))), 1)
 
 
 if __name__ == "__main__":
