--- a/heronstall/dataplane/ingress.py
+++ b/heronstall/dataplane/ingress.py
@@ -14,7 +14,7 @@
 from aiohttp import web
 
 from heronstall.dataplane.batch_api import BatchApi
-from heronstall.dataplane.deferred import DeferredLane
+from heronstall.dataplane.deferred import DeferredQueue
 from heronstall.dataplane.forwarding import (
     DEADLINE_HEADER,
     STARTING_RETRY_AFTER_S,
@@ -53,7 +53,7 @@
         self,
         forwarder: Forwarder,
         batch: BatchApi,
-        deferred: DeferredLane,
+        deferred: DeferredQueue,
         rng: random.Random,
         state_age: Callable[[], float],
         limits: KnowledgeLimits,
--- a/heronstall/dataplane/node.py
+++ b/heronstall/dataplane/node.py
@@ -13,14 +13,14 @@
 from heronstall.dataplane.admission import Admission
 from heronstall.dataplane.batch_api import BatchApi
 from heronstall.dataplane.batch_runner import BatchRunner
-from heronstall.dataplane.deferred import DeferredLane
+from heronstall.dataplane.deferred import DeferredQueue
 from heronstall.dataplane.forwarding import Forwarder
 from heronstall.dataplane.ingress import Ingress
 from heronstall.dataplane.misses import MissLog
-from heronstall.dataplane.placing import PromptPlacer
+from heronstall.dataplane.prompt_placement import PromptPlacer
 from heronstall.dataplane.routing import parse_routes
 from heronstall.dataplane.shard_client import ShardClient
-from heronstall.dataplane.subset import Seat
+from heronstall.dataplane.subset import DispatcherPosition
 from heronstall.dataplane.workers import WorkerPool
 from heronstall.distribution.freshness import KnowledgeLimits
 from heronstall.distribution.view import View
@@ -50,7 +50,7 @@
         self.pool = WorkerPool()
         self.admission = Admission(self.pool, rng, settings.zone)
         shards = ShardClient(self.links, self.view)
-        self.deferred = DeferredLane(self.admission.utilisation)
+        self.deferred = DeferredQueue(self.admission.utilisation)
         self.misses = MissLog()
         self.runner = BatchRunner(
             settings.name, shards, self.admission, self.deferred, lambda: self.ingress.routes, self.misses
@@ -73,7 +73,7 @@
         )
 
         def seeds() -> list[str]:
-            return settings.read_again().seed_addresses
+            return settings.reloaded().seed_addresses
 
         self.puller = Puller(
             self.links, self.view, self._session, seeds, self._apply_changes, self._apply_reply
@@ -94,7 +94,7 @@
             self.puller.run(),
             self.runner.send_reports(),
             self.deferred.run(),
-            self.pool.watch(),
+            self.pool.end_silent_attempts(),
             self.misses.run(),
             self._sweep(),
         )
@@ -152,12 +152,12 @@
             machine_class="edge",
             address=address,
             zone=self.settings.zone,
-            loads=pack(self.pool.loads()),
+            loads=pack(self.pool.own_loads()),
         )
 
     def _apply_reply(self) -> None:
-        self.pool.seat = Seat(self.view.edge_number, self.view.edges)
-        self.pool.take_loads(self.view.loads)
+        self.pool.position = DispatcherPosition(self.view.edge_number, self.view.edges)
+        self.pool.update_peer_loads(self.view.loads)
 
     def _apply_changes(self, changed: set[str]) -> None:
         if "config" in changed:
--- a/heronstall/net/server_table.py
+++ b/heronstall/net/server_table.py
@@ -12,7 +12,7 @@
 
 from heronstall import events
 from heronstall import interface as i
-from heronstall.config import Address, Config, ConfigError, address
+from heronstall.config import Address, Config, ConfigError, parse_address
 from heronstall.events import say
 from heronstall.net.connection import Connection, Ended, Ending, connect
 from heronstall.net.json_stream import JsonStream
@@ -311,9 +311,9 @@
             finally:
                 if connection is not None:
                     connection.close()
-            end = CallEnd.NO_NEWS if watch.heard else CallEnd.NEVER_ANSWERED
+            end = CallEnd.UNCHANGED if watch.heard else CallEnd.NEVER_ANSWERED
             if watch.rev is not None and watch.rev != rev:
-                end = CallEnd.NEWS
+                end = CallEnd.UPDATED
             refusal = Refusal(watch.retry_after) if refused else None
             now = self._loop.now
             yield from sleep(now + backoff.pause(end, refusal, now, has_list=bool(self._by_uid)))
@@ -508,7 +508,7 @@
         if state is None:
             say(log, events.STATE_UNKNOWN, server=uid, state=str(row["state"]))
             state = "leaving"
-        endpoint = address(str(row["endpoint"]), "endpoint")
+        endpoint = parse_address(str(row["endpoint"]), "endpoint")
         started = boot_ms * 1000 - self._offset if boot_ms > 0 else None
         zone, kind = str(row.get("az")), str(row.get("model"))
         entry = i.WorkerEntry(
--- a/tests/test_admin_endpoint.py
+++ b/tests/test_admin_endpoint.py
@@ -93,7 +93,7 @@
 
     def test_the_endpoint_needs_an_address_and_an_unusable_one_is_reported(self) -> None:
         program = Program(configuration(raw_config()), Loop())
-        self.assertIsNone(program.daily)
+        self.assertIsNone(program.operator_interface)
         with self.assertRaisesRegex(ConfigError, "^operator: "):
             configuration(raw_config(operator="nowhere"))
         with self.assertRaisesRegex(ConfigError, "^operator: cannot listen on 192.0.2.1:9: "):
@@ -127,7 +127,7 @@
 
     def test_detail_is_off_by_default_and_agrees_with_what_clients_saw_when_enabled(self) -> None:
         self.assertTrue(self.call("DETAIL").startswith("NO figures.detail is off"))
-        detail = self.program.detail()
+        detail = self.program.enable_detail()
         assert detail is not None
         self.program.dispatcher.observers.append(detail)
         self.run_jobs()
@@ -148,11 +148,11 @@
 
     def test_takeover_figures_are_reported_where_takeover_is_enabled(self) -> None:
         self.assertTrue(self.call("TAKEOVER").startswith("NO takeover is off"))
-        assert self.program.daily is not None
+        assert self.program.operator_interface is not None
         settings = TakeoverFile((("n0",), ("n1",), ("n2",)))
         coordinator = TakeoverCoordinator(self.program.config, settings, self.loop, "n0", 1)
         coordinator.start(self.program.dispatcher)
-        self.program.daily.operations.takeover_figures = coordinator.figures
+        self.program.operator_interface.operations.takeover_figures = coordinator.figures
         self.assertEqual(self.call("INFO").count("takeover"), 0)  # as documented
         self.ask("unsafe")  # without an identity
         self.dispatched()
--- a/tests/tier/test_misses.py
+++ b/tests/tier/test_misses.py
@@ -13,7 +13,7 @@
 
 from heronstall.batch.outcomes import Outcome
 from heronstall.dataplane.attempt_ends import AttemptEnd
-from heronstall.dataplane.attempts import Attempt, Attempts, LoadView
+from heronstall.dataplane.attempts import Attempt, Attempts, LoadSnapshot
 from heronstall.dataplane.misses import (
     MAX_LOGGED_MISSES,
     EndedItem,
@@ -23,7 +23,7 @@
     RequestTimes,
     miss_reason,
 )
-from heronstall.dataplane.prefixes import NOTHING
+from heronstall.dataplane.prefixes import NO_SHARED_PREFIX
 from heronstall.dataplane.routing import Route, RouteType
 
 ROUTE = Route("r", "h", "/", RouteType.STREAMING, (("lm", 1.0),), 5.0, 0.3, 0, 2, True, 0.25, 8.0, 60.0, 0)
@@ -41,8 +41,8 @@
 ) -> Attempt:
     """Builds an attempt. Times are in seconds since the request's arrival."""
     made = Attempt(mock.Mock(), None, ARRIVED + sent, ARRIVED + (last if last is not None else first or sent))
-    made.worker, made.view, made.home = "w1", LoadView(2, 3.25, 12), home
-    made.first_at = ARRIVED + first if first is not None else 0.0
+    made.worker, made.load, made.home_rank = "w1", LoadSnapshot(2, 3.25, 12), home
+    made.first_event_at = ARRIVED + first if first is not None else 0.0
     made.longest_gap, made.end = gap, end
     return made
 
@@ -51,7 +51,7 @@
     return EndedRequest(
         request_id="q1",
         route=ROUTE,
-        prefix=NOTHING,
+        prefix=NO_SHARED_PREFIX,
         prompt_tokens=500,
         output_tokens=40,
         times=RequestTimes(ARRIVED, deferred=0.01, worker_wait=0.02),
@@ -109,10 +109,10 @@
                 for at, first in ((12.0, True), (12.25, False), (13.0, False), (13.5, False)):
                     clock.monotonic.return_value = at
                     if first:
-                        worker.first_heard(started)
+                        worker.record_first_event(started)
                     else:
-                        worker.heard(started)
-        self.assertEqual((started.first_at, started.longest_gap), (12.0, 0.75))
+                        worker.record_data(started)
+        self.assertEqual((started.first_event_at, started.longest_gap), (12.0, 0.75))
 
 
 class Log(unittest.TestCase):
