--- a/heronstall/__main__.py
+++ b/heronstall/__main__.py
@@ -34,7 +34,7 @@
 from heronstall.ops.bans import Bans
 
 if TYPE_CHECKING:
-    from heronstall.net.administration import Administration
+    from heronstall.net.operator_interface import OperatorInterface
     from heronstall.net.peers.service import PeerService
     from heronstall.ops.detail import DetailedMetrics
 
@@ -67,13 +67,13 @@
         self.config, self.dispatcher = config, Dispatcher(config, loop)
         self._loop, self._offset = loop, offset
         self.shutdown, bans = GracefulShutdown(loop), Bans()
-        self.operator_interface: Administration | None = None
+        self.operator_interface: OperatorInterface | None = None
         if config.operator is not None:
-            from heronstall.net.administration import (
-                Administration,
+            from heronstall.net.operator_interface import (
+                OperatorInterface,
             )  # imported only when needed, for a faster start
 
-            self.operator_interface = Administration(
+            self.operator_interface = OperatorInterface(
                 config, config.operator, loop, offset, bans, self.shutdown, folder
             )
         self.peers: PeerService | None = None
--- a/heronstall/net/administration.py
+++ b/heronstall/net/operator_interface.py
@@ -1,4 +1,4 @@
-"""Daily operation: combines the admin endpoint, the operators' shared state and the handover.
+"""The operator interface: the admin endpoint, the operators' shared state and the handover.
 
 Imported only where an operator address is configured. Every start reads and compiles the program anew, and
 after a mass kill clients wait for those starts, so unused modules must not add to their duration.
@@ -24,8 +24,8 @@
 from heronstall.ops.bans import Bans
 
 
-class Administration:
-    """Daily operation of one process. Created before anything is sent; started after all other parts."""
+class OperatorInterface:
+    """The operator interface of one process. Created before anything is sent; started after all other parts."""
 
     descriptors = MAX_CONNECTIONS  # needed in addition to those of clients and servers
 
