--- a/heronstall/events.py
+++ b/heronstall/events.py
@@ -26,18 +26,20 @@
 SETTINGS_WRONG = Event("settings.wrong", ERROR, "settings: %(reason)s")
 LISTEN_FAILED = Event("listen.failed", ERROR, "cannot listen on %(host)s:%(port)d: %(reason)s")
 STARTED = Event("started", INFO, "%(node)s listens on %(host)s:%(port)d")
-DOOR_OPEN = Event("door.open", INFO, "operators are heard on %(host)s:%(port)d")
-CALL = Event("door.call", INFO, "an operator called %(call)s: %(reply)s")
-HEIR = Event("heir", INFO, "another process takes clients beside this one")
-HEIR_LOST = Event("heir.lost", INFO, "the other process has gone")
-INHERITED = Event("inherited", INFO, "the process before has ended; %(connections)d connections came from it")
-NOT_HANDED = Event("handover.none", WARNING, "nothing was handed over: %(reason)s")
+DOOR_OPEN = Event("door.open", INFO, "admin endpoint listens on %(host)s:%(port)d")
+CALL = Event("door.call", INFO, "admin command %(call)s: %(reply)s")
+HEIR = Event("heir", INFO, "a successor accepts clients beside this process")
+HEIR_LOST = Event("heir.lost", INFO, "the successor has ended")
+INHERITED = Event(
+    "inherited", INFO, "the predecessor has ended; %(connections)d connections were handed over"
+)
+NOT_HANDED = Event("handover.none", WARNING, "handover failed: %(reason)s")
 NO_SUCCESSION = Event(
-    "handover.impossible", WARNING, "no later process can be handed clients: %(reason)s; serving goes on"
+    "handover.impossible", WARNING, "no handover to a successor is possible: %(reason)s; serving continues"
 )
 HANDOVER_IGNORED = Event("handover.ignored", WARNING, "%(path)s ignored: %(reason)s")
 HANDOVER_LOST = Event(
-    "handover.lost", WARNING, "bans and the drain are kept by this process alone from now on: %(reason)s"
+    "handover.lost", WARNING, "bans and the drain are no longer shared with other processes: %(reason)s"
 )
 DRAINING = Event("draining", INFO, "%(signal)s: draining")
 ENDED = Event("ended", INFO, "%(node)s has answered everything and ends")
@@ -99,27 +101,31 @@
 TOLD = Event("keep.told", INFO, "%(dispatcher)s: process %(pid)d was sent %(signal)s: %(reason)s")
 ROLLOUT = Event("rollout.step", INFO, "%(step)s %(told)s")
 LOOPING = Event("keep.looping", ERROR, "%(dispatcher)s ends again and again, %(ends)d times of late")
-PEERS_OPEN = Event("peers.open", INFO, "peers are heard on %(host)s:%(port)d, %(join)d others to be asked")
-PEER = Event("peers.member", INFO, "%(peer)s is %(state)s; %(living)d dispatchers are there")
-PEERS_DUTY = Event("peers.duty", INFO, "asks the list service for others: %(duty)s")
-PEERS_FOLLOWS = Event("peers.follows", INFO, "takes the server list from %(source)s")
+PEERS_OPEN = Event("peers.open", INFO, "peers: listening on %(host)s:%(port)d, %(join)d addresses to join")
+PEER = Event("peers.member", INFO, "%(peer)s is %(state)s; %(living)d dispatchers are alive")
+PEERS_DUTY = Event("peers.duty", INFO, "role in the distribution of the server list: %(duty)s")
+PEERS_FOLLOWS = Event("peers.follows", INFO, "follows the server list of %(source)s")
 PEERS_UNREADABLE = Event(
-    "peers.unreadable", WARNING, "%(count)d datagrams passed over, the last one from %(host)s: %(reason)s"
+    "peers.unreadable", WARNING, "%(count)d datagrams ignored, the last one from %(host)s: %(reason)s"
 )
 PEERS_MISLED = Event(
-    "peers.misled", WARNING, "revision %(rev)d of %(source)s is known to nobody else: it is asked no more"
+    "peers.misled",
+    WARNING,
+    "no other process knows revision %(rev)d of %(source)s, which is avoided from now on",
 )
-PEERS_REPLACED = Event("peers.replaced", INFO, "a later process of our name talks with the others")
+PEERS_REPLACED = Event("peers.replaced", INFO, "a later process with the same name has joined the peers")
 KNOWLEDGE_HEARD = Event(
     "knowledge.heard",
     INFO,
-    "%(peers)d processes told of %(servers)d servers, %(shunned)d are left out at first",
+    "received observations of %(servers)d servers from %(peers)d processes; %(shunned)d are avoided at first",
+)
+KNOWLEDGE_IGNORED = Event("knowledge.ignored", WARNING, "no observations from %(peer)s: %(reason)s")
+TAKEN_OVER = Event("takeover.job", INFO, "took over job %(job)s of %(owner)s")
+TAKEOVER_GONE = Event(
+    "takeover.gone", WARNING, "%(owner)s is gone; this process has registers of %(jobs)d of its jobs"
 )
-KNOWLEDGE_IGNORED = Event("knowledge.ignored", WARNING, "what %(peer)s has seen is not known: %(reason)s")
-TAKEN_OVER = Event("takeover.job", INFO, "job %(job)s of %(owner)s is taken over")
-TAKEOVER_GONE = Event("takeover.gone", WARNING, "%(owner)s is gone, %(jobs)d of its jobs are kept here")
-TAKEOVER_COUNTS = Event("takeover.counts", INFO, "%(counts)s, %(kept)d kept for others")
-TAKEOVER_UNREADABLE = Event("takeover.unreadable", WARNING, "a word of %(peer)s is passed over: %(reason)s")
+TAKEOVER_COUNTS = Event("takeover.counts", INFO, "%(counts)s; %(kept)d registers kept for others")
+TAKEOVER_UNREADABLE = Event("takeover.unreadable", WARNING, "ignored a message from %(peer)s: %(reason)s")
 SNAPSHOT_IGNORED = Event("snapshot.ignored", WARNING, "snapshot %(path)s ignored: %(reason)s")
 SNAPSHOT_FAILED = Event("snapshot.failed", WARNING, "snapshot %(path)s cannot be written: %(reason)s")
 UNEXPECTED = Event("unexpected", ERROR, "unexpected error in %(where)s")
--- a/heronstall/net/operator_interface.py
+++ b/heronstall/net/operator_interface.py
@@ -25,7 +25,7 @@
 
 
 class OperatorInterface:
-    """The operator interface of one process. Created before anything is sent; started after all other parts."""
+    """One process's operator interface: created before anything is sent, started after all other parts."""
 
     descriptors = MAX_CONNECTIONS  # needed in addition to those of clients and servers
 
--- a/tests/test_replacement.py
+++ b/tests/test_replacement.py
@@ -186,7 +186,7 @@
         self.assertFalse(any(self.gone(client) for client in clients[::30]))
         self.complete_job(clients[0], "id-2")
         log = next(path for pid, path in self.logs.items() if pid != first.pid)
-        self.spin(lambda: f"{MANY_CLIENTS} connections came from it" in log.read_text())
+        self.spin(lambda: f"{MANY_CLIENTS} connections were handed over" in log.read_text())
         self.assertEqual(self.figure(next_admin, "outstanding"), 0)
 
     def test_replacements_in_quick_succession(self) -> None:
@@ -242,7 +242,7 @@
         self.complete_job(client, "id-1")
         second, _ = self.start()
         second.kill()
-        self.spin(lambda: "the other process has gone" in self.logs[first.pid].read_text())
+        self.spin(lambda: "the successor has ended" in self.logs[first.pid].read_text())
         self.complete_job(self.client(), "id-2")
         third, next_admin = self.start()
         waiting = self.client()
@@ -266,7 +266,7 @@
         first, admin = self.start(TMPDIR=str(self.directory / "missing"))
         self.complete_job(self.client(), "id-1")
         self.assertEqual(self.call(admin, "DETACH s-0"), "YES detached\n")
-        self.assertIn("kept by this process alone", self.logs[first.pid].read_text())
+        self.assertIn("no longer shared with other processes", self.logs[first.pid].read_text())
 
 
 class SharedState(unittest.TestCase):
