--- a/heronstall/__main__.py
+++ b/heronstall/__main__.py
@@ -34,9 +34,9 @@
 from heronstall.ops.bans import Bans
 
 if TYPE_CHECKING:
-    from heronstall.net.daily import Daily
-    from heronstall.net.peers.hub import Peers
-    from heronstall.ops.detail import Detail
+    from heronstall.net.operator_interface import OperatorInterface
+    from heronstall.net.peers.service import PeerService
+    from heronstall.ops.detail import DetailedMetrics
 
 RESERVED_DESCRIPTORS = (
     40  # for the standard streams, epoll, the listener, the watch and connections being closed
@@ -67,18 +67,20 @@
         self.config, self.dispatcher = config, Dispatcher(config, loop)
         self._loop, self._offset = loop, offset
         self.shutdown, bans = GracefulShutdown(loop), Bans()
-        self.operator_interface: Daily | None = None
+        self.operator_interface: OperatorInterface | None = None
         if config.operator is not None:
-            from heronstall.net.daily import Daily  # imported only when needed, for a faster start
+            from heronstall.net.operator_interface import (
+                OperatorInterface,
+            )  # imported only when needed, for a faster start
 
-            self.operator_interface = Daily(
+            self.operator_interface = OperatorInterface(
                 config, config.operator, loop, offset, bans, self.shutdown, folder
             )
-        self.peers: Peers | None = None
+        self.peers: PeerService | None = None
         if peers_file is not None:
-            from heronstall.net.peers.hub import Peers
+            from heronstall.net.peers.service import PeerService
 
-            self.peers = Peers(config, peers_file, loop)
+            self.peers = PeerService(config, peers_file, loop)
         descriptors = self._descriptors_per_side()
         pool = Pool(loop, config, descriptors)
         self.table = table = ServerTable(config, loop, offset, self.dispatcher.post, bans)
@@ -97,13 +99,15 @@
 
         self._pool = pool
         if self.peers is not None:
-            self.peers.begin(table, self.dispatcher)
+            self.peers.start(table, self.dispatcher)
         guard = None
         if self.peers is not None and takeover is not None:
-            from heronstall.net.takeover.start import begin
+            from heronstall.net.takeover.start import start_takeover
 
-            guard = begin(config, takeover, loop, self.peers, self.dispatcher)
-        initial_list = self.operator_interface.table if self.operator_interface is not None else None
+            guard = start_takeover(config, takeover, loop, self.peers, self.dispatcher)
+        initial_list = (
+            self.operator_interface.inherited_server_list if self.operator_interface is not None else None
+        )
         if snapshot is not None:
             from heronstall.net.snapshots import Snapshots
 
@@ -111,14 +115,14 @@
             initial_list = initial_list or snapshots.start_from()
             snapshots.begin(table)
         table.start(initial_list)
-        listener = self.operator_interface.listener if self.operator_interface is not None else None
+        listener = self.operator_interface.inherited_listener if self.operator_interface is not None else None
         self.frontend = Frontend(config, loop, self.dispatcher, ready, descriptors, self.shutdown, listener)
         if self.operator_interface is not None:
-            self.operator_interface.begin(
+            self.operator_interface.start(
                 self.dispatcher, table, self.frontend, pool, accepting, self._descriptors_per_side
             )
             if guard is not None:
-                self.operator_interface.operations.takeover = guard.figures
+                self.operator_interface.operations.takeover_figures = guard.figures
 
     def _descriptors_per_side(self, processes: int = 1) -> int:
         """Returns the descriptors for clients. Servers get as many: a session holds one on each side."""
@@ -127,21 +131,23 @@
         )
         return max(1, (self.config.sockets // processes - reserved) // 2)
 
-    def enable_detail(self) -> Detail | None:
+    def enable_detail(self) -> DetailedMetrics | None:
         """Enables the figures that rollouts compare; None without operator interface. Raises ImportError."""
         if self.operator_interface is None:
             return None
-        from heronstall.ops.detail import Alarms, Detail
+        from heronstall.ops.detail import AlarmCounter, DetailedMetrics
 
         config, loop, figures = self.config, self._loop, self.dispatcher.figures
-        detail = Detail(list(config.classes), config.settings.classes, loop.now + self._offset, os.environ)
+        detail = DetailedMetrics(
+            list(config.classes), config.settings.classes, loop.now + self._offset, os.environ
+        )
         detail.attempts, detail.connects = lambda: figures.forwards, lambda: self._pool.connects
-        self.operator_interface.operations.detail = detail.rows
-        logging.getLogger("heronstall").addHandler(Alarms(detail))
+        self.operator_interface.operations.detail_figures = detail.rows
+        logging.getLogger("heronstall").addHandler(AlarmCounter(detail))
 
         def measure_lag(due: int) -> None:
             now = clock()
-            detail.delayed(max(0, now - due))
+            detail.record_loop_delay(max(0, now - due))
             loop.at(now + LOOP_LAG_INTERVAL, lambda: measure_lag(now + LOOP_LAG_INTERVAL))
 
         measure_lag(clock())
--- a/tests/versions.py
+++ b/tests/versions.py
@@ -165,16 +165,16 @@
 
 
 def _leaks_memory(program: Any) -> None:
-    from heronstall.ops.detail import Detail
+    from heronstall.ops.detail import DetailedMetrics
 
     leaked: list[bytes] = []
-    original = Detail.delayed
+    original = DetailedMetrics.record_loop_delay
 
-    def delayed(self: Detail, by: int) -> None:
+    def record_loop_delay(self: DetailedMetrics, delay: int) -> None:
         leaked.append(os.urandom(1024) * (LEAK // 1024))
-        original(self, by)
+        original(self, delay)
 
-    Detail.delayed = delayed  # type: ignore[method-assign]
+    DetailedMetrics.record_loop_delay = record_loop_delay  # type: ignore[method-assign]
 
 
 def _reuses_no_connection(program: Any) -> None:
@@ -186,9 +186,9 @@
 
 def _writes_later_files(program: Any) -> None:
     """Leaves files of a later version that the old version does not know."""
-    from heronstall.ops import handover
+    from heronstall.ops import state_files
 
-    handover.VERSION = 2
+    state_files.VERSION = 2
 
 
 def _adds_unknown_fields(program: Any) -> None:
@@ -197,9 +197,9 @@
 
     from heronstall.membership.messages import LARGEST, Message
     from heronstall.membership.messages import pack as original_pack
-    from heronstall.net.peers import hub
+    from heronstall.net.peers import service
 
-    original_line = hub.Peers.line
+    original_line = service.PeerService.list_line
 
     def pack(cluster: str, message: Message) -> bytes:
         fields = ujson.loads(original_pack(cluster, message))
@@ -210,14 +210,14 @@
         encoded = ujson.dumps(fields, escape_forward_slashes=False).encode()
         return bytes(encoded) if len(encoded) <= LARGEST else original_pack(cluster, message)
 
-    def line_with_unknown_field(self: hub.Peers, whole: bool) -> bytes:
+    def line_with_unknown_field(self: service.PeerService, whole: bool) -> bytes:
         original = original_line(self, whole)
         if original == b"\n":
             return original
         return bytes(ujson.dumps({**ujson.loads(original), "later": [1]}).encode()) + b"\n"
 
-    vars(hub)["pack"] = pack
-    hub.Peers.line = line_with_unknown_field  # type: ignore[method-assign]
+    vars(service)["pack"] = pack
+    service.PeerService.list_line = line_with_unknown_field  # type: ignore[method-assign]
 
 
 def _sends_other_version(program: Any) -> None:
