--- a/heronstall/__main__.py
+++ b/heronstall/__main__.py
@@ -15,7 +15,7 @@
 
 from heronstall import events
 from heronstall.config import Config, ConfigError, load, reload, restart_only_changes
-from heronstall.events import say
+from heronstall.events import log_event
 from heronstall.net.backend import HttpBackend, Pool
 from heronstall.net.dispatcher import Dispatcher
 from heronstall.net.frontend import Frontend
@@ -23,11 +23,11 @@
 from heronstall.net.server_table import ServerTable
 from heronstall.net.shutdown import GracefulShutdown
 from heronstall.operator import (
-    Operator,
     OperatorError,
-    PeersFile,
-    SnapshotFile,
-    TakeoverFile,
+    OperatorSettings,
+    PeerSettings,
+    SnapshotSettings,
+    TakeoverSettings,
     read,
     start_logging,
 )
@@ -58,9 +58,9 @@
         config: Config,
         loop: Loop,
         folder: Path | None = None,
-        peers_file: PeersFile | None = None,
-        snapshot: SnapshotFile | None = None,
-        takeover: TakeoverFile | None = None,
+        peers_file: PeerSettings | None = None,
+        snapshot: SnapshotSettings | None = None,
+        takeover: TakeoverSettings | None = None,
     ) -> None:
         offset = time.time_ns() // 1000 - clock()
         started_at = loop.now
@@ -168,13 +168,13 @@
                 try:
                     self._signal(number)
                 except Exception:  # otherwise a later SIGTERM would not be handled
-                    say(log, events.UNEXPECTED, where=f"handling signal {number}")
+                    log_event(log, events.UNEXPECTED, where=f"handling signal {number}")
 
     def _signal(self, number: int) -> None:
         if number == signal.SIGHUP:
             self.reload(os.environ)
         elif number in STOP_SIGNALS:
-            say(log, events.DRAINING, signal=signal.Signals(number).name)
+            log_event(log, events.DRAINING, signal=signal.Signals(number).name)
             self._begin_shutdown()
 
     def reload(self, environ: Mapping[str, str]) -> None:
@@ -182,11 +182,11 @@
         try:
             config = reload(environ)
         except ConfigError as error:
-            say(log, events.RELOAD_WRONG, reason=str(error))
+            log_event(log, events.RELOAD_REJECTED, reason=str(error))
             return
         for key in restart_only_changes(self.config, config):
-            say(log, events.RELOAD_FIXED, key=key)
-        say(log, events.RELOADED, host=config.discovery[0], port=config.discovery[1])
+            log_event(log, events.RESTART_REQUIRED, key=key)
+        log_event(log, events.RELOADED, host=config.discovery[0], port=config.discovery[1])
         self.table.follow(config.discovery)
 
 
@@ -205,17 +205,17 @@
     """Serves until SIGTERM or SIGINT. Returns 2 for an invalid configuration."""
     # Must come first: an early signal to reload or restart would otherwise kill the process.
     waker = _catch_signals()
-    start_logging(Operator())
+    start_logging(OperatorSettings())
     try:
         operator = read(os.environ)
         start_logging(operator)
     except OperatorError as error:
-        say(log, events.SETTINGS_WRONG, reason=str(error))
+        log_event(log, events.SETTINGS_INVALID, reason=str(error))
         return 2
     try:
         config = load(os.environ)
     except ConfigError as error:
-        say(log, events.CONFIG_WRONG, reason=str(error))
+        log_event(log, events.CONFIG_INVALID, reason=str(error))
         return 2
     loop = Loop()
     host, port = config.listen
@@ -223,17 +223,19 @@
         folder = Path(name) if (name := os.environ.get("TMPDIR")) else None
         program = Program(config, loop, folder, operator.peers, operator.snapshot, operator.takeover)
     except ConfigError as error:  # an address that turns out to be unusable
-        say(log, events.CONFIG_WRONG, reason=str(error))
+        log_event(log, events.CONFIG_INVALID, reason=str(error))
         return 2
     except OSError as error:
-        say(log, events.LISTEN_FAILED, host=host, port=port, reason=str(error))
+        log_event(log, events.LISTEN_FAILED, host=host, port=port, reason=str(error))
         return 1
     recorder = None
     if operator.trace_dir:
         try:
             from heronstall.trace.recorder import Recorder
         except ImportError as error:
-            say(log, events.SETTINGS_WRONG, reason=f"trace.dir: tracing requires the extra `trace`: {error}")
+            log_event(
+                log, events.SETTINGS_INVALID, reason=f"trace.dir: tracing requires the extra `trace`: {error}"
+            )
             return 2
         recorder = Recorder(operator, config.name, config.settings_json, loop.now)
         program.dispatcher.observers.append(recorder)
@@ -244,16 +246,16 @@
                 program.dispatcher.observers.append(detail)
         except ImportError as error:
             reason = f"figures.detail: detailed figures require the extra `figures`: {error}"
-            say(log, events.SETTINGS_WRONG, reason=reason)
+            log_event(log, events.SETTINGS_INVALID, reason=reason)
             return 2
     loop.spawn(program.handle_signals(waker), "signals")
     gc.freeze()
     gc.set_threshold(50_000, 20, 100)
-    say(log, events.STARTED, node=config.name, host=host, port=port)
+    log_event(log, events.STARTED, node=config.name, host=host, port=port)
     loop.run()
     if recorder is not None:
         recorder.close()
-    say(log, events.ENDED, node=config.name)
+    log_event(log, events.ENDED, node=config.name)
     return 0
 
 
--- a/heronstall/cli/keep.py
+++ b/heronstall/cli/keep.py
@@ -24,9 +24,9 @@
     from heronstall.keeper.keeper import Keeper, keeper_file
     from heronstall.keeper.log import Busy, JournalError
     from heronstall.keeper.release import ReleaseError
-    from heronstall.operator import Operator, start_logging
+    from heronstall.operator import OperatorSettings, start_logging
 
-    start_logging(Operator())
+    start_logging(OperatorSettings())
     try:
         record = load(file, ("keeper",))[1]
     except RecordsError as error:
--- a/heronstall/cli/rollout.py
+++ b/heronstall/cli/rollout.py
@@ -88,9 +88,9 @@
     """Be the controller until the end."""
     from heronstall.keeper.controller import Controller, RolloutError, Superseded
     from heronstall.keeper.log import Busy
-    from heronstall.operator import Operator, start_logging
+    from heronstall.operator import OperatorSettings, start_logging
 
-    start_logging(Operator(log_level="warning"))
+    start_logging(OperatorSettings(log_level="warning"))
 
     def heard(record: Record) -> None:
         if as_json:
--- a/heronstall/keeper/controller.py
+++ b/heronstall/keeper/controller.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 from heronstall import events
-from heronstall.events import say
+from heronstall.events import log_event
 from heronstall.keeper import calls
 from heronstall.keeper.calls import CallError, Desk, Reply, no, rows, yes
 from heronstall.keeper.log import Log, unix_us
@@ -140,7 +140,7 @@
         self.machine.apply(record)
         self._heard(record)
         told = {key: str(fields[key]) for key in ("dispatcher", "reason", "text", "stage") if key in fields}
-        say(log, events.ROLLOUT, step=kind, told=" ".join(f"{k}={v}" for k, v in told.items()))
+        log_event(log, events.ROLLOUT_STEP, step=kind, told=" ".join(f"{k}={v}" for k, v in told.items()))
 
     async def run(self, words: tuple[str, ...] = ()) -> None:
         """Carry the rollout to its end. `words` are said by hand at the start.
--- a/heronstall/keeper/keeper.py
+++ b/heronstall/keeper/keeper.py
@@ -19,7 +19,7 @@
 
 from heronstall import events
 from heronstall.config import ConfigError, configuration, restart_only_changes
-from heronstall.events import say
+from heronstall.events import log_event
 from heronstall.keeper import calls, processes
 from heronstall.keeper.calls import CallError, Desk, no, rows, yes
 from heronstall.keeper.log import Log, unix_us
@@ -128,7 +128,9 @@
         desk = Desk(self._answer)
         at = await desk.open(self._file.address)
         self._adopt()
-        say(log, events.KEEPING, keeper=self._file.name, address=at, dispatchers=len(self._places))
+        log_event(
+            log, events.SUPERVISOR_STARTED, keeper=self._file.name, address=at, dispatchers=len(self._places)
+        )
         try:
             while not done.is_set():
                 for place in self._places.values():
@@ -146,7 +148,7 @@
             for task in self._tasks:
                 task.cancel()
             self._log.close()
-            say(log, events.KEPT, keeper=self._file.name)
+            log_event(log, events.SUPERVISOR_STOPPED, keeper=self._file.name)
 
     async def _first_release(self) -> None:
         if all(place.want for place in self._places.values()):
@@ -171,7 +173,7 @@
                     continue
                 if pid != process.pid:  # the former keeper had no time to write it
                     self._write("born", d=place.name, token=process.token, pid=pid)
-                say(log, events.ADOPTED, dispatcher=place.name, pid=pid, release=process.digest)
+                log_event(log, events.PROCESS_ADOPTED, dispatcher=place.name, pid=pid, release=process.digest)
                 self._watch(place, process.token, pid)
                 if process.told:  # said again, in case it was written and not done
                     processes.tell(pid, getattr(signal, f"SIG{process.told}"))
@@ -182,7 +184,9 @@
             try:
                 self._do(place, do)
             except (OSError, ReleaseError) as error:
-                say(log, events.KEEP_FAILED, dispatcher=place.name, what=do.kind, reason=str(error))
+                log_event(
+                    log, events.PROCESS_ACTION_FAILED, dispatcher=place.name, what=do.kind, reason=str(error)
+                )
                 self._not_before[place.name] = now + AGAIN
         for process in place.processes:
             if not process.yes and process.pid and process.token not in self._asking:
@@ -204,9 +208,9 @@
             process = place.process(do.fields["token"])
             if process is not None and process.pid:
                 number = getattr(signal, f"SIG{process.told}")
-                say(
+                log_event(
                     log,
-                    events.TOLD,
+                    events.PROCESS_SIGNALLED,
                     dispatcher=place.name,
                     pid=process.pid,
                     signal=process.told,
@@ -241,7 +245,9 @@
             self._ended(place, token, f"it could not be started: {error}", "own")
             return
         self._write("born", d=place.name, token=token, pid=pid)
-        say(log, events.KEEP_STARTED, dispatcher=place.name, pid=pid, release=release.name, digest=digest)
+        log_event(
+            log, events.PROCESS_STARTED, dispatcher=place.name, pid=pid, release=release.name, digest=digest
+        )
         self._watch(place, token, pid)
 
     def _watch(self, place: Place, token: str, pid: int) -> None:
@@ -253,16 +259,18 @@
         if process is None:
             return
         whose: Fault = "asked" if process.told and fault != "never" else fault
-        say(log, events.KEEP_ENDED, dispatcher=place.name, pid=process.pid, how=how, fault=whose)
+        log_event(log, events.PROCESS_ENDED, dispatcher=place.name, pid=process.pid, how=how, fault=whose)
         try:
             self._write("ended", d=place.name, token=token, how=how, fault=whose)
         except OSError as error:
-            say(log, events.KEEP_FAILED, dispatcher=place.name, what="ended", reason=str(error))
+            log_event(
+                log, events.PROCESS_ACTION_FAILED, dispatcher=place.name, what="ended", reason=str(error)
+            )
             loop = asyncio.get_running_loop()
             loop.call_later(AGAIN / SECOND, self._ended, place, token, how, fault)
             return
         if place.looping(unix_us()):
-            say(log, events.LOOPING, dispatcher=place.name, ends=len(place.ends))
+            log_event(log, events.CRASH_LOOP, dispatcher=place.name, ends=len(place.ends))
         self._config(token).unlink(missing_ok=True)
         self._woken.set()
 
@@ -275,7 +283,7 @@
         self._config(process.token).write_text(json.dumps(config), encoding="utf-8")
         processes.tell(process.pid, signal.SIGHUP)
         self._write("hupped", d=place.name, digest=digest)
-        say(log, events.KEEP_RELOADED, dispatcher=place.name, pid=process.pid, digest=digest)
+        log_event(log, events.PROCESS_RELOADED, dispatcher=place.name, pid=process.pid, digest=digest)
 
     async def _ask_yes(self, place: Place, process: Process) -> None:
         """Ask a started process's door once."""
@@ -290,7 +298,9 @@
                 and not process.told
             ):
                 self._write("yes", d=place.name, token=process.token)
-                say(log, events.KEEP_YES, dispatcher=place.name, pid=process.pid, digest=process.digest)
+                log_event(
+                    log, events.PROCESS_READY, dispatcher=place.name, pid=process.pid, digest=process.digest
+                )
                 self._woken.set()
         except OSError:  # a CallError is one: not yet, or it cannot be written down now
             pass
--- a/heronstall/logs.py
+++ b/heronstall/logs.py
@@ -1,4 +1,7 @@
-"""Logs for machines, on libraries of the extra `logs`; imported only where the operator asks for them."""
+"""Structured log formatters.
+
+They need the libraries of the extra `logs` and are imported only when one of them is configured.
+"""
 
 from __future__ import annotations
 
@@ -9,43 +12,43 @@
 from pythonjsonlogger.json import JsonFormatter
 
 
-def _row(record: logging.LogRecord) -> dict[str, Any]:
-    """What a line says: level, part, event and its fields; a line that is no event has its text as `msg`."""
-    row: dict[str, Any] = {"level": record.levelname.lower(), "part": record.name}
+def _record_fields(record: logging.LogRecord) -> dict[str, Any]:
+    """Returns a record's level, part, event name and fields; without an event, its message as `msg`."""
+    entry: dict[str, Any] = {"level": record.levelname.lower(), "part": record.name}
     event = getattr(record, "event", None)
     if event is None:
-        return {**row, "msg": record.getMessage()}
-    return {**row, "event": event, **getattr(record, "fields", {})}
+        return {**entry, "msg": record.getMessage()}
+    return {**entry, "event": event, **getattr(record, "fields", {})}
 
 
 class LogfmtFormatter(Logfmter):
-    """One line of key=value."""
+    """Formats a record as one line of key=value pairs."""
 
     def format(self, record: logging.LogRecord) -> str:
-        """The line, a traceback included."""
-        row = {"at": f"{record.created:.6f}", **_row(record)}
+        """Returns the line, including a traceback if there is one."""
+        entry = {"at": f"{record.created:.6f}", **_record_fields(record)}
         if record.exc_info:
-            row["traceback"] = self.formatException(record.exc_info)
-        return str(self.format_params(row))
+            entry["traceback"] = self.formatException(record.exc_info)
+        return str(self.format_params(entry))
 
 
 class EventJsonFormatter(JsonFormatter):
-    """One JSON object a line."""
+    """Formats a record as one JSON object per line."""
 
     def process_log_record(self, log_data: dict[str, Any]) -> dict[str, Any]:
-        """As made by `add_fields`."""
+        """Returns the object as `add_fields` built it."""
         return log_data
 
     def add_fields(
         self, log_data: dict[str, Any], record: logging.LogRecord, message_dict: dict[str, Any]
     ) -> None:
-        """Fill in one line's object."""
+        """Fills the JSON object of one record."""
         log_data["at"] = round(record.created, 6)
-        log_data.update(_row(record))
+        log_data.update(_record_fields(record))
         if record.exc_info:
             log_data["traceback"] = self.formatException(record.exc_info)
 
 
-def formatter(name: str) -> logging.Formatter:
-    """The formatter of `logfmt` or `json`."""
+def create_formatter(name: str) -> logging.Formatter:
+    """Returns the formatter for the log format `logfmt` or `json`."""
     return LogfmtFormatter() if name == "logfmt" else EventJsonFormatter()
--- a/heronstall/net/admin_endpoint.py
+++ b/heronstall/net/admin_endpoint.py
@@ -10,7 +10,7 @@
 
 from heronstall import events
 from heronstall.config import Address
-from heronstall.events import say
+from heronstall.events import log_event
 from heronstall.net.connection import Ended, Ending, Stream, listen
 from heronstall.net.loop import READ, Coroutine, Loop, Task, sleep
 from heronstall.net.operations import Operations, Reply
@@ -44,7 +44,7 @@
         self._connections: dict[Stream, Task] = {}  # oldest first
         self._listener = listen(address, BACKLOG)
         host, port = self._listener.getsockname()[:2]
-        say(log, events.DOOR_OPEN, host=host, port=port)
+        log_event(log, events.ADMIN_ENDPOINT_OPEN, host=host, port=port)
         self._accept_task = loop.spawn(self._accept(), "the admin endpoint")
 
     def _accept(self) -> Coroutine[None]:
@@ -56,7 +56,7 @@
             except ConnectionAbortedError:
                 continue
             except OSError as error:
-                say(log, events.ACCEPT_FAILED, reason=str(error))
+                log_event(log, events.ACCEPT_FAILED, reason=str(error))
                 self._close_oldest()
                 yield from sleep(self._loop.now + ACCEPT_PAUSE_US)
             else:
@@ -84,7 +84,7 @@
             reply = self.reply(line)
             if line.strip() not in UNLOGGED:
                 command = line.decode("ascii", "backslashreplace").strip()
-                say(log, events.CALL, call=command[:MAX_LINE_BYTES], reply=reply.strip())
+                log_event(log, events.ADMIN_COMMAND, call=command[:MAX_LINE_BYTES], reply=reply.strip())
             yield from stream.write(reply.encode(), self._loop.now + REPLY_TIMEOUT_US)
         except Ended:
             pass  # the client has disconnected
--- a/heronstall/net/backend.py
+++ b/heronstall/net/backend.py
@@ -12,7 +12,7 @@
 from heronstall import events
 from heronstall import interface as i
 from heronstall.config import Address, Config
-from heronstall.events import say
+from heronstall.events import log_event
 from heronstall.net.connection import BODY_LIMIT, Connection, Ended, Ending, Lines, connect, shut_writing
 from heronstall.net.dispatcher import Dispatcher, Session
 from heronstall.net.loop import Coroutine, Loop, Task
@@ -122,7 +122,7 @@
 
     def _fresh(self, server: BackendServer, until: int) -> Coroutine[Connection]:
         if len(self._open) + self._connecting >= self._limit and not self._close_idlest():
-            say(log, events.NO_DESCRIPTOR, server=server.uid)
+            log_event(log, events.NO_DESCRIPTOR, server=server.uid)
             raise Ended(Ending.WITHDRAWN)
         origin = (server.endpoint, server.boot_ms)
         self._connecting += 1
@@ -255,7 +255,7 @@
         except Ended as ended:
             ok = False
             if ended.ending is Ending.MALFORMED:
-                say(log, events.MALFORMED_PROBE, server=server.uid, reason=str(ended))
+                log_event(log, events.MALFORMED_PROBE_RESPONSE, server=server.uid, reason=str(ended))
         finally:
             self._probes -= 1
             if connection is not None:
@@ -325,9 +325,9 @@
         except Ended as ended:
             ending = ended.ending
             if ending is Ending.MALFORMED:
-                say(log, events.MALFORMED_ANSWER, server=self._server.uid, reason=str(ended))
+                log_event(log, events.MALFORMED_RESPONSE, server=self._server.uid, reason=str(ended))
         except Exception:
-            say(log, events.UNEXPECTED, where=f"a dispatch to backend server {self._server.uid}")
+            log_event(log, events.UNEXPECTED, where=f"a dispatch to backend server {self._server.uid}")
         finally:
             if connection is not None:
                 pool.close(connection)
@@ -360,9 +360,9 @@
         if response.status_code in (503, 504) and headers.get(b"srv-declined") == b"1":
             return Ending.RETURNED
         if 400 <= response.status_code < 500 and response.status_code not in (408, 429):
-            say(
+            log_event(
                 log,
-                events.UNUSABLE,
+                events.UNUSABLE_RESPONSE,
                 server=self._server.uid,
                 status=response.status_code,
                 request=self._session.job.id,
--- a/heronstall/net/book.py
+++ b/heronstall/net/book.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from heronstall import events
-from heronstall.events import say
+from heronstall.events import log_event
 from heronstall.net.loop import Loop
 from heronstall.net.server_table import ServerTable
 from heronstall.net.shutdown import GracefulShutdown
@@ -64,7 +64,7 @@
         try:
             for state in self._files.read():
                 if isinstance(state, InvalidFile):
-                    say(log, events.HANDOVER_IGNORED, path=state.path, reason=state.reason)
+                    log_event(log, events.HANDOVER_IGNORED, path=state.path, reason=state.reason)
                 else:
                     self._take(state)
         except OSError as error:
@@ -97,4 +97,4 @@
     def _lost(self, error: OSError) -> None:
         """The folder cannot be used: this process serves on with what it knows."""
         self._files = None
-        say(log, events.HANDOVER_LOST, reason=str(error))
+        log_event(log, events.SHARED_STATE_LOST, reason=str(error))
--- a/heronstall/net/dispatcher.py
+++ b/heronstall/net/dispatcher.py
@@ -15,7 +15,7 @@
 from heronstall import interface as i
 from heronstall.config import Config
 from heronstall.decide import Balancer
-from heronstall.events import say
+from heronstall.events import log_event
 from heronstall.net.connection import OUTCOME, Ending
 from heronstall.net.loop import Coroutine, Task
 from heronstall.net.server_table import BackendServer
@@ -298,12 +298,12 @@
             try:
                 self._carry_out(action)
             except Exception:  # guards the actions behind it: each belongs to some other session
-                say(log, events.UNEXPECTED, where=f"carrying out {action}")
+                log_event(log, events.UNEXPECTED, where=f"carrying out {action}")
         for observer in tuple(self.observers) if self.observers else ():
             try:
                 observer.observe(self._loop.now, batch, actions)
             except Exception:  # guards serving against whoever only watches it
-                say(log, events.UNEXPECTED, where="an observer: it is told no more")
+                log_event(log, events.UNEXPECTED, where="an observer: it is told no more")
                 self.observers.remove(observer)
 
     def _carry_out(self, action: i.Action) -> None:
@@ -327,20 +327,20 @@
             if server is not None:
                 self.backend.probe(server)
         elif isinstance(action, i.Log):
-            say(log, events.DECISIONS, text=action.text)
+            log_event(log, events.DECISION_LOG, text=action.text)
         # Subscribe: the watch is always on.
 
     def _send(self, action: i.Send) -> None:
         session = self._sessions.get(action.request)
         server = self.table.by_number.get(action.worker)
         if session is None:
-            say(log, events.UNKNOWN_SESSION, session=action.request)
+            log_event(log, events.DISPATCH_UNKNOWN_REQUEST, session=action.request)
             return
         index = session.attempts
         session.attempts += 1
         if session.over or server is None or session.open is not None:
             # Guards the rules against a wrong decision: no copy beside another, none after the final answer.
-            say(log, events.NOT_MADE, dispatch=index, session=session.number)
+            log_event(log, events.DISPATCH_FAILED, dispatch=index, session=session.number)
             self.post(i.Outcome(session.number, action.worker, index, session.over, "not_sent"))
             return
         until = session.deadline
@@ -373,6 +373,6 @@
     def _report(self) -> None:
         if self._counts:
             told = " ".join(f"{name}={count}" for name, count in sorted(self._counts.items()))
-            say(log, events.COUNTS, open=len(self._sessions), counts=told)
+            log_event(log, events.COUNTS, open=len(self._sessions), counts=told)
             self._counts.clear()
         self._loop.at(self._loop.now + REPORT_EVERY, self._report)
--- a/heronstall/net/frontend.py
+++ b/heronstall/net/frontend.py
@@ -15,7 +15,7 @@
 from heronstall import events
 from heronstall import interface as i
 from heronstall.config import Config
-from heronstall.events import say
+from heronstall.events import log_event
 from heronstall.net.backend import Job
 from heronstall.net.client_request import BadRequest, RequestCheck, check_framing, job_of
 from heronstall.net.connection import BODY_LIMIT, Connection, Ended, Ending, listen, shut_writing
@@ -119,7 +119,7 @@
                 continue
             except OSError as error:
                 # Guards against spinning when descriptors run out (EMFILE): the backlog keeps the clients.
-                say(log, events.ACCEPT_FAILED, reason=str(error))
+                log_event(log, events.ACCEPT_FAILED, reason=str(error))
                 self._make_room()
                 yield from sleep(self._loop.now + ACCEPT_PAUSE)
             else:
@@ -375,9 +375,9 @@
             raise Ended(Ending.CLOSED)
         else:
             if late:
-                say(log, events.LATE_IN_DRAIN, request=job.id)
+                log_event(log, events.REQUEST_LATE_IN_DRAIN, request=job.id)
             else:
-                say(log, events.NO_ANSWER, request=job.id)
+                log_event(log, events.REQUEST_UNANSWERED, request=job.id)
             yield from self._give(connection, Answer("failed"))
         return True
 
--- a/heronstall/net/handover.py
+++ b/heronstall/net/handover.py
@@ -22,7 +22,7 @@
 
 from heronstall import events
 from heronstall.config import Address
-from heronstall.events import say
+from heronstall.events import log_event
 from heronstall.net.loop import READ, Coroutine, Loop, Task, sleep
 
 VERSION = 1
@@ -88,7 +88,7 @@
     except (OSError, ValueError) as error:
         for fd in fds:
             os.close(fd)
-        say(log, events.NOT_HANDED, reason=str(error) or type(error).__name__)
+        log_event(log, events.HANDOVER_FAILED, reason=str(error) or type(error).__name__)
     channel.close()
     return None
 
@@ -162,11 +162,11 @@
             except (ValueError, TypeError) as error:
                 for sock in socks:
                     sock.close()
-                say(log, events.NOT_HANDED, reason=str(error))
+                log_event(log, events.HANDOVER_FAILED, reason=str(error))
         self._loop.close(channel)
         self._predecessor = None
         self.on_sharing_changed(Sharing.NONE if self._successor is None else Sharing.WITH_SERVING_PROCESS)
-        say(log, events.INHERITED, connections=adopted)
+        log_event(log, events.PREDECESSOR_ENDED, connections=adopted)
 
     # ------------------------------------------------------------------ as the predecessor
 
@@ -191,7 +191,7 @@
             os.replace(temporary, self._path)
         except OSError as error:
             sock.close()
-            say(log, events.NO_SUCCESSION, reason=str(error))
+            log_event(log, events.HANDOVER_IMPOSSIBLE, reason=str(error))
             return
         if self._accept_task is not None and self._own_socket is not None:
             self._accept_task.kill()
@@ -206,7 +206,7 @@
             except BlockingIOError:
                 yield sock.fileno(), READ, None
             except OSError as error:  # do not spin when descriptors run out: a successor can wait
-                say(log, events.ACCEPT_FAILED, reason=str(error))
+                log_event(log, events.ACCEPT_FAILED, reason=str(error))
                 yield from sleep(self._loop.now + RETRY_DELAY_US)
             else:
                 channel.setblocking(False)
@@ -226,13 +226,13 @@
                 message = _parse(data)
                 if message.get("ready") is True:
                     self._successor = channel
-                    say(log, events.HEIR)
+                    log_event(log, events.SUCCESSOR_READY)
                     self.on_sharing_changed(Sharing.WITH_SERVING_PROCESS)
                     self.on_successor_ready()
                 else:
                     self._answer_hello(channel, message)
         except (OSError, ValueError) as error:
-            say(log, events.NOT_HANDED, reason=str(error))
+            log_event(log, events.HANDOVER_FAILED, reason=str(error))
         finally:
             self._loop.close(channel)
             if self._successor is channel:
@@ -240,7 +240,7 @@
                 self.on_sharing_changed(
                     Sharing.NONE if self._predecessor is None else Sharing.WITH_SERVING_PROCESS
                 )
-                say(log, events.HEIR_LOST)
+                log_event(log, events.SUCCESSOR_LOST)
                 alone = not self._socket_answers()
                 if alone:  # otherwise a later process listens there already, and must not be replaced
                     self._publish_socket()
--- a/heronstall/net/loop.py
+++ b/heronstall/net/loop.py
@@ -17,7 +17,7 @@
 from typing import Any, TypeVar
 
 from heronstall import events
-from heronstall.events import say
+from heronstall.events import log_event
 
 R = TypeVar("R")
 Wait = tuple[int, int, "int | None"]
@@ -82,7 +82,7 @@
             self.done = True
         except Exception:
             self.done = True
-            say(log, events.UNEXPECTED, where=self.name)
+            log_event(log, events.UNEXPECTED, where=self.name)
         else:
             self._fd = fd
             if until is not None:
@@ -96,7 +96,7 @@
         try:
             self._loop.arm(fd, mask, self)
         except OSError:  # the kernel has no such descriptor, or no room: this coroutine alone cannot go on
-            say(log, events.UNEXPECTED, where=self.name)
+            log_event(log, events.UNEXPECTED, where=self.name)
             self.done = True
             self._stop_waiting()
             self._loop.soon(self._coroutine.close)
@@ -212,7 +212,7 @@
         try:
             call()
         except Exception:  # one wrong call must not stop the serving of everything else
-            say(log, events.UNEXPECTED, where="a call of the loop")
+            log_event(log, events.UNEXPECTED, where="a call of the loop")
 
 
 def sleep(until: int) -> Coroutine[None]:
--- a/heronstall/net/peers/knowledge_exchange.py
+++ b/heronstall/net/peers/knowledge_exchange.py
@@ -13,7 +13,7 @@
 
 from heronstall import events
 from heronstall.config import Address
-from heronstall.events import say
+from heronstall.events import log_event
 from heronstall.knowledge.book import Book
 from heronstall.knowledge.sights import LARGEST, Unreadable, Witness, Word, pack, unpack
 from heronstall.membership.messages import Row
@@ -79,7 +79,7 @@
                 try:
                     answer = yield from self._ask((row.host, row.port))
                 except (Ended, Unreadable) as error:
-                    say(log, events.KNOWLEDGE_IGNORED, peer=row.name, reason=str(error))
+                    log_event(log, events.OBSERVATIONS_IGNORED, peer=row.name, reason=str(error))
                     continue
                 if answer.sights and answer.node == row.name:
                     self._post_events()
@@ -92,9 +92,9 @@
         for event in hearsay:
             self._dispatcher.post(event)
         shunned = sum(event.shun > 0 for event in hearsay)
-        say(
+        log_event(
             log,
-            events.KNOWLEDGE_HEARD,
+            events.OBSERVATIONS_RECEIVED,
             peers=len(self._book.words),
             servers=len(hearsay),
             shunned=shunned,
--- a/heronstall/net/peers/service.py
+++ b/heronstall/net/peers/service.py
@@ -19,7 +19,7 @@
 
 from heronstall import events
 from heronstall.config import Address, Config, ConfigError
-from heronstall.events import say
+from heronstall.events import log_event
 from heronstall.membership.messages import Duty, Row, State, Unreadable, pack, unpack
 from heronstall.membership.relays import (
     AGE_MOST,
@@ -42,7 +42,7 @@
 from heronstall.net.peers.followers import Follower
 from heronstall.net.peers.knowledge_exchange import KnowledgeExchange
 from heronstall.net.server_table import ServerTable
-from heronstall.operator import PeersFile
+from heronstall.operator import PeerSettings
 
 DATAGRAMS_PER_TURN = 64  # the rest waits, and the kernel drops what its buffer cannot hold
 RECEIVE_BUFFER_BYTES = 1 << 18
@@ -82,7 +82,7 @@
 
     descriptors = MOST_FOLLOWERS + 2
 
-    def __init__(self, config: Config, settings: PeersFile, loop: Loop) -> None:
+    def __init__(self, config: Config, settings: PeerSettings, loop: Loop) -> None:
         """Raises ConfigError for an unusable address."""
         self._loop, self._settings = loop, settings
         host = settings.host or config.listen[0]
@@ -133,7 +133,7 @@
         self._loop.spawn(self._accept(), "peers' followers")
         self._loop.spawn(self._run_turns(), "peers' turns")
         self.knowledge_exchange.start(self.swim, table, dispatcher)
-        say(log, events.PEERS_OPEN, host=self.host, port=self._port, join=len(self.swim.seeds))
+        log_event(log, events.PEERS_OPEN, host=self.host, port=self._port, join=len(self.swim.seeds))
 
     def leave(self) -> None:
         """Announces that this process leaves, so that others no longer rely on it."""
@@ -171,7 +171,7 @@
     def _count_unreadable(self, host: str, reason: str) -> None:
         self._unreadable += 1
         if self._loop.now - self._unreadable_logged_at > LOG_INTERVAL_US or not self._unreadable_logged_at:
-            say(log, events.PEERS_UNREADABLE, count=self._unreadable, host=host, reason=reason)
+            log_event(log, events.PEERS_UNREADABLE, count=self._unreadable, host=host, reason=reason)
             self._unreadable_logged_at, self._unreadable = self._loop.now, 0
 
     def _run_turns(self) -> Coroutine[None]:
@@ -185,7 +185,9 @@
         row, old_state = member.row, State.ALIVE if before is State.SUSPECT else before
         if row.state is not State.SUSPECT and row.state is not old_state:  # a mere suspicion is not logged
             living = len(self.swim.living())
-            say(log, events.PEER, peer=row.name, state=row.state.name.lower(), living=living)
+            log_event(
+                log, events.PEER_STATE_CHANGED, peer=row.name, state=row.state.name.lower(), living=living
+            )
         if row.state > State.SUSPECT:
             self.on_member_gone(row.name, row.state is State.LEFT)
 
@@ -197,7 +199,7 @@
         if swim.replaced:
             if not self._was_replaced:
                 self._was_replaced = True
-                say(log, events.PEERS_REPLACED)
+                log_event(log, events.PEERS_REPLACED)
                 self._close_followers()
             return
         before = self.relaying.duty
@@ -207,7 +209,7 @@
         duty = self.relaying.decide(now, swim.me, swim.living(), self._direct_message_at)
         swim.blind = not self._list_is_current()
         if duty is not before:
-            say(log, events.PEERS_DUTY, duty=duty.name.lower())
+            log_event(log, events.PEERS_ROLE, duty=duty.name.lower())
             swim.announce(duty)
             if duty not in TELLS:
                 self._close_followers()
@@ -218,7 +220,7 @@
             if source == self._highest_revision_from and self.revisions.made_up(
                 now, lambda since, relays: swim.revs(since, relays, source)
             ):
-                say(log, events.PEERS_MISLED, source=source, rev=self.revisions.floor)
+                log_event(log, events.PEERS_SOURCE_AVOIDED, source=source, rev=self.revisions.floor)
                 self.relaying.failed(source, now, MISLED)
                 self._table.again()
             elif self._lags(now, BEHIND):
@@ -292,7 +294,7 @@
     def _set_source(self, source: str) -> None:
         if source != self._source:
             self._source = source
-            say(log, events.PEERS_FOLLOWS, source=source)
+            log_event(log, events.PEERS_FOLLOWS, source=source)
 
     def askers(self) -> int:
         """Returns how many ask the list service: the relays and this process; others rarely do."""
--- a/heronstall/net/server_table.py
+++ b/heronstall/net/server_table.py
@@ -13,7 +13,7 @@
 from heronstall import events
 from heronstall import interface as i
 from heronstall.config import Address, Config, ConfigError, parse_address
-from heronstall.events import say
+from heronstall.events import log_event
 from heronstall.net.connection import Connection, Ended, Ending, connect
 from heronstall.net.json_stream import JsonStream
 from heronstall.net.loop import Coroutine, Loop, Task, sleep
@@ -181,7 +181,7 @@
                 try:
                     rev = self.take(known, persisted=True)
                 except Ended as ended:
-                    say(log, events.KNOWN_IGNORED, reason=str(ended))
+                    log_event(log, events.KNOWN_SERVERS_IGNORED, reason=str(ended))
         self._begin(_Watch(self._config.discovery, rev))
 
     @property
@@ -295,7 +295,7 @@
                 host, port = relay or watch.discovery
                 yield from self._listen(watch, connection, relay)
             except Ended as ended:
-                say(log, events.WATCH_ENDED, host=host, port=port, rev=watch.rev, reason=str(ended))
+                log_event(log, events.WATCH_ENDED, host=host, port=port, rev=watch.rev, reason=str(ended))
                 if connection is not None and relay is None and _unanswered(connection, ended):
                     connection = self._leave_open(watch, connection)
                 if sources is not None and relay is not None:
@@ -306,7 +306,7 @@
                 if ended.ending is Ending.MALFORMED:
                     watch.rev = watch.after = None  # what was missed cannot be told: ask for the whole list
             except Exception:
-                say(log, events.UNEXPECTED, where="the watch")
+                log_event(log, events.UNEXPECTED, where="the watch")
                 watch.rev = watch.after = None
             finally:
                 if connection is not None:
@@ -407,7 +407,7 @@
         watch.heard = self.heard = True
         host, port = relay or watch.discovery
         servers = sum(server.off_since is None for server in self._by_uid.values())
-        say(log, events.WATCH_ANSWERED, host=host, port=port, rev=watch.rev, servers=servers)
+        log_event(log, events.WATCH_ANSWERED, host=host, port=port, rev=watch.rev, servers=servers)
         if watch is self._watch and self._former is not None:
             if self._former.task is not None:
                 self._former.task.kill()
@@ -506,7 +506,7 @@
         uid, boot_ms = str(row["uid"]), int(row.get("boot_ms") or 0)
         state = STATES.get(row["state"])
         if state is None:
-            say(log, events.STATE_UNKNOWN, server=uid, state=str(row["state"]))
+            log_event(log, events.UNKNOWN_SERVER_STATE, server=uid, state=str(row["state"]))
             state = "leaving"
         endpoint = parse_address(str(row["endpoint"]), "endpoint")
         started = boot_ms * 1000 - self._offset if boot_ms > 0 else None
--- a/heronstall/net/snapshots.py
+++ b/heronstall/net/snapshots.py
@@ -14,10 +14,10 @@
 
 from heronstall import events
 from heronstall.config import Config
-from heronstall.events import say
+from heronstall.events import log_event
 from heronstall.net.loop import Loop
 from heronstall.net.server_table import ServerTable
-from heronstall.operator import SnapshotFile
+from heronstall.operator import SnapshotSettings
 from heronstall.start.snapshot import MAX_SIZE, UnusableSnapshot, newer_list, pack, unpack
 
 LOOK = 2_000_000  # between looks at whether the list has changed
@@ -29,9 +29,9 @@
 class Snapshots:
     """One process's."""
 
-    def __init__(self, config: Config, told: SnapshotFile, loop: Loop, offset: int) -> None:
+    def __init__(self, config: Config, told: SnapshotSettings, loop: Loop, offset: int) -> None:
         self._config, self._loop, self._offset = config, loop, offset
-        self._most_age = round(told.most_h * 3.6e9)
+        self._most_age = round(told.max_age_h * 3.6e9)
         safe = "".join(letter if letter.isalnum() else "_" for letter in config.name)
         self._path = Path(told.dir) / f"heronstall-{safe}.snapshot"
         self._discovery = ":".join(map(str, config.discovery))
@@ -49,7 +49,7 @@
         except FileNotFoundError:
             pass
         except (OSError, UnusableSnapshot) as error:
-            say(log, events.SNAPSHOT_IGNORED, path=str(self._path), reason=str(error))
+            log_event(log, events.SNAPSHOT_IGNORED, path=str(self._path), reason=str(error))
         return newer_list(snapshot, self._config.known)
 
     def begin(self, table: ServerTable) -> None:
@@ -67,7 +67,7 @@
                 self._written = rev, now
             except OSError as error:
                 pause = AGAIN
-                say(log, events.SNAPSHOT_FAILED, path=str(self._path), reason=str(error))
+                log_event(log, events.SNAPSHOT_FAILED, path=str(self._path), reason=str(error))
         self._loop.at(now + pause, self._look)
 
     def _due(self, rev: int, now: int) -> bool:
--- a/heronstall/net/takeover/coordinator.py
+++ b/heronstall/net/takeover/coordinator.py
@@ -18,13 +18,13 @@
 from heronstall import events
 from heronstall import interface as i
 from heronstall.config import Config
-from heronstall.events import say
+from heronstall.events import log_event
 from heronstall.net.backend import Job
 from heronstall.net.connection import OUTCOME, Ended, Ending
 from heronstall.net.dispatcher import Answer, Dispatcher, Session
 from heronstall.net.loop import Coroutine, Loop, Task
 from heronstall.net.server_table import BackendServer
-from heronstall.operator import TakeoverFile
+from heronstall.operator import TakeoverSettings
 from heronstall.takeover.holder import Holder, Taker
 from heronstall.takeover.succession import Roster, in_order
 from heronstall.takeover.witness import Register, Witness
@@ -71,13 +71,13 @@
 class TakeoverCoordinator:
     """Replicates this process's jobs to witnesses, and takes over the jobs of lost processes."""
 
-    def __init__(self, config: Config, settings: TakeoverFile, loop: Loop, name: str, life: int) -> None:
+    def __init__(self, config: Config, settings: TakeoverSettings, loop: Loop, name: str, life: int) -> None:
         self._config, self._settings, self._loop = config, settings, loop
         self._name, self._life = name, life
         self._roster = Roster(settings.witnesses)
         longest = max(c.deadline for c in config.settings.classes) + RESULT_RETENTION_US
-        self.witness = Witness(loop.now, longest, settings.room)
-        self._majority_timeout = settings.wait
+        self.witness = Witness(loop.now, longest, settings.max_stored_bytes)
+        self._majority_timeout = settings.majority_timeout_us
         self._protected_classes = {
             n for c, n in config.classes.items() if not settings.classes or c in settings.classes
         }
@@ -111,8 +111,12 @@
     def taken(self, session: Session) -> None:
         """Registers a new session's job. The first message is sent after the next turn of the decisions."""
         job: Job = session.job
-        identity = _identity(job, self._settings.header)
-        if session.cls not in self._protected_classes or not identity or len(job.body) > self._settings.body:
+        identity = _identity(job, self._settings.identity_header)
+        if (
+            session.cls not in self._protected_classes
+            or not identity
+            or len(job.body) > self._settings.max_body_bytes
+        ):
             self.counts["unprotected"] += 1
             return
         key = f"{session.cls}/{identity}"
@@ -394,7 +398,7 @@
         if name != self._name and (name, life) not in self._gone_owners:
             self._gone_owners[name, life] = self._loop.now
             jobs = sum(1 for _ in self.witness.of(name))
-            say(log, events.TAKEOVER_GONE, owner=name, jobs=jobs)
+            log_event(log, events.TAKEOVER_OWNER_LOST, owner=name, jobs=jobs)
             self._loop.at(self._loop.now + TAKEOVER_DELAY_US, self._start_takeovers)
 
     def _orphaned_registers(self) -> Iterator[tuple[str, Register]]:
@@ -431,7 +435,9 @@
             for name in taker.witnesses:
                 self._send_to(name, taker.take())
         if found:
-            self._loop.at(now + max(5_000, round(1e6 / self._settings.pace)), self._start_takeovers)
+            self._loop.at(
+                now + max(5_000, round(1e6 / self._settings.takeovers_per_s)), self._start_takeovers
+            )
 
     def _check_takeover(self, key: str) -> None:
         taker, register, _ = self._takeovers[key]
@@ -469,14 +475,14 @@
             returned.delegated, returned.holder = True, holder
             self._dispatcher.lend(returned.session)
             returned.wake()
-        say(log, events.TAKEN_OVER, owner=latest.owner, job=request.id)
+        log_event(log, events.JOB_TAKEN_OVER, owner=latest.owner, job=request.id)
 
     def _sweep(self) -> None:
         now = self._loop.now
         self.witness.sweep(now)
         if self.counts and now - self._counts_logged_at > LOG_INTERVAL_US:
             text = " ".join(f"{name}={count}" for name, count in sorted(self.counts.items()))
-            say(log, events.TAKEOVER_COUNTS, counts=text, kept=len(self.witness.registers))
+            log_event(log, events.TAKEOVER_COUNTS, counts=text, kept=len(self.witness.registers))
             self._counts_logged_at = now
             self._totals += self.counts
             self.counts.clear()
--- a/heronstall/net/takeover/links.py
+++ b/heronstall/net/takeover/links.py
@@ -17,7 +17,7 @@
 
 from heronstall import events
 from heronstall.config import Address
-from heronstall.events import say
+from heronstall.events import log_event
 from heronstall.membership.messages import State as MemberState
 from heronstall.membership.swim import Swim
 from heronstall.net.connection import Connection, Ended, Lines, connect
@@ -167,7 +167,7 @@
         try:
             self.coordinator.handle_reply(name, unpack(line))
         except Unreadable as error:
-            say(log, events.TAKEOVER_UNREADABLE, peer=name, reason=str(error))
+            log_event(log, events.TAKEOVER_UNREADABLE, peer=name, reason=str(error))
 
     def serve(self, connection: Connection) -> Coroutine[None]:
         """Answers an owner's messages until its connection ends. Raises Ended."""
@@ -188,7 +188,7 @@
                     try:
                         replies.append(pack(self.coordinator.handle_message(unpack(line))))
                     except Unreadable as error:
-                        say(log, events.TAKEOVER_UNREADABLE, peer=owner[0], reason=str(error))
+                        log_event(log, events.TAKEOVER_UNREADABLE, peer=owner[0], reason=str(error))
                 if replies:
                     data = connection.parser.send(h11.Data(data=b"".join(replies))) or b""
                     yield from connection.write(data, loop.now + WRITE_TIMEOUT_US)
--- a/heronstall/net/takeover/start.py
+++ b/heronstall/net/takeover/start.py
@@ -8,11 +8,11 @@
 from heronstall.net.peers.service import PeerService
 from heronstall.net.takeover.coordinator import TakeoverCoordinator
 from heronstall.net.takeover.links import PATH, WitnessLinks
-from heronstall.operator import TakeoverFile
+from heronstall.operator import TakeoverSettings
 
 
 def start_takeover(
-    config: Config, settings: TakeoverFile, loop: Loop, peers: PeerService, dispatcher: Dispatcher
+    config: Config, settings: TakeoverSettings, loop: Loop, peers: PeerService, dispatcher: Dispatcher
 ) -> TakeoverCoordinator:
     """Protects a dispatcher's jobs from now on."""
     coordinator = TakeoverCoordinator(config, settings, loop, config.name, peers.started_ms)
--- a/heronstall/operator.py
+++ b/heronstall/operator.py
@@ -1,8 +1,9 @@
-"""The operator's file as the live program reads it: what the platform's JSON does not say.
+"""Reads the operator's file: the settings that the platform's JSON configuration does not contain.
 
-HERONSTALL_SETTINGS names it; without it everything has its default. A `.cue` file is checked by a process of
-its own: `heronstall.records` and its parser would take more memory here than the deployment leaves. A `.json`
-file is what `heronstall settings show --json` made of one, and costs nothing.
+The environment variable HERONSTALL_SETTINGS names the file; without it, every setting has its default. A
+`.cue` file is checked in a separate process because `heronstall.records` and its parser would need more
+memory than the deployment leaves to the dispatcher. A `.json` file, the output of
+`heronstall settings show --json`, is read directly.
 """
 
 from __future__ import annotations
@@ -18,18 +19,18 @@
 
 from heronstall.config import Address, ConfigError, parse_address
 
-FORMATS = ("plain", "logfmt", "json")
-LEVELS = ("debug", "info", "warning", "error")
-CHECK_TIME = 30.0  # seconds for the checking process
+LOG_FORMATS = ("plain", "logfmt", "json")
+LOG_LEVELS = ("debug", "info", "warning", "error")
+CHECK_TIMEOUT_S = 30.0  # limit for the process that checks a .cue file
 
 
 class OperatorError(ValueError):
-    """The file cannot be used; the message names file, line and key."""
+    """The operator's file is invalid; the message names the file, the line if known, and the key."""
 
 
 @dataclass(frozen=True)
-class PeersFile:
-    """How this dispatcher talks with others."""
+class PeerSettings:
+    """How this dispatcher communicates with its peers."""
 
     port: int
     host: str = ""
@@ -41,193 +42,212 @@
 
 
 @dataclass(frozen=True)
-class TakeoverFile:
-    """Which jobs survive the loss of this dispatcher, and who keeps them."""
+class TakeoverSettings:
+    """Which jobs survive the loss of this dispatcher, and which dispatchers store them as witnesses."""
 
     witnesses: tuple[tuple[str, ...], ...]
-    classes: tuple[str, ...] = ()  # empty: all
-    header: bytes = b"idempotency-key"
-    wait: int = 100_000  # microseconds for a majority's word
-    pace: float = 200.0  # jobs a second that are taken over
-    room: int = 16 * 1024 * 1024  # bytes kept for others
-    body: int = 16 * 1024  # a larger one is not protected
+    classes: tuple[str, ...] = ()  # empty: all classes
+    identity_header: bytes = b"idempotency-key"
+    majority_timeout_us: int = 100_000  # wait for a majority of the witnesses to confirm
+    takeovers_per_s: float = 200.0  # rate limit of takeovers
+    max_stored_bytes: int = 16 * 1024 * 1024  # memory for the jobs of other dispatchers
+    max_body_bytes: int = 16 * 1024  # a job with a larger body is not protected
 
 
 @dataclass(frozen=True)
-class SnapshotFile:
-    """Where the server list is kept for the next start."""
+class SnapshotSettings:
+    """Where the server list is stored for the next start."""
 
     dir: str
-    most_h: float = 24.0
+    max_age_h: float = 24.0
 
 
 @dataclass(frozen=True)
-class Operator:
-    """The settings of the operator's file."""
+class OperatorSettings:
+    """The settings of the operator's file.
+
+    A supervisor checks a release by running a script on it that uses `read`, `OperatorError`, `log_format`,
+    `trace_dir` and `detail` (keeper/release.py): their names must not change.
+    """
 
     log_format: str = "plain"
     log_level: str = "info"
-    trace_dir: str = ""  # no trace
+    trace_dir: str = ""  # empty: no traces
     trace_rotate_s: float = 3600.0
     trace_keep: int = 24
-    detail: bool = False  # figures that a change is judged by, at the door
-    peers: PeersFile | None = None  # no talk among dispatchers
-    snapshot: SnapshotFile | None = None
-    takeover: TakeoverFile | None = None  # jobs end with their dispatcher
+    detail: bool = False  # whether the admin endpoint serves the detailed metrics that a rollout compares
+    peers: PeerSettings | None = None  # None: no communication with other dispatchers
+    snapshot: SnapshotSettings | None = None
+    takeover: TakeoverSettings | None = None  # None: jobs are lost with their dispatcher
+
 
+def read(environ: Mapping[str, str]) -> OperatorSettings:
+    """Returns the settings of the file that HERONSTALL_SETTINGS names.
 
-def read(environ: Mapping[str, str]) -> Operator:
-    """What HERONSTALL_SETTINGS says. Raises OperatorError."""
+    Raises:
+        OperatorError: The file cannot be read or is invalid.
+    """
     name = environ.get("HERONSTALL_SETTINGS")
     if not name:
-        return Operator()
-    text = _checked(name) if name.endswith(".cue") else _text(name)
+        return OperatorSettings()
+    text = _check_cue(name) if name.endswith(".cue") else _read_text(name)
     try:
         record = ujson.loads(text)
     except ValueError:
         raise OperatorError(f"{name}: neither a .cue file nor JSON") from None
-    return _operator(name, record)
+    return _parse_settings(name, record)
 
 
-def _text(name: str) -> str:
+def _read_text(name: str) -> str:
     try:
         return Path(name).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
         raise OperatorError(f"{name}: cannot be read: {error}") from None
 
 
-def _checked(name: str) -> str:
-    import subprocess  # only where a file is given: the program is small
+def _check_cue(name: str) -> str:
+    import subprocess  # imported only when needed, to keep the process small
 
     command = [sys.executable, "-m", "heronstall.records", name]
     try:
-        done = subprocess.run(command, capture_output=True, text=True, timeout=CHECK_TIME, check=False)
+        completed = subprocess.run(
+            command, capture_output=True, text=True, timeout=CHECK_TIMEOUT_S, check=False
+        )
     except (OSError, subprocess.TimeoutExpired) as error:
         raise OperatorError(f"{name}: cannot be checked: {error}") from None
-    if done.returncode:
-        told = done.stderr.strip().splitlines() or ["cannot be checked"]
-        raise OperatorError(told[-1] if "Error" in told[-1] else "; ".join(told))
-    return done.stdout
+    if completed.returncode:
+        messages = completed.stderr.strip().splitlines() or ["cannot be checked"]
+        raise OperatorError(messages[-1] if "Error" in messages[-1] else "; ".join(messages))
+    return completed.stdout
 
 
-def _operator(name: str, record: Any) -> Operator:
-    log, trace, figures = (_record(name, record, key) for key in ("log", "trace", "figures"))
-    read = Operator(
+def _parse_settings(name: str, record: Any) -> OperatorSettings:
+    log, trace, figures = (_section(name, record, key) for key in ("log", "trace", "figures"))
+    settings = OperatorSettings(
         str(log.get("format", "plain")),
         str(log.get("level", "info")),
         str(trace.get("dir", "")),
         trace.get("rotate_s", 3600.0),
         trace.get("keep", 24),
         figures.get("detail", False),
-        _peers(name, _record(name, record, "peers")),
-        _snapshot(name, _record(name, record, "snapshot")),
-        _takeover(name, _record(name, record, "takeover")),
+        _peers(name, _section(name, record, "peers")),
+        _snapshot(name, _section(name, record, "snapshot")),
+        _takeover(name, _section(name, record, "takeover")),
     )
-    if read.takeover is not None and read.peers is None:
-        raise OperatorError(f"{name}: takeover.witnesses: wants peers.port, dispatchers that talk")
-    if not isinstance(read.detail, bool):
-        raise OperatorError(f"{name}: figures.detail: {read.detail!r} where true or false is wanted")
-    for key, value, known in (
-        ("log.format", read.log_format, FORMATS),
-        ("log.level", read.log_level, LEVELS),
+    if settings.takeover is not None and settings.peers is None:
+        raise OperatorError(f"{name}: takeover.witnesses: requires peers.port")
+    if not isinstance(settings.detail, bool):
+        raise OperatorError(f"{name}: figures.detail: {settings.detail!r}, expected true or false")
+    for key, value, allowed in (
+        ("log.format", settings.log_format, LOG_FORMATS),
+        ("log.level", settings.log_level, LOG_LEVELS),
     ):
-        if value not in known:
-            raise OperatorError(f"{name}: {key}: {value!r} where {' or '.join(known)} is wanted")
-    for key, figure in (("trace.rotate_s", read.trace_rotate_s), ("trace.keep", read.trace_keep)):
+        if value not in allowed:
+            raise OperatorError(f"{name}: {key}: {value!r}, expected {' or '.join(allowed)}")
+    for key, figure in (("trace.rotate_s", settings.trace_rotate_s), ("trace.keep", settings.trace_keep)):
         if isinstance(figure, bool) or not isinstance(figure, (int, float)) or not figure >= 1:
-            raise OperatorError(f"{name}: {key}: {figure!r} where a number of at least 1 is wanted")
-    return read
+            raise OperatorError(f"{name}: {key}: {figure!r}, expected a number of at least 1")
+    return settings
 
 
-def _peers(name: str, told: dict[str, Any]) -> PeersFile | None:
-    port, join = told.get("port", 0), told.get("join", [])
+def _peers(name: str, record: dict[str, Any]) -> PeerSettings | None:
+    port, join = record.get("port", 0), record.get("join", [])
     if isinstance(port, bool) or not isinstance(port, int) or not 0 <= port <= 65534:
-        raise OperatorError(f"{name}: peers.port: {port!r} where a port up to 65534 is wanted")
+        raise OperatorError(f"{name}: peers.port: {port!r}, expected a port up to 65534")
     if not isinstance(join, list):
-        raise OperatorError(f"{name}: peers.join: a list is wanted")
-    others = []
-    for n, one in enumerate(join):
+        raise OperatorError(f"{name}: peers.join: expected a list")
+    addresses = []
+    for n, address in enumerate(join):
         try:
-            others.append(parse_address(str(one), f"peers.join[{n}]"))
+            addresses.append(parse_address(str(address), f"peers.join[{n}]"))
         except ConfigError as error:
             raise OperatorError(f"{name}: {error}") from None
-    endpoints = told.get("endpoints", "own")
+    endpoints = record.get("endpoints", "own")
     if endpoints not in ("own", "same"):
-        raise OperatorError(f"{name}: peers.endpoints: {endpoints!r} where own or same is wanted")
-    shown = told.get("advertise", "")
+        raise OperatorError(f"{name}: peers.endpoints: {endpoints!r}, expected own or same")
+    advertised = record.get("advertise", "")
     try:
-        advertise = parse_address(str(shown), "peers.advertise") if shown else None
+        advertise = parse_address(str(advertised), "peers.advertise") if advertised else None
     except ConfigError as error:
         raise OperatorError(f"{name}: {error}") from None
-    learn = told.get("learn", True)
+    learn = record.get("learn", True)
     if not isinstance(learn, bool):
-        raise OperatorError(f"{name}: peers.learn: {learn!r} where true or false is wanted")
+        raise OperatorError(f"{name}: peers.learn: {learn!r}, expected true or false")
     if not port:
         return None
-    host, cluster = str(told.get("host", "")), str(told.get("cluster", ""))
-    return PeersFile(port, host, tuple(others), cluster, endpoints == "same", learn, advertise)
+    host, cluster = str(record.get("host", "")), str(record.get("cluster", ""))
+    return PeerSettings(port, host, tuple(addresses), cluster, endpoints == "same", learn, advertise)
 
 
-def _takeover(name: str, told: dict[str, Any]) -> TakeoverFile | None:
-    groups, classes = told.get("witnesses", []), told.get("classes", [])
+def _takeover(name: str, record: dict[str, Any]) -> TakeoverSettings | None:
+    groups, classes = record.get("witnesses", []), record.get("classes", [])
     if not isinstance(groups, list) or not all(isinstance(g, list) and g for g in groups):
-        raise OperatorError(f"{name}: takeover.witnesses: a list of groups of names is wanted")
+        raise OperatorError(f"{name}: takeover.witnesses: expected a list of groups of names")
     if not groups:
         return None
     if len(groups) % 2 == 0 or len(groups) == 1:
-        raise OperatorError(f"{name}: takeover.witnesses: {len(groups)} groups where 3, 5 or 7 are wanted")
-    names = [str(one) for group in groups for one in group]
+        raise OperatorError(f"{name}: takeover.witnesses: {len(groups)} groups, expected 3, 5 or 7")
+    names = [str(member) for group in groups for member in group]
     if len(names) > len(set(names)):
-        raise OperatorError(f"{name}: takeover.witnesses: a name stands in it twice")
+        raise OperatorError(f"{name}: takeover.witnesses: a name occurs twice")
     if not isinstance(classes, list):
-        raise OperatorError(f"{name}: takeover.classes: a list of names is wanted")
-    figures = {}
-    for key, usual, least in (("wait_ms", 100, 1), ("pace", 200, 1), ("room_mb", 16, 1), ("body_kb", 16, 0)):
-        figure = told.get(key, usual)
-        if isinstance(figure, bool) or not isinstance(figure, (int, float)) or not figure >= least:
+        raise OperatorError(f"{name}: takeover.classes: expected a list of names")
+    limits = {}
+    for key, default, minimum in (
+        ("wait_ms", 100, 1),
+        ("pace", 200, 1),
+        ("room_mb", 16, 1),
+        ("body_kb", 16, 0),
+    ):
+        figure = record.get(key, default)
+        if isinstance(figure, bool) or not isinstance(figure, (int, float)) or not figure >= minimum:
             raise OperatorError(
-                f"{name}: takeover.{key}: {figure!r} where a number of at least {least} is wanted"
+                f"{name}: takeover.{key}: {figure!r}, expected a number of at least {minimum}"
             )
-        figures[key] = float(figure)
-    return TakeoverFile(
-        tuple(tuple(str(one) for one in group) for group in groups),
-        tuple(str(one) for one in classes),
-        str(told.get("identity", "Idempotency-Key")).lower().encode(),
-        round(figures["wait_ms"] * 1000),
-        figures["pace"],
-        round(figures["room_mb"] * 1024 * 1024),
-        round(figures["body_kb"] * 1024),
+        limits[key] = float(figure)
+    return TakeoverSettings(
+        tuple(tuple(str(member) for member in group) for group in groups),
+        tuple(str(cls) for cls in classes),
+        str(record.get("identity", "Idempotency-Key")).lower().encode(),
+        round(limits["wait_ms"] * 1000),
+        limits["pace"],
+        round(limits["room_mb"] * 1024 * 1024),
+        round(limits["body_kb"] * 1024),
     )
 
 
-def _snapshot(name: str, told: dict[str, Any]) -> SnapshotFile | None:
-    folder, hours = told.get("dir", ""), told.get("most_h", 24.0)
+def _snapshot(name: str, record: dict[str, Any]) -> SnapshotSettings | None:
+    folder, max_age_h = record.get("dir", ""), record.get("most_h", 24.0)
     if not isinstance(folder, str):
-        raise OperatorError(f"{name}: snapshot.dir: {folder!r} where a path is wanted")
-    if isinstance(hours, bool) or not isinstance(hours, (int, float)) or not hours > 0:
-        raise OperatorError(f"{name}: snapshot.most_h: {hours!r} where a number above 0 is wanted")
-    return SnapshotFile(folder, hours) if folder else None
+        raise OperatorError(f"{name}: snapshot.dir: {folder!r}, expected a path")
+    if isinstance(max_age_h, bool) or not isinstance(max_age_h, (int, float)) or not max_age_h > 0:
+        raise OperatorError(f"{name}: snapshot.most_h: {max_age_h!r}, expected a number above 0")
+    return SnapshotSettings(folder, max_age_h) if folder else None
+
 
+def _section(name: str, record: Any, key: str) -> dict[str, Any]:
+    section = record.get(key, {}) if isinstance(record, dict) else None
+    if not isinstance(section, dict):
+        raise OperatorError(f"{name}: {key}: expected a record")
+    return section
 
-def _record(name: str, whole: Any, key: str) -> dict[str, Any]:
-    inner = whole.get(key, {}) if isinstance(whole, dict) else None
-    if not isinstance(inner, dict):
-        raise OperatorError(f"{name}: {key}: a record is wanted")
-    return inner
 
+def start_logging(settings: OperatorSettings) -> None:
+    """Configures logging to standard error in the format and at the level of the settings.
 
-def start_logging(operator: Operator) -> None:
-    """Log to standard error in the form asked for. Raises OperatorError where its library is missing."""
+    Raises:
+        OperatorError: The libraries of the log format are not installed.
+    """
     handler = logging.StreamHandler(sys.stderr)
-    if operator.log_format == "plain":
+    if settings.log_format == "plain":
         handler.setFormatter(logging.Formatter("%(levelname)s %(name)s: %(message)s"))
     else:
         try:
-            from heronstall.logs import formatter
+            from heronstall.logs import create_formatter
         except ImportError as error:
-            told = f"log.format: {operator.log_format} wants the extra `logs`: {error}"
-            raise OperatorError(told) from None
-        handler.setFormatter(formatter(operator.log_format))
+            message = f"log.format: {settings.log_format} requires the extra `logs`: {error}"
+            raise OperatorError(message) from None
+        handler.setFormatter(create_formatter(settings.log_format))
     root = logging.getLogger()
     root.handlers[:] = [handler]
-    root.setLevel(operator.log_level.upper())
+    root.setLevel(settings.log_level.upper())
--- a/heronstall/ops/detail.py
+++ b/heronstall/ops/detail.py
@@ -24,7 +24,10 @@
 HISTOGRAM_DIGITS = 2  # significant digits
 RELEASE_VARIABLE = "HERONSTALL_RELEASE"  # environment variable, name@digest, set by what starts the process
 PAGE_KB = os.sysconf("SC_PAGE_SIZE") // 1024
-INVARIANT_EVENTS = tuple(event.name for event in (events.NO_ANSWER, events.NOT_MADE, events.UNKNOWN_SESSION))
+INVARIANT_EVENTS = tuple(
+    event.name
+    for event in (events.REQUEST_UNANSWERED, events.DISPATCH_FAILED, events.DISPATCH_UNKNOWN_REQUEST)
+)
 COUNTS = ("taken", "intime", "served", "refused", "failed", "gone")
 
 
--- a/heronstall/trace/recorder.py
+++ b/heronstall/trace/recorder.py
@@ -10,7 +10,7 @@
 
 from heronstall import events
 from heronstall import interface as i
-from heronstall.events import say
+from heronstall.events import log_event
 from heronstall.trace import trace_pb2 as pb
 from heronstall.trace.frame import VERSION
 from heronstall.trace.writer import END_TIME, TraceWriter
@@ -59,9 +59,9 @@
             self._drop_old()
         except OSError as error:
             self._writer = None
-            say(log, events.TRACE_FAILED, path=str(path), reason=str(error))
+            log_event(log, events.TRACE_FAILED, path=str(path), reason=str(error))
         else:
-            say(log, events.TRACE_BEGUN, path=str(path))
+            log_event(log, events.TRACE_STARTED, path=str(path))
 
     def _drop_old(self) -> None:
         mine = sorted(self._folder.glob(f"{self._node}-*{SUFFIX}"))
@@ -71,7 +71,7 @@
     def _failed(self, reason: str) -> None:
         # Called in the writing thread, which ends with it; the dispatcher goes on without a trace.
         writer = self._writer
-        say(log, events.TRACE_FAILED, path=str(writer.path if writer else self._folder), reason=reason)
+        log_event(log, events.TRACE_FAILED, path=str(writer.path if writer else self._folder), reason=reason)
 
     def observe(self, now: int, told: Sequence[i.Event], said: Sequence[i.Action]) -> None:
         """What the decisions were told at a moment, and what they said."""
@@ -88,4 +88,4 @@
         writer, self._writer = self._writer, None
         if writer is not None:
             writer.close(wait)
-            say(log, events.TRACE_ENDED, path=str(writer.path), dropped=writer.dropped)
+            log_event(log, events.TRACE_ENDED, path=str(writer.path), dropped=writer.dropped)
--- a/tests/test_admin_endpoint.py
+++ b/tests/test_admin_endpoint.py
@@ -15,7 +15,7 @@
 from heronstall.net.dispatcher import FATE
 from heronstall.net.loop import Loop
 from heronstall.net.takeover.coordinator import TakeoverCoordinator
-from heronstall.operator import TakeoverFile
+from heronstall.operator import TakeoverSettings
 from heronstall.ops.counters import JobCounters
 from heronstall.ops.detail import COUNTS
 from tests.test_net import Peer, Story, raw_config
@@ -149,7 +149,7 @@
     def test_takeover_figures_are_reported_where_takeover_is_enabled(self) -> None:
         self.assertTrue(self.call("TAKEOVER").startswith("NO takeover is off"))
         assert self.program.operator_interface is not None
-        settings = TakeoverFile((("n0",), ("n1",), ("n2",)))
+        settings = TakeoverSettings((("n0",), ("n1",), ("n2",)))
         coordinator = TakeoverCoordinator(self.program.config, settings, self.loop, "n0", 1)
         coordinator.start(self.program.dispatcher)
         self.program.operator_interface.operations.takeover_figures = coordinator.figures
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -17,7 +17,7 @@
 
 from heronstall import events, operator
 from heronstall.cli import main
-from heronstall.logs import formatter
+from heronstall.logs import create_formatter
 from tests.scenarios import BASE, RATE, SILENT
 from tests.test_net import raw_config
 
@@ -89,22 +89,22 @@
 # ------------------------------------------------------------------ the live program's settings and logs
 
 
-def read(path: Path) -> operator.Operator:
+def read(path: Path) -> operator.OperatorSettings:
     return operator.read({"HERONSTALL_SETTINGS": str(path)})
 
 
 def test_the_operators_file_is_read_as_cue_or_json_and_told_where_it_is_wrong(tmp_path: Path) -> None:
-    assert operator.read({}) == operator.Operator("plain", "info")
+    assert operator.read({}) == operator.OperatorSettings("plain", "info")
     cue, made = tmp_path / "o.cue", tmp_path / "o.json"
     cue.write_text('package operator\nlog: format: "json"\n')
-    assert read(cue) == operator.Operator("json", "info")
+    assert read(cue) == operator.OperatorSettings("json", "info")
     made.write_text(run("settings", "show", "--json", str(cue))[1])
     assert read(made) == read(cue)
     for path, text, told in (
         (cue, 'package operator\nlog: format: "xml"\n', f"{cue}:2:6: log.format"),
         (cue, "package operator\nlog: {\n", f"{cue}:3:1"),
         (made, '{"log": {"format": "xml"}}', "log.format: 'xml'"),
-        (made, '{"log": 3}', "log: a record"),
+        (made, '{"log": 3}', "log: expected a record"),
         (made, "no", "neither"),
     ):
         path.write_text(text)
@@ -164,12 +164,12 @@
     for name in ("logfmt", "json"):
         rows: list[str] = []
         handler = logging.Handler()
-        handler.emit = lambda record, name=name, rows=rows: rows.append(formatter(name).format(record))  # type: ignore[method-assign, misc]
+        handler.emit = lambda record, name=name, rows=rows: rows.append(create_formatter(name).format(record))  # type: ignore[method-assign, misc]
         log.addHandler(handler)
         try:
             raise KeyError("lost")
         except KeyError:
-            events.say(log, events.UNEXPECTED, where="a test")
+            events.log_event(log, events.UNEXPECTED, where="a test")
         log.warning("no event %d", 3)
         log.removeHandler(handler)
         assert "KeyError" in rows[0] and "a test" in rows[0] and "\n" not in rows[0]
@@ -179,7 +179,7 @@
 def test_every_event_stands_on_the_on_call_page_and_nothing_else_does() -> None:
     page = (ROOT / "docs/oncall.md").read_text().partition("## The counts")[0]
     named = set(re.findall(r"^\| `([a-z_.]+)` \|", page, re.MULTILINE))
-    assert {event.name for event in events.ALL} == named
+    assert {event.name for event in events.ALL_EVENTS} == named
     source = "".join(path.read_text() for path in (ROOT / "heronstall").rglob("*.py"))
     for name, value in vars(events).items():
         if isinstance(value, events.Event):
@@ -200,7 +200,7 @@
         assert reader.about.node == "n3" and "services" in reader.about.settings
         assert list(reader.items()) and not reader.notes.cut
     settings.write_text(json.dumps({"trace": {"dir": str(settings)}}))  # a file where a folder is wanted
-    assert "serving goes on without it" in "\n".join(lines("n3", settings))
+    assert "serving continues without it" in "\n".join(lines("n3", settings))
 
 
 def test_the_load_tool_counts_dispatchers_that_nobody_reaches(tmp_path: Path) -> None:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -202,7 +202,7 @@
         end.say(DONE % ("id-1", "id-1"))
         self.assertEqual(self.status(client), 200)
         for line in ('{"id":"id-2","state":["done"]}', '{"id":"id-2","state":"done","result":"\\ud800"}'):
-            with self.subTest(line), mock.patch.object(backend, "say") as logged:
+            with self.subTest(line), mock.patch.object(backend, "log_event") as logged:
                 client = self.ask(name="id-2" if "[" in line else "id-3")
                 end = self.dispatched()
                 end.sock.sendall(STREAM)
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -14,7 +14,7 @@
 from heronstall.__main__ import Program
 from heronstall.config import configuration
 from heronstall.net.loop import Loop
-from heronstall.operator import SnapshotFile
+from heronstall.operator import SnapshotSettings
 from heronstall.start.snapshot import UnusableSnapshot, newer_list, pack, unpack
 from tests.test_net import raw_config
 
@@ -68,7 +68,7 @@
 def program(folder: Path, known: Any) -> tuple[Program, Loop]:
     loop = Loop()
     config = configuration(raw_config(known=known))
-    return Program(config, loop, None, None, SnapshotFile(str(folder))), loop
+    return Program(config, loop, None, None, SnapshotSettings(str(folder))), loop
 
 
 def test_a_start_takes_the_snapshot_and_writes_the_next_one(tmp_path: Path) -> None:
