--- a/heronstall/cli/settings.py
+++ b/heronstall/cli/settings.py
@@ -41,9 +41,9 @@
             for p in error.problems:
                 problems.append(
                     {
-                        "file": p.place.file,
-                        "line": p.place.line,
-                        "column": p.place.column,
+                        "file": p.position.file,
+                        "line": p.position.line,
+                        "column": p.position.column,
                         "key": p.path,
                         "text": p.text,
                     }
--- a/heronstall/records/__init__.py
+++ b/heronstall/records/__init__.py
@@ -1,6 +1,6 @@
-"""Operators' files: typed records after CUE, unified with a schema; errors with their place."""
+"""Reads settings files in a subset of CUE and checks them against schemas; errors have a position."""
 
-from heronstall.records.read import RecordsError, load, loads, plain
+from heronstall.records.read import RecordsError, load, loads, to_plain
 from heronstall.records.values import Problem
 
-__all__ = ["Problem", "RecordsError", "load", "loads", "plain"]
+__all__ = ["Problem", "RecordsError", "load", "loads", "to_plain"]
--- a/heronstall/records/__main__.py
+++ b/heronstall/records/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m heronstall.records FILE`: check an operator's file, print its JSON; 2 if wrong."""
+"""`python -m heronstall.records FILE`: checks an operator's file, prints it as JSON; status 2 if invalid."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def main() -> int:
-    """Check the one file named."""
+    """Checks the file that the first argument names."""
     try:
         print(json.dumps(load(Path(sys.argv[1]), ("operator",))[1]))
     except RecordsError as error:
--- a/heronstall/records/read.py
+++ b/heronstall/records/read.py
@@ -1,4 +1,4 @@
-"""Files to plain values: evaluation, unification with a schema, defaults, and every problem found."""
+"""Evaluates files, unifies them with their schema, applies defaults and collects all problems."""
 
 from __future__ import annotations
 
@@ -9,30 +9,32 @@
 
 from lark import Token, Tree
 
-from heronstall.records.syntax import Place, SyntaxProblem, parse
+from heronstall.records.syntax import Position, SyntaxProblem, parse
 from heronstall.records.values import (
     KINDS,
-    Any_,
     Atom,
-    Choice,
+    Disjunction,
     Field,
-    ListOf,
+    ListValue,
     Problem,
-    Scalar,
+    ScalarConstraint,
     Struct,
+    Unconstrained,
     Unifier,
     Value,
     describe,
 )
 
 SCHEMAS = Path(__file__).with_name("schemas")
-DEEPEST = 60  # nested references; guards against a definition that contains itself
-LARGEST = 1 << 20  # bytes of one file
-KNOWN = ("scenario", "operator", "keeper", "release", "rollout")
+MAX_REFERENCE_DEPTH = (
+    60  # depth of nested references; stops the evaluation of a definition that contains itself
+)
+MAX_FILE_BYTES = 1 << 20  # size limit of one file
+KNOWN_PACKAGES = ("scenario", "operator", "keeper", "release", "rollout")
 
 
 class RecordsError(ValueError):
-    """A file that cannot be used; `problems` holds every fault found, the message one a line."""
+    """An invalid file; `problems` holds all problems, and the message has one line for each."""
 
     def __init__(self, problems: list[Problem]) -> None:
         super().__init__("\n".join(str(p) for p in problems))
@@ -40,245 +42,254 @@
 
 
 class _Evaluator:
-    """One file's tree to values. Names are looked up in the file first, then in the schema's definitions."""
+    """Evaluates one file's syntax tree. Names are resolved in the file first, then in the schema."""
 
-    def __init__(self, file: str, unifier: Unifier, outer: dict[str, Value]) -> None:
-        self._file, self._unifier, self._outer = file, unifier, outer
-        self._top: dict[str, list[Any]] = {}
+    def __init__(self, file: str, unifier: Unifier, schema_definitions: dict[str, Value]) -> None:
+        self._file_name, self._unifier, self._schema_definitions = file, unifier, schema_definitions
+        self._top_level: dict[str, list[Any]] = {}
         self._depth = 0
         self.definitions: dict[str, Value] = {}
 
-    def _place(self, node: Any) -> Place:
+    def _position(self, node: Any) -> Position:
         if isinstance(node, Token):
-            return Place(self._file, node.line or 1, node.column or 1)
+            return Position(self._file_name, node.line or 1, node.column or 1)
         meta = node.meta
-        return Place(self._file, getattr(meta, "line", 1), getattr(meta, "column", 1))
+        return Position(self._file_name, getattr(meta, "line", 1), getattr(meta, "column", 1))
 
-    def _problem(self, node: Any, text: str, path: str = "") -> Value:
-        self._unifier.problems.append(Problem(path, self._place(node), text))
-        return Any_(self._place(node))
+    def _add_problem(self, node: Any, text: str, path: str = "") -> Value:
+        self._unifier.problems.append(Problem(path, self._position(node), text))
+        return Unconstrained(self._position(node))
 
-    def file(self, tree: Tree[Any]) -> tuple[str | None, Struct]:
-        """The package's name and the file's own struct; definitions are kept apart."""
-        package, decls = None, []
+    def evaluate_file(self, tree: Tree[Any]) -> tuple[str | None, Struct]:
+        """Returns the package's name and the struct of the fields; stores definitions in `definitions`."""
+        package, declarations = None, []
         for child in tree.children:
             if isinstance(child, Tree) and child.data == "package":
                 package = str(child.children[0])
             elif isinstance(child, Tree):
-                decls.append(child)
-        for decl in decls:
-            if decl.data == "field":
-                label = decl.children[0]
+                declarations.append(child)
+        for declaration in declarations:
+            if declaration.data == "field":
+                label = declaration.children[0]
                 if label.data == "label":
-                    self._top.setdefault(str(label.children[0]), []).append(decl.children[-1])
-        for name, exprs in self._top.items():
+                    self._top_level.setdefault(str(label.children[0]), []).append(declaration.children[-1])
+        for name, expressions in self._top_level.items():
             if name.startswith("#"):
-                self.definitions[name] = self._close(self._all(exprs, name))
-        body = [d for d in decls if not (d.data == "field" and self._is_definition(d))]
-        return package, self._struct(body, tree, "")
+                self.definitions[name] = self._close(self._unify_all(expressions, name))
+        body = [d for d in declarations if not (d.data == "field" and self._is_definition(d))]
+        return package, self._evaluate_struct(body, tree, "")
 
-    def _is_definition(self, decl: Tree[Any]) -> bool:
-        label = decl.children[0]
+    def _is_definition(self, declaration: Tree[Any]) -> bool:
+        label = declaration.children[0]
         return label.data == "label" and str(label.children[0]).startswith("#")
 
-    def _all(self, exprs: list[Any], path: str) -> Value:
-        value = self._expr(exprs[0], path)
-        for expr in exprs[1:]:
-            value = self._unifier.unify(value, self._expr(expr, path), path)
+    def _unify_all(self, expressions: list[Any], path: str) -> Value:
+        value = self._evaluate(expressions[0], path)
+        for expression in expressions[1:]:
+            value = self._unifier.unify(value, self._evaluate(expression, path), path)
         return value
 
     def _close(self, value: Value) -> Value:
-        """A definition admits no names but its own, all the way down."""
+        """Returns the value with all its structs closed: a definition allows only the fields it declares."""
         if isinstance(value, Struct):
             fields = {n: replace(f, value=self._close(f.value)) for n, f in value.fields.items()}
             return replace(value, fields=fields, closed=value.rest is None)
-        if isinstance(value, ListOf):
+        if isinstance(value, ListValue):
             rest = self._close(value.rest) if value.rest is not None else None
             return replace(value, items=tuple(self._close(v) for v in value.items), rest=rest)
-        if isinstance(value, Choice):
+        if isinstance(value, Disjunction):
             return replace(value, options=tuple((self._close(v), d) for v, d in value.options))
         return value
 
-    def _struct(self, decls: list[Any], node: Any, path: str) -> Struct:
+    def _evaluate_struct(self, declarations: list[Any], node: Any, path: str) -> Struct:
         fields: dict[str, Field] = {}
         rest: Value | None = None
-        for decl in decls:
-            if decl.data == "rest":
-                rest = Any_(self._place(decl))
+        for declaration in declarations:
+            if declaration.data == "rest":
+                rest = Unconstrained(self._position(declaration))
                 continue
-            label, expr = decl.children[0], decl.children[-1]
-            optional = any(isinstance(c, Token) and c.type == "OPTIONAL" for c in decl.children)
+            label, expression = declaration.children[0], declaration.children[-1]
+            optional = any(isinstance(c, Token) and c.type == "OPTIONAL" for c in declaration.children)
             if label.data == "pattern_label":
-                rest = self._expr(expr, f"{path}[...]")
+                rest = self._evaluate(expression, f"{path}[...]")
                 continue
             name = str(label.children[0])
             if label.data == "string_label":
                 name = str(json.loads(name))
-            at = f"{path}.{name}" if path else name
-            value = self._expr(expr, at)
-            if isinstance(value, Atom):  # an error about a key is looked for where the key stands
-                value = replace(value, place=self._place(label))
-            old = fields.get(name)
-            if old is not None:
-                value = self._unifier.unify(old.value, value, at)
-                optional = optional and old.optional
+            field_path = f"{path}.{name}" if path else name
+            value = self._evaluate(expression, field_path)
+            if isinstance(value, Atom):  # problems with the value are reported at the position of its key
+                value = replace(value, position=self._position(label))
+            previous = fields.get(name)
+            if previous is not None:
+                value = self._unifier.unify(previous.value, value, field_path)
+                optional = optional and previous.optional
             fields[name] = Field(value, optional)
         if rest is not None:
-            for name, have in fields.items():
-                at = f"{path}.{name}" if path else name
-                fields[name] = replace(have, value=self._unifier.unify(rest, have.value, at))
-        return Struct(fields, self._place(node), False, rest)
+            for name, present in fields.items():
+                field_path = f"{path}.{name}" if path else name
+                fields[name] = replace(present, value=self._unifier.unify(rest, present.value, field_path))
+        return Struct(fields, self._position(node), False, rest)
 
-    def _expr(self, node: Any, path: str) -> Value:
-        place = self._place(node)
+    def _evaluate(self, node: Any, path: str) -> Value:
+        position = self._position(node)
         kind, children = node.data, node.children
         if kind == "field":  # `a: b: 3`
-            return self._struct([node], node, path)
+            return self._evaluate_struct([node], node, path)
         if kind in ("number", "negative"):
             text = str(children[-1]).replace("_", "")
-            figure: int | float = int(text) if text.isdecimal() else float(text)
-            return Atom(-figure if kind == "negative" else figure, place)
+            number: int | float = int(text) if text.isdecimal() else float(text)
+            return Atom(-number if kind == "negative" else number, position)
         if kind == "string":
             try:
-                return Atom(str(json.loads(str(children[0]))), place)
+                return Atom(str(json.loads(str(children[0]))), position)
             except ValueError:
-                return self._problem(node, f"{children[0]} has an escape that is none", path)
+                return self._add_problem(node, f"{children[0]} contains an invalid escape sequence", path)
         if kind in ("true", "false", "null"):
-            return Atom(None if kind == "null" else kind == "true", place)
+            return Atom(None if kind == "null" else kind == "true", position)
         if kind == "struct":
-            return self._struct(children, node, path)
+            return self._evaluate_struct(children, node, path)
         if kind == "list":
             items: list[Value] = []
             rest: Value | None = None
             for child in children:
                 if child.data == "list_rest":
-                    rest = self._expr(child.children[0], path) if child.children else Any_(place)
+                    rest = (
+                        self._evaluate(child.children[0], path) if child.children else Unconstrained(position)
+                    )
                 else:
-                    items.append(self._expr(child, f"{path}[{len(items)}]"))
-            return ListOf(tuple(items), rest, place)
+                    items.append(self._evaluate(child, f"{path}[{len(items)}]"))
+            return ListValue(tuple(items), rest, position)
         if kind == "conj":
-            value: Value = Any_(place)
+            value: Value = Unconstrained(position)
             for child in children:
-                value = self._unifier.unify(value, self._expr(child, path), path)
+                value = self._unifier.unify(value, self._evaluate(child, path), path)
             return value
         if kind == "bound":
-            limit = self._expr(children[1], path)
+            limit = self._evaluate(children[1], path)
             if not isinstance(limit, Atom) or limit.value is None:
-                return self._problem(node, f"{children[0]} wants a figure or a text", path)
-            return Scalar(None, ((str(children[0]), limit.value),), place)
+                return self._add_problem(node, f"{children[0]} requires a number or a string", path)
+            return ScalarConstraint(None, ((str(children[0]), limit.value),), position)
         if kind == "alternatives":
             options = []
             for child in children:
                 default = isinstance(child.children[0], Token)
-                options.append((self._expr(child.children[-1], path), default))
-            return Choice(tuple(options), place)
+                options.append((self._evaluate(child.children[-1], path), default))
+            return Disjunction(tuple(options), position)
         if kind == "only_default":
-            return self._expr(children[-1], path)
-        return self._reference(node, path)
+            return self._evaluate(children[-1], path)
+        return self._resolve_reference(node, path)
 
-    def _reference(self, node: Tree[Any], path: str) -> Value:
+    def _resolve_reference(self, node: Tree[Any], path: str) -> Value:
         names = [str(c) for c in node.children]
         first = names[0]
         if len(names) == 1 and first in KINDS:
-            return Scalar(first, (), self._place(node))
+            return ScalarConstraint(first, (), self._position(node))
         if len(names) == 1 and first == "_":
-            return Any_(self._place(node))
+            return Unconstrained(self._position(node))
         self._depth += 1
         try:
-            if self._depth > DEEPEST:
-                return self._problem(node, f"{'.'.join(names)} refers to itself", path)
-            if first in self._top:
-                value = self._all(self._top[first], first)
+            if self._depth > MAX_REFERENCE_DEPTH:
+                return self._add_problem(node, f"{'.'.join(names)} refers to itself", path)
+            if first in self._top_level:
+                value = self._unify_all(self._top_level[first], first)
                 value = self._close(value) if first.startswith("#") else value
-            elif first in self._outer:
-                value = self._outer[first]
+            elif first in self._schema_definitions:
+                value = self._schema_definitions[first]
             else:
-                return self._problem(node, f"nothing is called {first}", path)
+                return self._add_problem(node, f"undefined name {first}", path)
         finally:
             self._depth -= 1
         for name in names[1:]:
             if not isinstance(value, Struct) or name not in value.fields:
-                return self._problem(node, f"{'.'.join(names)}: there is no {name}", path)
+                return self._add_problem(node, f"{'.'.join(names)}: no field {name}", path)
             value = value.fields[name].value
         return value
 
 
-def plain(value: Value, unifier: Unifier, path: str = "") -> Any:
-    """The plain value with defaults taken; notes a problem for whatever is not settled."""
+def to_plain(value: Value, unifier: Unifier, path: str = "") -> Any:
+    """Returns the plain value with defaults applied; records a problem for each value not concrete."""
     if isinstance(value, Atom):
         return value.value
     if isinstance(value, Struct):
         return {
-            name: plain(f.value, unifier, f"{path}.{name}" if path else name)
+            name: to_plain(f.value, unifier, f"{path}.{name}" if path else name)
             for name, f in value.fields.items()
             if not f.optional
         }
-    if isinstance(value, ListOf):
-        return [plain(v, unifier, f"{path}[{n}]") for n, v in enumerate(value.items)]
-    if isinstance(value, Choice):
+    if isinstance(value, ListValue):
+        return [to_plain(v, unifier, f"{path}[{n}]") for n, v in enumerate(value.items)]
+    if isinstance(value, Disjunction):
         defaults = [v for v, default in value.options if default]
         if defaults:
-            return plain(defaults[0], unifier, path)
-    if isinstance(value, Any_):
+            return to_plain(defaults[0], unifier, path)
+    if isinstance(value, Unconstrained):
         return None
-    unifier.problems.append(Problem(path, value.place, f"missing: {describe(value)} is wanted"))
+    unifier.problems.append(Problem(path, value.position, f"missing value, expected {describe(value)}"))
     return None
 
 
-def _schema(name: str) -> tuple[dict[str, Value], Value]:
+def _load_schema(name: str) -> tuple[dict[str, Value], Value]:
     path = SCHEMAS / f"{name}.cue"
     unifier = Unifier()
     evaluator = _Evaluator(f"schema {name}", unifier, {})
-    evaluator.file(parse(path.read_text(encoding="utf-8"), f"schema {name}"))
-    if unifier.problems:  # a fault of ours
+    evaluator.evaluate_file(parse(path.read_text(encoding="utf-8"), f"schema {name}"))
+    if unifier.problems:  # an error in the schema itself
         raise RecordsError(unifier.problems)
     return evaluator.definitions, evaluator.definitions["#File"]
 
 
-def loads(text: str, file: str, kinds: tuple[str, ...] = KNOWN) -> tuple[str, dict[str, Any]]:
-    """Check `text` against the schema that its `package` names; the schema's name and the plain record.
+def loads(text: str, file: str, packages: tuple[str, ...] = KNOWN_PACKAGES) -> tuple[str, dict[str, Any]]:
+    """Checks `text` against the schema that its `package` names; returns its name and the plain record.
 
-    Raises RecordsError with every problem found; each has file, line, column and path.
+    Raises RecordsError with all problems; each has a file, line, column and path.
     """
     try:
         tree = parse(text, file)
-    except SyntaxProblem as wrong:
-        raise RecordsError([Problem("", wrong.place, wrong.text)]) from None
-    packages = [c for c in tree.children if isinstance(c, Tree) and c.data == "package"]
-    package = str(packages[0].children[0]) if packages else None
-    if package not in kinds:
-        told = f"package {package}" if package else "no package"
-        wanted = " or ".join(f"package {k}" for k in kinds)
-        raise RecordsError([Problem("", Place(file, 1, 1), f"{told} where {wanted} is wanted")])
+    except SyntaxProblem as error:
+        raise RecordsError([Problem("", error.position, error.text)]) from None
+    package_nodes = [c for c in tree.children if isinstance(c, Tree) and c.data == "package"]
+    package = str(package_nodes[0].children[0]) if package_nodes else None
+    if package not in packages:
+        found_package = f"package {package}" if package else "no package"
+        expected = " or ".join(f"package {k}" for k in packages)
+        raise RecordsError([Problem("", Position(file, 1, 1), f"{found_package}, expected {expected}")])
     unifier = Unifier()
-    definitions, top = _schema(package)
-    _, given = _Evaluator(file, unifier, definitions).file(tree)
-    whole = unifier.unify(top, given)
+    definitions, top = _load_schema(package)
+    _, document = _Evaluator(file, unifier, definitions).evaluate_file(tree)
+    unified = unifier.unify(top, document)
     if unifier.problems:
-        raise RecordsError(_once(unifier.problems))
-    record = plain(whole, unifier)
+        raise RecordsError(_without_duplicates(unifier.problems))
+    record = to_plain(unified, unifier)
     if unifier.problems:
-        # What is missing has no place of its own in the file: the first line stands for it.
-        at = Place(file, 1, 1)
-        raise RecordsError([replace(p, place=at, other=p.place) for p in _once(unifier.problems)])
+        # A missing value has no position in the file, so the problem is reported at its first line.
+        position = Position(file, 1, 1)
+        raise RecordsError(
+            [
+                replace(p, position=position, declared_at=p.position)
+                for p in _without_duplicates(unifier.problems)
+            ]
+        )
     assert isinstance(record, dict)
     return package, record
 
 
-def load(path: Path, kinds: tuple[str, ...] = KNOWN) -> tuple[str, dict[str, Any]]:
-    """`loads` of a file. Raises RecordsError, also for a file that cannot be read."""
-    at = Place(str(path), 1, 1)
+def load(path: Path, packages: tuple[str, ...] = KNOWN_PACKAGES) -> tuple[str, dict[str, Any]]:
+    """Reads and checks a file like `loads`. Raises RecordsError also if the file cannot be read."""
+    position = Position(str(path), 1, 1)
     try:
-        raw = path.read_bytes()
-        if len(raw) > LARGEST:
-            raise RecordsError([Problem("", at, f"{len(raw)} bytes where at most {LARGEST} are taken")])
-        text = raw.decode("utf-8")
+        data = path.read_bytes()
+        if len(data) > MAX_FILE_BYTES:
+            raise RecordsError(
+                [Problem("", position, f"{len(data)} bytes, at most {MAX_FILE_BYTES} are allowed")]
+            )
+        text = data.decode("utf-8")
     except OSError as error:
-        raise RecordsError([Problem("", at, f"cannot be read: {error.strerror}")]) from None
+        raise RecordsError([Problem("", position, f"cannot be read: {error.strerror}")]) from None
     except UnicodeDecodeError as error:
-        raise RecordsError([Problem("", at, f"not UTF-8 from byte {error.start} on")]) from None
-    return loads(text, str(path), kinds)
+        raise RecordsError([Problem("", position, f"invalid UTF-8 at byte {error.start}")]) from None
+    return loads(text, str(path), packages)
 
 
-def _once(problems: list[Problem]) -> list[Problem]:
+def _without_duplicates(problems: list[Problem]) -> list[Problem]:
     return list(dict.fromkeys(problems))
--- a/heronstall/records/schemas/experiment.cue
+++ b/heronstall/records/schemas/experiment.cue
@@ -1,4 +1,5 @@
-// An experiment: constants of the decision module, overridden in the model alone. Never read by the live program.
+// An experiment: constants of the decision module that are overridden in the simulation model only. The dispatcher
+// never reads it.
 #File: #Experiment
 
 #Experiment: {
--- a/heronstall/records/schemas/operator.cue
+++ b/heronstall/records/schemas/operator.cue
@@ -1,4 +1,5 @@
-// The operator's own file: what the platform's JSON does not say. Everything has a default; all that is new is off.
+// The operator's file: settings that the platform's JSON does not contain. Every setting has a default; optional
+// features are off by default.
 #File: #Operator
 
 #Operator: {
@@ -15,42 +16,42 @@
 	level:  *"info" | "debug" | "warning" | "error"
 }
 
-// What the decisions were told and said, on disk; for installations with one. docs/trace-format.md
+// Recordings of the decision module's inputs and outputs on disk, if the installation has one. docs/trace-format.md
 #TraceFiles: {
-	dir:      *"" | string               // a folder; empty: no trace
+	dir:      *"" | string               // directory; empty: no trace
 	rotate_s: *3600 | number & >=1       // seconds that one file covers
-	keep:     *24 | int & >=1            // files kept of one dispatcher
+	keep:     *24 | int & >=1            // number of files retained per dispatcher
 }
 
-// Dispatchers that talk with each other, where an installation lets them. A closed network is assumed. docs/peers.md
+// Communication between dispatchers, if the installation allows it; a closed network is assumed. docs/peers.md
 #Peers: {
-	port:      *0 | int & >=0 & <=65534  // UDP and TCP, here or one above; 0: no talk
-	host:      *"" | string              // where this one hears the others; empty: the address that clients are heard on
-	advertise: *"" | string              // "host:port" at which the others reach it, where something stands between
-	join:      *[] | [...string]         // "host:port" of some others, asked at the start
-	cluster:   *"" | string              // who says another name is passed over
-	endpoints: *"own" | "same"           // whether the list service tells all dispatchers the same addresses of servers
-	learn:     *true | bool              // whether a new process asks running ones what they have seen of the servers
+	port:      *0 | int & >=0 & <=65534  // UDP and TCP port, or the next one if it is taken; 0: no communication
+	host:      *"" | string              // listen address for peers; empty: the address on which clients are accepted
+	advertise: *"" | string              // "host:port" at which peers reach it, if that differs from its listen address
+	join:      *[] | [...string]         // "host:port" of some peers, contacted at the start
+	cluster:   *"" | string              // cluster name; messages with another name are ignored
+	endpoints: *"own" | "same"           // whether discovery gives all dispatchers the same server addresses
+	learn:     *true | bool              // whether a new process requests the server observations of running ones
 }
 
-// Jobs that survive the loss of their dispatcher; wants peers. docs/takeover.md
+// Jobs that survive the loss of their dispatcher; requires peers. docs/takeover.md
 #Takeover: {
-	witnesses: *[] | [...[...string]]    // 3, 5 or 7 groups of dispatchers' names, apart by zone or machine; the same file for all
-	classes:   *[] | [...string]         // those that are protected; empty: all
-	identity:  *"Idempotency-Key" | string // the header that says which job a request is
-	wait_ms:   *100 | number & >=1        // for a majority's word, before a job is served without it
-	pace:      *200 | number & >=1       // jobs a second that one dispatcher takes over
-	room_mb:   *16 | number & >=1        // kept for others
+	witnesses: *[] | [...[...string]]    // 3, 5 or 7 groups of dispatcher names, separated by zone or machine; equal in all files
+	classes:   *[] | [...string]         // protected classes; empty: all
+	identity:  *"Idempotency-Key" | string // the header that identifies the job of a request
+	wait_ms:   *100 | number & >=1        // wait for a majority of the witnesses before a job is served unprotected
+	pace:      *200 | number & >=1       // takeovers per second of one dispatcher
+	room_mb:   *16 | number & >=1        // memory for the jobs of other dispatchers
 	body_kb:   *16 | number & >=0        // a job with a larger body is not protected
 }
 
-// The server list, kept on disk for the next start; for installations with one. docs/settings.md
+// The server list, stored on disk for the next start, if the installation has one. docs/settings.md
 #Snapshot: {
-	dir:    *"" | string                 // a folder; empty: none is kept
-	most_h: *24 | number & >0            // an older one is ignored
+	dir:    *"" | string                 // directory; empty: no snapshot
+	most_h: *24 | number & >0            // an older snapshot is ignored
 }
 
-// What a change of the program is judged by, told at the door (DETAIL). docs/rollout.md
+// Detailed metrics that a rollout compares, served by the admin endpoint (DETAIL). docs/rollout.md
 #Figures: {
-	detail: *false | bool                // wants the extra `figures`
+	detail: *false | bool                // requires the extra `figures`
 }
--- a/heronstall/records/schemas/scenario.cue
+++ b/heronstall/records/schemas/scenario.cue
@@ -1,5 +1,5 @@
-// A scenario: a fleet, its traffic and what goes wrong. Read by `heronstall model` and `heronstall lab`.
-// A figure may be a range [low, high]; each seed then draws its own.
+// A scenario: a fleet, its traffic and its faults. Read by `heronstall model` and `heronstall lab`.
+// A figure may be a range [low, high], from which each seed draws a value.
 #Figure: number & >=0 | [number & >=0, number & >=0]
 #Part:   number & >=0 & <=1
 
@@ -8,8 +8,8 @@
 #Scenario: {
 	name:    string & =~"^[a-z0-9-]+$"
 	about:   *"" | string
-	seconds: *30 | number & >0 & <=3600     // of arrivals
-	warm_s:  *1 | number & >=0 & <=600      // arrivals before it are answered but not counted
+	seconds: *30 | number & >0 & <=3600     // duration of the arrivals
+	warm_s:  *1 | number & >=0 & <=600      // warm-up; arrivals in it are answered but not counted
 
 	zones: [string]: #Zone
 	links: #Links
@@ -25,45 +25,45 @@
 	goal:     #Goal
 	prices:   #Prices
 	troubles: *[] | [...#Trouble]
-	faults:   *[] | [...#Fault]      // between processes and to them; on loopback alone
+	faults:   *[] | [...#Fault]      // faults of links and processes; on loopback only
 }
 
 #Zone: {
 	dispatchers: int & >=0 & <=1000
 	servers:     int & >=0 & <=10000
-	traffic:     *1 | number & >=0       // its part of all traffic, as a weight
+	traffic:     *1 | number & >=0       // its share of all traffic, as a weight
 }
 
 #Links: {
-	within_ms:  *0.3 | #Figure           // one way, inside a zone
-	between_ms: *[10, 20] | #Figure      // one way, drawn for each pair of zones
-	jitter:     *0.1 | #Part             // mean of an exponential addition, as a part of the way
+	within_ms:  *0.3 | #Figure           // one-way latency within a zone
+	between_ms: *[10, 20] | #Figure      // one-way latency, drawn for each pair of zones
+	jitter:     *0.1 | #Part             // mean of an exponential addition, as a fraction of the latency
 }
 
 #Kind: {
 	share:        *1 | number & >0
 	cores:        int & >=1 & <=256
 	slots:        int & >=1 & <=1024
-	speed:        *1 | #Figure           // of a core; work is counted in ms at speed 1
+	speed:        *1 | #Figure           // speed of a core; work is given in ms at speed 1
 	queue:        *20 | int & >=0 & <=100000
-	crowding:     *0.03 | #Part          // efficiency lost for each job beyond the cores
-	errors:       *0 | #Part             // of jobs, that end in an error
-	handshake_ms: *0.5 | #Figure         // work of a new connection
-	probe_ms:     *0.3 | #Figure         // work of a probe
+	crowding:     *0.03 | #Part          // efficiency lost for each job beyond the number of cores
+	errors:       *0 | #Part             // fraction of jobs that end in an error
+	handshake_ms: *0.5 | #Figure         // work to accept a new connection
+	probe_ms:     *0.3 | #Figure         // work to answer a probe
 	connections:  *512 | int & >=1
-	connects_per_s: *0 | int & >=0       // new connections taken in any second, the rest are closed at once; 0: any number
-	idle_s:       *5 | number & >0       // idle connections are closed after it at the latest
-	cold_s:       *8.6 | number & >=0    // from a start until it is warm
+	connects_per_s: *0 | int & >=0       // new connections accepted in any second, others are closed at once; 0: unlimited
+	idle_s:       *5 | number & >0       // longest time an idle connection is kept open
+	cold_s:       *8.6 | number & >=0    // time from the start until the server is warm
 	cold_from:    *0.31 | number & >0 & <=1
-	drops:        *true | bool           // waiting work whose sender has gone is dropped
-	hands_back:   *true | bool           // a draining server hands back what has not started
+	drops:        *true | bool           // queued work of a disconnected client is dropped
+	hands_back:   *true | bool           // a draining server returns jobs that have not started
 }
 
 #Discovery: {
-	delay_s: *[0.5, 3] | #Figure         // from a change to its telling, drawn for each dispatcher
-	blind_s: *20 | #Figure               // until it notices a machine that went without a word
-	lists_per_s: *0 | number & >=0       // that it can give, one after the other; 0: any number. On loopback alone
-	places:  *8 | int & >=1              // askers that wait for one; the others are turned away
+	delay_s: *[0.5, 3] | #Figure         // from a change until it is published, drawn for each dispatcher
+	blind_s: *20 | #Figure               // until it detects a machine that failed silently
+	lists_per_s: *0 | number & >=0       // rate at which it serves lists, one after the other; 0: unlimited. On loopback only
+	places:  *8 | int & >=1              // requests that may wait for a list; further ones are rejected
 }
 
 #Reports: {
@@ -71,16 +71,16 @@
 	every_ms: *[640, 1500] | #Figure
 	noise:    *0.05 | #Part
 	probes:   *true | bool
-	notes:    *true | bool               // servers tell of starts and progress
+	notes:    *true | bool               // servers report starts and progress
 	progress_s: *1 | number & >0
 }
 
 #Clients: {
 	retries:    *2 | int & >=0 & <=10
-	wait_s:     *[0.1, 0.4] | #Figure    // before the first retry; doubled for each further one
-	honours:    *true | bool             // waits out Retry-After
-	front_s:    *2 | #Figure             // until the front notices a dispatcher that died
-	skew:       *0.6 | number & >=0 & <=4 // sigma of the dispatchers' parts of their zone's traffic
+	wait_s:     *[0.1, 0.4] | #Figure    // delay before the first retry; doubled for each further one
+	honours:    *true | bool             // respects Retry-After
+	front_s:    *2 | #Figure             // until the front end detects a dispatcher that crashed
+	skew:       *0.6 | number & >=0 & <=4 // sigma of the dispatchers' shares of their zone's traffic
 }
 
 #Class: {
@@ -88,13 +88,13 @@
 	effect:     "safe" | "keyed" | "unsafe"
 	group:      *"zone" | "all" | "cell"
 	aim_ms:     number & >0
-	stretch:    *2.5 | number & >=0      // own work so many times is added to the aim
+	stretch:    *2.5 | number & >=0      // this multiple of the job's work is added to aim_ms
 	deadline_s: number & >0 & <=600
 	worth:      *1 | number & >0
 	priority:   *0 | int
-	window_s:   *10 | number & >0        // in which repeats of a keyed job are dropped
+	window_s:   *10 | number & >0        // window in which repeats of a keyed job are dropped
 	work:       #Work
-	hint:       *0.3 | number & >=0      // sigma of the cost that clients say; rough
+	hint:       *0.3 | number & >=0      // sigma of the error of the cost hints that clients send
 }
 
 #Work: {kind: "fixed", mean_ms: #Figure} |
@@ -102,8 +102,8 @@
 	{kind: "pareto", mean_ms: #Figure, alpha: *2.2 | number & >1, most: *20 | number & >1}
 
 #Tenant: {
-	share:   number & >0 & <=1           // of what the fleet can do
-	traffic: *0 | number & >=0           // its part of the traffic; 0: as its share
+	share:   number & >0 & <=1           // fraction of the fleet's capacity
+	traffic: *0 | number & >=0           // its share of the traffic; 0: equal to `share`
 }
 
 #Arrivals: {
@@ -147,7 +147,7 @@
 	probe:     *0.002 | number & >=0
 }
 
-// Servers are picked by a part of them, drawn by the seed, or by zone.
+// The affected servers are a fraction, drawn by the seed, or those of a zone.
 #Trouble: #Silent | #Vanish | #Kill | #Release | #ColdFleet | #Slow | #LateReports | #HeavyTail | #ZoneCut |
 	#DispatcherCrash | #DispatcherRestart | #Resets | #Stale | #DiscoverySilent
 
@@ -169,8 +169,9 @@
 #Stale:             {kind: "stale", at_s: #When.at_s, for_s: #When.for_s, after_s: number & >0}
 #DiscoverySilent:   {kind: "discovery-silent", at_s: #When.at_s, for_s: #When.for_s}
 
-// A fault on a link ("who>whom", * for any: "controller>k0", "n1>s3", "n*>discovery", "clients>n2") or of a process
-// ("n1", "k0", "controller"), at a moment or when something passes; docs/lab.md. One that never took effect fails the run.
+// A fault of a link ("from>to", * matches any text: "controller>k0", "n1>s3", "n*>discovery", "clients>n2") or of a
+// process ("n1", "k0", "controller"), at a time or when a message passes a link; docs/lab.md. The run fails if a fault
+// never takes effect.
 #Fault: {
 	link?:    string & =~">"
 	process?: string
@@ -179,15 +180,15 @@
 	way:      *"both" | "there" | "back"
 	at_s?:    number & >=0
 	when?:    #Passing
-	for_s:    *0 | number & >=0          // 0: to the end of the run
-	size:     *0 | number & >=0          // ms of delay, bytes a second, part of chunks, share of a core
+	for_s:    *0 | number & >=0          // 0: until the end of the run
+	size:     *0 | number & >=0          // ms of delay, bytes per second, fraction of chunks, share of a core
 	jitter_ms: *0 | number & >=0
 }
 
 #Passing: {
 	link: string & =~">"
 	way:  *"there" | "back"
-	says: *"" | string                   // only messages that hold this
+	says: *"" | string                   // only messages that contain this text
 	unit: *"messages" | "bytes"
 	nth:  *1 | int & >=1
 }
--- a/heronstall/records/syntax.py
+++ b/heronstall/records/syntax.py
@@ -1,4 +1,4 @@
-"""Text to a syntax tree: the lexer's unseen commas, and errors that say what was wanted where."""
+"""Parses text into a syntax tree: inserts implicit commas and reports syntax errors with their position."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from lark import Lark, Token, Tree
 from lark.exceptions import UnexpectedCharacters, UnexpectedEOF, UnexpectedInput, UnexpectedToken
 
-# Tokens after which a line's end counts as a comma, as in CUE.
-_ENDS = frozenset(
+# Tokens after which the end of a line counts as a comma, as in CUE.
+_LINE_END_COMMA_TOKENS = frozenset(
     ("IDENT", "DEFINITION", "STRING", "NUMBER", "TRUE", "FALSE", "NULL", "RBRACE", "RSQB", "RPAR")
 )
-_SAID = {
+_TOKEN_DESCRIPTIONS = {
     "IDENT": "a name",
     "DEFINITION": "a definition (#Name)",
-    "STRING": "a text in quotes",
+    "STRING": "a string in quotes",
     "NUMBER": "a number",
     "COLON": "':'",
     "COMMA": "',' or a new line",
@@ -28,11 +28,11 @@
     "LSQB": "'['",
     "$END": "the end of the file",
 }
-_LISTED = 6  # expected tokens named in a message, at the most
+_MAX_LISTED_TOKENS = 6  # maximum number of expected tokens that an error message names
 
 
-class Place(NamedTuple):
-    """Where something stands: file name, line and column, both from 1."""
+class Position(NamedTuple):
+    """A position in a source file; line and column are counted from 1."""
 
     file: str
     line: int
@@ -43,60 +43,64 @@
 
 
 class SyntaxProblem(Exception):
-    """The text is not of the grammar."""
+    """The text does not match the grammar."""
 
-    def __init__(self, place: Place, text: str) -> None:
-        super().__init__(f"{place}: {text}")
-        self.place, self.text = place, text
+    def __init__(self, position: Position, text: str) -> None:
+        super().__init__(f"{position}: {text}")
+        self.position, self.text = position, text
 
 
-class _Commas:
-    """Turns line ends into commas or drops them; lark calls `process` between lexer and parser."""
+class _CommaInserter:
+    """Replaces line ends by commas or drops them; lark calls `process` between the lexer and the parser."""
 
     always_accept = ("NEWLINE",)
 
     def process(self, stream: Iterator[Token]) -> Iterator[Token]:
-        """The tokens, less line ends, plus unseen commas."""
-        last: Token | None = None
+        """Yields the tokens without line ends and with implicit commas."""
+        previous: Token | None = None
         for token in stream:
             if token.type == "NEWLINE":
-                if last is not None and (last.type in _ENDS or last.value == "..."):
+                if previous is not None and (
+                    previous.type in _LINE_END_COMMA_TOKENS or previous.value == "..."
+                ):
                     yield Token.new_borrow_pos("COMMA", ",", token)
-                last = None
+                previous = None
             else:
-                last = token
+                previous = token
                 yield token
 
 
 @lru_cache(maxsize=1)
 def _parser() -> Lark:
     grammar = Path(__file__).with_name("grammar.lark").read_text(encoding="utf-8")
-    return Lark(grammar, parser="lalr", propagate_positions=True, maybe_placeholders=False, postlex=_Commas())
+    return Lark(
+        grammar, parser="lalr", propagate_positions=True, maybe_placeholders=False, postlex=_CommaInserter()
+    )
 
 
-def _wanted(names: set[str]) -> str:
-    said = sorted({_SAID[n] for n in names if n in _SAID})
-    return ", ".join(said[:_LISTED]) or "something else"
+def _describe_expected(names: set[str]) -> str:
+    descriptions = sorted({_TOKEN_DESCRIPTIONS[n] for n in names if n in _TOKEN_DESCRIPTIONS})
+    return ", ".join(descriptions[:_MAX_LISTED_TOKENS]) or "something else"
 
 
 def parse(text: str, file: str) -> Tree[Any]:
-    """The syntax tree of `text`. Raises SyntaxProblem with the place of the first fault."""
+    """Returns the syntax tree of `text`. Raises SyntaxProblem with the position of the first error."""
     try:
         return _parser().parse(text)
     except UnexpectedToken as error:
-        place = Place(file, max(1, error.line), max(1, error.column))
-        wanted = _wanted(set(error.accepts or error.expected))
+        position = Position(file, max(1, error.line), max(1, error.column))
+        expected = _describe_expected(set(error.accepts or error.expected))
         found = "the end of the file" if error.token.type == "$END" else repr(str(error.token))
         if error.token.type == "$END":
-            place = Place(file, text.count("\n") + 1, len(text) - text.rfind("\n"))
-        raise SyntaxProblem(place, f"found {found} where {wanted} is wanted") from None
+            position = Position(file, text.count("\n") + 1, len(text) - text.rfind("\n"))
+        raise SyntaxProblem(position, f"found {found}, expected {expected}") from None
     except UnexpectedCharacters as error:
         line = text.splitlines()[error.line - 1] if error.line <= len(text.splitlines()) else ""
         found = line[error.column - 1 : error.column]
-        told = "a text that its line does not close" if found == '"' else f"the character {found!r}"
-        raise SyntaxProblem(Place(file, error.line, error.column), f"{told} cannot stand here") from None
+        description = "unterminated string" if found == '"' else f"unexpected character {found!r}"
+        raise SyntaxProblem(Position(file, error.line, error.column), f"{description}") from None
     except UnexpectedEOF:
-        place = Place(file, text.count("\n") + 1, 1)
-        raise SyntaxProblem(place, "the text ends in the middle of something") from None
+        position = Position(file, text.count("\n") + 1, 1)
+        raise SyntaxProblem(position, "unexpected end of the file") from None
     except UnexpectedInput as error:
-        raise SyntaxProblem(Place(file, error.line, error.column), "cannot be read here") from None
+        raise SyntaxProblem(Position(file, error.line, error.column), "syntax error") from None
--- a/heronstall/records/values.py
+++ b/heronstall/records/values.py
@@ -1,7 +1,7 @@
-"""The lattice: values, constraints and their unification.
+"""The value lattice: values, constraints and their unification.
 
-Everything from "any" down to a single atom is a `Value`; `unify` gives the greatest value that both sides
-allow, or problems that name the path and both places. No file is read here.
+Everything from "any" down to a single atom is a `Value`. `unify` returns the greatest value that both sides
+allow, or reports problems that name the path and both positions. This module reads no files.
 """
 
 from __future__ import annotations
@@ -10,55 +10,55 @@
 from dataclasses import dataclass, field, replace
 from typing import Union
 
-from heronstall.records.syntax import Place
+from heronstall.records.syntax import Position
 
-Plain = Union[None, bool, int, float, str]
+PlainValue = Union[None, bool, int, float, str]
 KINDS = ("null", "bool", "int", "number", "string")
 
 
 @dataclass(frozen=True)
 class Problem:
-    """Two sides that do not go together, or a field that is missing."""
+    """A conflict between two values, or a missing field."""
 
     path: str
-    place: Place
+    position: Position
     text: str
-    other: Place | None = None
-    found: str = ""  # of two sides that do not go together: what was given, and what would have done
-    wanted: str = ""
+    declared_at: Position | None = None
+    found: str = ""  # of a conflict: descriptions of the given value and of the constraint
+    expected: str = ""
 
     def __str__(self) -> str:
-        beside = f" (declared at {self.other})" if self.other is not None else ""
-        return f"{self.place}: {self.path or 'file'}: {self.text}{beside}"
+        declared = f" (declared at {self.declared_at})" if self.declared_at is not None else ""
+        return f"{self.position}: {self.path or 'file'}: {self.text}{declared}"
 
 
 @dataclass(frozen=True)
-class Any_:
-    """No constraint at all."""
+class Unconstrained:
+    """A value without any constraint."""
 
-    place: Place
+    position: Position
 
 
 @dataclass(frozen=True)
 class Atom:
-    """One plain value."""
+    """A single concrete value."""
 
-    value: Plain
-    place: Place
+    value: PlainValue
+    position: Position
 
 
 @dataclass(frozen=True)
-class Scalar:
-    """A kind of plain value with bounds (operator, figure or text)."""
+class ScalarConstraint:
+    """A kind of plain value with bounds (an operator with a number or a string)."""
 
     kind: str | None
-    bounds: tuple[tuple[str, Plain], ...]
-    place: Place
+    bounds: tuple[tuple[str, PlainValue], ...]
+    position: Position
 
 
 @dataclass(frozen=True)
 class Field:
-    """A struct's field; `optional` fields constrain a value only where it is given."""
+    """A field of a struct; an `optional` field constrains a value only where one is given."""
 
     value: Value
     optional: bool = False
@@ -66,36 +66,36 @@
 
 @dataclass(frozen=True)
 class Struct:
-    """Named fields. `rest` constrains further names (None: none may come if `closed`)."""
+    """Named fields. `rest` constrains further fields; a closed struct without `rest` allows none."""
 
     fields: dict[str, Field] = field(default_factory=dict)
-    place: Place = Place("", 0, 0)
+    position: Position = Position("", 0, 0)
     closed: bool = False
     rest: Value | None = None
 
 
 @dataclass(frozen=True)
-class ListOf:
-    """A list: its first items, and what further ones must be (None: there are none)."""
+class ListValue:
+    """A list: its first items and the constraint on further items (None: no further items)."""
 
     items: tuple[Value, ...]
     rest: Value | None
-    place: Place
+    position: Position
 
 
 @dataclass(frozen=True)
-class Choice:
-    """Alternatives, each with whether it is a default."""
+class Disjunction:
+    """Alternatives; the flag of each says whether it is a default."""
 
     options: tuple[tuple[Value, bool], ...]
-    place: Place
+    position: Position
 
 
-Value = Union[Any_, Atom, Scalar, Struct, ListOf, Choice]
+Value = Union[Unconstrained, Atom, ScalarConstraint, Struct, ListValue, Disjunction]
 
 
-def kind_of(value: Plain) -> str:
-    """The kind of a plain value; whole numbers are `int`."""
+def kind_of(value: PlainValue) -> str:
+    """Returns the kind of a plain value; integers are `int`."""
     if value is None:
         return "null"
     if isinstance(value, bool):
@@ -106,7 +106,7 @@
 
 
 def describe(value: Value) -> str:
-    """What a value or constraint asks for, in a few words."""
+    """Returns a short description of a value or constraint for messages."""
     if isinstance(value, Atom):
         return (
             "null"
@@ -117,23 +117,28 @@
                 else repr(value.value).replace("'", '"')
             )
         )
-    if isinstance(value, Scalar):
-        words = {"int": "a whole number", "number": "a number", "string": "a text", "bool": "true or false"}
-        said = [words.get(value.kind or "", value.kind or "")] if value.kind else []
-        said += [f"{op}{figure!r}".replace("'", '"') for op, figure in value.bounds]
-        return " ".join(said)
-    if isinstance(value, Choice):
+    if isinstance(value, ScalarConstraint):
+        kind_names = {
+            "int": "an integer",
+            "number": "a number",
+            "string": "a string",
+            "bool": "true or false",
+        }
+        parts = [kind_names.get(value.kind or "", value.kind or "")] if value.kind else []
+        parts += [f"{op}{figure!r}".replace("'", '"') for op, figure in value.bounds]
+        return " ".join(parts)
+    if isinstance(value, Disjunction):
         return " or ".join(dict.fromkeys(describe(option) for option, _ in value.options))
     if isinstance(value, Struct):
-        return "a record {...}"
-    if isinstance(value, ListOf):
+        return "a struct {...}"
+    if isinstance(value, ListValue):
         return (
             f"a list of {describe(value.rest)}" if value.rest is not None else f"a list of {len(value.items)}"
         )
     return "anything"
 
 
-def _holds(value: Plain, op: str, limit: Plain) -> bool:
+def _satisfies_bound(value: PlainValue, op: str, limit: PlainValue) -> bool:
     if op == "!=":
         return value != limit
     if op == "=~":
@@ -144,89 +149,94 @@
         return False
     a, b = (value, limit) if isinstance(value, str) else (float(value), float(limit))
     if op == ">=":
-        return a >= b  # type: ignore[operator]  # both are texts or both are figures here
+        return a >= b  # type: ignore[operator]  # both are strings or both are numbers here
     if op == "<=":
         return a <= b  # type: ignore[operator]
     return a > b if op == ">" else a < b  # type: ignore[operator]
 
 
-def _alike(a: Plain, b: Plain) -> bool:
-    """Whether equal values are the same: true and 1 are not."""
+def _same_type(a: PlainValue, b: PlainValue) -> bool:
+    """Returns whether two equal values are the same in CUE, where true and 1 differ."""
     return isinstance(a, bool) == isinstance(b, bool)
 
 
-def _fits(atom: Plain, scalar: Scalar) -> bool:
+def _satisfies(atom: PlainValue, scalar: ScalarConstraint) -> bool:
     kind = kind_of(atom)
     if scalar.kind is not None and kind != scalar.kind and not (scalar.kind == "number" and kind == "int"):
         return False
-    return all(_holds(atom, op, limit) for op, limit in scalar.bounds)
+    return all(_satisfies_bound(atom, op, limit) for op, limit in scalar.bounds)
 
 
 class Unifier:
-    """Unifies, and gathers every problem met instead of stopping at the first."""
+    """Unifies values and collects all problems instead of stopping at the first."""
 
     def __init__(self) -> None:
         self.problems: list[Problem] = []
 
     def unify(self, a: Value, b: Value, path: str = "") -> Value:
-        """What both allow. Where there is nothing, a problem is noted and `b` returned."""
-        if isinstance(a, Any_):
+        """Returns the value that both sides allow. If there is none, records a problem and returns `b`."""
+        if isinstance(a, Unconstrained):
             return b
-        if isinstance(b, Any_):
+        if isinstance(b, Unconstrained):
             return a
-        if isinstance(a, Choice) or isinstance(b, Choice):
-            return self._choices(a, b, path)
+        if isinstance(a, Disjunction) or isinstance(b, Disjunction):
+            return self._unify_disjunctions(a, b, path)
         if isinstance(a, Struct) and isinstance(b, Struct):
-            return self._structs(a, b, path)
-        if isinstance(a, ListOf) and isinstance(b, ListOf):
-            return self._lists(a, b, path)
-        if isinstance(a, Scalar) and isinstance(b, Scalar):
+            return self._unify_structs(a, b, path)
+        if isinstance(a, ListValue) and isinstance(b, ListValue):
+            return self._unify_lists(a, b, path)
+        if isinstance(a, ScalarConstraint) and isinstance(b, ScalarConstraint):
             kind = a.kind if b.kind is None or b.kind == "number" else b.kind
             if a.kind is None or a.kind == b.kind or {a.kind, b.kind} == {"int", "number"} or b.kind is None:
-                return Scalar(kind or b.kind, (*a.bounds, *b.bounds), b.place)
-        if isinstance(a, Scalar) and isinstance(b, Atom) and _fits(b.value, a):
-            # A whole number where any number will do is the same figure: 3 and 3.0 must not differ.
+                return ScalarConstraint(kind or b.kind, (*a.bounds, *b.bounds), b.position)
+        if isinstance(a, ScalarConstraint) and isinstance(b, Atom) and _satisfies(b.value, a):
+            # An integer also satisfies `number`; it stays as given, since 3 and 3.0 denote the same number.
             return b
-        if isinstance(a, Atom) and isinstance(b, Scalar) and _fits(a.value, b):
+        if isinstance(a, Atom) and isinstance(b, ScalarConstraint) and _satisfies(a.value, b):
             return a
-        if isinstance(a, Atom) and isinstance(b, Atom) and a.value == b.value and _alike(a.value, b.value):
+        if (
+            isinstance(a, Atom)
+            and isinstance(b, Atom)
+            and a.value == b.value
+            and _same_type(a.value, b.value)
+        ):
             return b
-        return self._conflict(a, b, path)
+        return self._report_conflict(a, b, path)
 
-    def _conflict(self, a: Value, b: Value, path: str) -> Value:
-        self.problems.append(_mismatch(path, b.place, describe(b), describe(a), a.place))
+    def _report_conflict(self, a: Value, b: Value, path: str) -> Value:
+        self.problems.append(_mismatch(path, b.position, describe(b), describe(a), a.position))
         return b
 
-    def _choices(self, a: Value, b: Value, path: str) -> Value:
-        left = a.options if isinstance(a, Choice) else ((a, False),)
-        right = b.options if isinstance(b, Choice) else ((b, False),)
-        kept: list[tuple[Value, bool]] = []
-        trials: list[list[Problem]] = []
+    def _unify_disjunctions(self, a: Value, b: Value, path: str) -> Value:
+        left = a.options if isinstance(a, Disjunction) else ((a, False),)
+        right = b.options if isinstance(b, Disjunction) else ((b, False),)
+        matches: list[tuple[Value, bool]] = []
+        failures: list[list[Problem]] = []
         for x, x_default in left:
             for y, y_default in right:
                 trial = Unifier()
-                both = trial.unify(x, y, path)
+                unified = trial.unify(x, y, path)
                 if not trial.problems:
-                    chosen = (x_default or not isinstance(a, Choice)) and (
-                        y_default or not isinstance(b, Choice)
+                    chosen = (x_default or not isinstance(a, Disjunction)) and (
+                        y_default or not isinstance(b, Disjunction)
                     )
-                    kept.append((both, chosen and (x_default or y_default)))
+                    matches.append((unified, chosen and (x_default or y_default)))
                 else:
-                    trials.append(trial.problems)
-        if len(kept) == 1:
-            return kept[0][0]
-        if kept:
-            return Choice(tuple(kept), b.place)
-        # Guards readers of the message: for records and lists, what is wrong inside says more than that
-        # none of the alternatives fits.
-        if isinstance(b, (Struct, ListOf)):
-            inside = [found for found in trials if all(p.path != path for p in found)]
+                    failures.append(trial.problems)
+        if len(matches) == 1:
+            return matches[0][0]
+        if matches:
+            return Disjunction(tuple(matches), b.position)
+        # For structs and lists, the problems inside are more useful to the reader than the message that
+        # none of the alternatives matches.
+        if isinstance(b, (Struct, ListValue)):
+            inside = [found for found in failures if all(p.path != path for p in found)]
             if inside:
-                self.problems += _likeliest(inside)
+                self.problems += _most_likely_problems(inside)
                 return b
-        return self._conflict(a, b, path)
+        return self._report_conflict(a, b, path)
 
-    def _structs(self, a: Struct, b: Struct, path: str) -> Value:
+    def _unify_structs(self, a: Struct, b: Struct, path: str) -> Value:
         fields: dict[str, Field] = {}
         for name in [*a.fields, *(n for n in b.fields if n not in a.fields)]:
             at = f"{path}.{name}" if path else name
@@ -235,54 +245,63 @@
                 optional = x.optional and y.optional
                 fields[name] = Field(self.unify(x.value, y.value, at), optional)
                 continue
-            have, other = (x, b) if x is not None else (y, a)
-            assert have is not None
+            present, other = (x, b) if x is not None else (y, a)
+            assert present is not None
             if other.rest is not None:
-                sides = (have.value, other.rest) if x is not None else (other.rest, have.value)
-                have = replace(have, value=self.unify(*sides, at))
-            elif other.closed and not have.optional:
-                near = ", ".join(sorted(other.fields)) or "none"
-                text = f"no such key here; known: {near}"
-                self.problems.append(Problem(at, have.value.place, text, other.place))
-            fields[name] = have
+                sides = (present.value, other.rest) if x is not None else (other.rest, present.value)
+                present = replace(present, value=self.unify(*sides, at))
+            elif other.closed and not present.optional:
+                known_keys = ", ".join(sorted(other.fields)) or "none"
+                text = f"unknown key; known keys: {known_keys}"
+                self.problems.append(Problem(at, present.value.position, text, other.position))
+            fields[name] = present
         rest = a.rest if b.rest is None else b.rest if a.rest is None else self.unify(a.rest, b.rest, path)
-        return Struct(fields, b.place, a.closed or b.closed, rest)
+        return Struct(fields, b.position, a.closed or b.closed, rest)
 
-    def _lists(self, a: ListOf, b: ListOf, path: str) -> Value:
+    def _unify_lists(self, a: ListValue, b: ListValue, path: str) -> Value:
         items: list[Value] = []
         for n in range(max(len(a.items), len(b.items))):
             x = a.items[n] if n < len(a.items) else a.rest
             y = b.items[n] if n < len(b.items) else b.rest
             if x is None or y is None:
                 longer, shorter = (a, b) if x is not None else (b, a)
-                text = f"{len(longer.items)} items where {len(shorter.items)} are wanted"
-                self.problems.append(Problem(path, b.place, text, a.place))
+                text = f"{len(longer.items)} items, expected {len(shorter.items)}"
+                self.problems.append(Problem(path, b.position, text, a.position))
                 return b
             items.append(self.unify(x, y, f"{path}[{n}]"))
         rest = None
         if a.rest is not None and b.rest is not None:
             rest = self.unify(a.rest, b.rest, f"{path}[...]")
-        return ListOf(tuple(items), rest, b.place)
+        return ListValue(tuple(items), rest, b.position)
 
 
-def _mismatch(path: str, place: Place, found: str, wanted: str, other: Place | None) -> Problem:
-    return Problem(path, place, f"{found} where {wanted} is wanted", other, found, wanted)
+def _mismatch(
+    path: str, position: Position, found: str, expected: str, declared_at: Position | None
+) -> Problem:
+    return Problem(path, position, f"{found}, expected {expected}", declared_at, found, expected)
 
 
-def _likeliest(trials: list[list[Problem]]) -> list[Problem]:
-    """The problems of the alternative that was most likely meant.
+def _most_likely_problems(failures: list[list[Problem]]) -> list[Problem]:
+    """Returns the problems of the alternative that the author of the file most likely intended.
 
-    An alternative whose own name (a literal, such as `kind: "silent"`) is contradicted was not meant. Where
-    all of them are contradicted at one key, that key is at fault and any of their names would do.
+    An alternative whose string literal (such as `kind: "silent"`) conflicts was not intended. If all of them
+    conflict at the same key, that key is wrong, and the message lists the literals of all alternatives.
     """
 
-    def named(problems: list[Problem]) -> list[Problem]:
-        return [p for p in problems if p.wanted.startswith('"') and p.found.startswith('"')]
+    def literal_conflicts(problems: list[Problem]) -> list[Problem]:
+        return [p for p in problems if p.expected.startswith('"') and p.found.startswith('"')]
 
-    contradicted = [named(problems) for problems in trials]
+    contradicted = [literal_conflicts(problems) for problems in failures]
     first = contradicted[0][0] if contradicted[0] else None
-    if first is not None and all(any(p.path == first.path for p in some) for some in contradicted):
-        wanted = [p.wanted for some in contradicted for p in some if p.path == first.path]
-        anyone = " or ".join(dict.fromkeys(wanted))
-        return [_mismatch(first.path, first.place, first.found, anyone, first.other)]
-    return min(trials, key=lambda problems: (len(named(problems)), len(problems)))
+    if first is not None and all(
+        any(p.path == first.path for p in problems_at_literals) for problems_at_literals in contradicted
+    ):
+        expected = [
+            p.expected
+            for problems_at_literals in contradicted
+            for p in problems_at_literals
+            if p.path == first.path
+        ]
+        alternatives = " or ".join(dict.fromkeys(expected))
+        return [_mismatch(first.path, first.position, first.found, alternatives, first.declared_at)]
+    return min(failures, key=lambda problems: (len(literal_conflicts(problems)), len(problems)))
