--- a/benchmarks/trace_cost.py
+++ b/benchmarks/trace_cost.py
@@ -21,7 +21,7 @@
 from heronstall.model.run import Run
 from heronstall.trace import trace_pb2 as pb
 from heronstall.trace.reader import TraceReader
-from heronstall.trace.writer import WAITING, TraceWriter
+from heronstall.trace.writer import MAX_QUEUED_BLOCKS, TraceWriter
 
 HTTP_US = 679.0  # CPU of a job in the live program, HTTP included: what the cost is a part of
 BUSY = 50  # times
@@ -55,7 +55,7 @@
     writer = TraceWriter(path, pb.About(format=1), 0, print)
     for turn in turns:
         writer.observe(*turn)
-        if paced and writer._queue.qsize() > WAITING // 2:
+        if paced and writer._queue.qsize() > MAX_QUEUED_BLOCKS // 2:
             time.sleep(0.002)
     writer.close()
     return time.process_time() - began, writer.dropped
@@ -80,7 +80,7 @@
                 used, dropped = write(turns, path, True)
                 cpu, lost, size = cpu + used, lost + dropped, size + path.stat().st_size
                 with TraceReader(path) as reader:
-                    assert sum(1 for _ in reader.items()) and not reader.notes.cut
+                    assert sum(1 for _ in reader.items()) and not reader.diagnostics.truncated
                 fast = [(at // BUSY, events, actions) for at, events, actions in turns]
                 cpu_busy += write(fast, Path(made) / f"busy-{seed}-{n}.hst", True)[0]
                 flat_out += write(turns, Path(made) / f"fast-{seed}-{n}.hst", False)[1]
--- a/heronstall/model/signals.py
+++ b/heronstall/model/signals.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 from heronstall import interface as i
-from heronstall.trace.records import Item
+from heronstall.trace.records import TraceRecord
 
 
 @dataclass
@@ -49,7 +49,7 @@
         for what in (*told, *said):
             self._take(now, what)
 
-    def read(self, items: Iterable[Item]) -> None:
+    def read(self, items: Iterable[TraceRecord]) -> None:
         """A recording."""
         for at, what in items:
             self._take(at, what)
--- a/heronstall/trace/__init__.py
+++ b/heronstall/trace/__init__.py
@@ -1,4 +1,5 @@
-"""What happened, on disk: the frame (docs/trace-format.md), records, a writer that never blocks, a reader.
+"""Recordings of a dispatcher's decisions on disk (docs/trace-format.md): frame, records, writer and reader.
 
-`run` imports it only where the operator asks for a trace: protobuf and zstandard belong to the extra `trace`.
+The dispatcher imports this package only if traces are configured: protobuf and zstandard belong to the extra
+`trace`.
 """
--- a/heronstall/trace/frame.py
+++ b/heronstall/trace/frame.py
@@ -1,4 +1,7 @@
-"""The frame of a trace file: head and blocks as bytes. No I/O; nothing that comes in is believed."""
+"""Encodes and decodes the frame of a trace file: header, blocks and trailer.
+
+This module does no I/O and validates all input.
+"""
 
 from __future__ import annotations
 
@@ -9,27 +12,31 @@
 import zstandard
 
 MAGIC, VERSION = b"HSTRACE\n", 1
-MARK = b"HSBK"
-TAIL = b"HSTRACE."
-ABOUT, RECORDS, INDEX = 1, 2, 3
-ZSTD = 1  # flag: the payload is compressed
-LARGEST = 4 * 1024 * 1024  # bytes of one payload, before and after compression
-LEVEL = 3
-_HEAD = struct.Struct("<8sHH")
-_BLOCK = struct.Struct("<4sBBHIIIq")
+BLOCK_MARK = b"HSBK"
+TRAILER_MAGIC = b"HSTRACE."
+ABOUT, RECORDS, INDEX = 1, 2, 3  # block types
+FLAG_ZSTD = 1  # block flag: the payload is compressed
+MAX_PAYLOAD_BYTES = 4 * 1024 * 1024  # size limit of a payload, both before and after compression
+ZSTD_LEVEL = 3
+_FILE_HEADER = struct.Struct("<8sHH")
+_BLOCK_HEADER = struct.Struct("<4sBBHIIIq")
 _CRC = struct.Struct("<I")
-_TAIL = struct.Struct("<Q8s")
-HEAD_SIZE = _HEAD.size + _CRC.size
-BLOCK_SIZE = _BLOCK.size + _CRC.size
-TAIL_SIZE = _TAIL.size
+_TRAILER = struct.Struct("<Q8s")
+FILE_HEADER_SIZE = _FILE_HEADER.size + _CRC.size
+BLOCK_HEADER_SIZE = _BLOCK_HEADER.size + _CRC.size
+TRAILER_SIZE = _TRAILER.size
 
 
 class FrameError(ValueError):
-    """These bytes are no part of a trace; the message says what is wrong with them."""
+    """The bytes are not valid trace data; the message says why."""
+
 
+class BlockHeader(NamedTuple):
+    """The header of a block.
 
-class Block(NamedTuple):
-    """A block's head. Sizes in bytes, `first` in microseconds."""
+    `stored` and `raw` are the payload's sizes in bytes, as stored and uncompressed; `first` is the time of
+    the first record in microseconds.
+    """
 
     type: int
     flags: int
@@ -40,80 +47,87 @@
     crc: int
 
 
-def head() -> bytes:
-    """A file's first bytes."""
-    told = _HEAD.pack(MAGIC, VERSION, 0)
-    return told + _CRC.pack(zlib.crc32(told))
+def file_header() -> bytes:
+    """Returns the header of a trace file."""
+    header = _FILE_HEADER.pack(MAGIC, VERSION, 0)
+    return header + _CRC.pack(zlib.crc32(header))
 
 
-def check_head(data: bytes) -> None:
-    """Raises FrameError unless a file that begins so is a trace that can be read."""
-    if len(data) < HEAD_SIZE:
-        raise FrameError("shorter than a trace's head")
-    magic, version, _ = _HEAD.unpack_from(data)
+def check_file_header(data: bytes) -> None:
+    """Raises FrameError unless `data` begins with the header of a trace in a supported version."""
+    if len(data) < FILE_HEADER_SIZE:
+        raise FrameError("shorter than the header of a trace")
+    magic, version, _ = _FILE_HEADER.unpack_from(data)
     if magic != MAGIC:
         raise FrameError("not a trace")
-    if _CRC.unpack_from(data, _HEAD.size)[0] != zlib.crc32(data[: _HEAD.size]):
-        raise FrameError("the head is damaged")
+    if _CRC.unpack_from(data, _FILE_HEADER.size)[0] != zlib.crc32(data[: _FILE_HEADER.size]):
+        raise FrameError("the header is damaged")
     if version != VERSION:
-        raise FrameError(f"version {version}, and this program reads {VERSION}")
+        raise FrameError(f"version {version} is not supported, only {VERSION}")
 
 
-def compressor() -> zstandard.ZstdCompressor:
-    """What packs blocks; to be used for many, since making one takes longer than a block does."""
-    return zstandard.ZstdCompressor(level=LEVEL)
+def new_compressor() -> zstandard.ZstdCompressor:
+    """Returns a compressor for blocks. Reuse it: creating one takes longer than compressing a block."""
+    return zstandard.ZstdCompressor(level=ZSTD_LEVEL)
 
 
-def block(
-    type_: int, sequence: int, first: int, payload: bytes, packer: zstandard.ZstdCompressor | None = None
+def encode_block(
+    type_: int,
+    sequence: int,
+    first: int,
+    payload: bytes,
+    reused_compressor: zstandard.ZstdCompressor | None = None,
 ) -> bytes:
-    """A whole block."""
-    if len(payload) > LARGEST:
-        raise FrameError(f"a payload of {len(payload)} bytes, {LARGEST} at most")
-    stored, flags = (packer or compressor()).compress(payload), ZSTD
+    """Returns a complete block: its header and its payload, compressed if that makes it smaller."""
+    if len(payload) > MAX_PAYLOAD_BYTES:
+        raise FrameError(f"payload of {len(payload)} bytes exceeds the limit of {MAX_PAYLOAD_BYTES}")
+    stored, flags = (reused_compressor or new_compressor()).compress(payload), FLAG_ZSTD
     if len(stored) >= len(payload):
         stored, flags = payload, 0
-    told = _BLOCK.pack(MARK, type_, flags, 0, sequence, len(stored), len(payload), first)
-    return told + _CRC.pack(zlib.crc32(stored, zlib.crc32(told))) + stored
+    header = _BLOCK_HEADER.pack(BLOCK_MARK, type_, flags, 0, sequence, len(stored), len(payload), first)
+    return header + _CRC.pack(zlib.crc32(stored, zlib.crc32(header))) + stored
 
 
-def block_head(data: bytes) -> Block:
-    """A block's head from its first BLOCK_SIZE bytes. Raises FrameError."""
-    if len(data) < BLOCK_SIZE:
-        raise FrameError("cut off in a block's head")
-    mark, type_, flags, _, sequence, stored, raw, first = _BLOCK.unpack_from(data)
-    if mark != MARK:
-        raise FrameError("no block begins here")
-    if stored > LARGEST or raw > LARGEST:
-        raise FrameError(f"a block says that it holds {max(stored, raw)} bytes, {LARGEST} at most")
-    return Block(type_, flags, sequence, stored, raw, first, _CRC.unpack_from(data, _BLOCK.size)[0])
+def decode_block_header(data: bytes) -> BlockHeader:
+    """Decodes a block's header from its first BLOCK_HEADER_SIZE bytes. Raises FrameError."""
+    if len(data) < BLOCK_HEADER_SIZE:
+        raise FrameError("truncated block header")
+    block_mark, type_, flags, _, sequence, stored, raw, first = _BLOCK_HEADER.unpack_from(data)
+    if block_mark != BLOCK_MARK:
+        raise FrameError("no block starts here")
+    if stored > MAX_PAYLOAD_BYTES or raw > MAX_PAYLOAD_BYTES:
+        raise FrameError(f"block size of {max(stored, raw)} bytes exceeds the limit of {MAX_PAYLOAD_BYTES}")
+    return BlockHeader(
+        type_, flags, sequence, stored, raw, first, _CRC.unpack_from(data, _BLOCK_HEADER.size)[0]
+    )
 
 
-def payload(told: Block, head_bytes: bytes, stored: bytes) -> bytes:
-    """A block's payload, checked. Raises FrameError.
+def decode_payload(header: BlockHeader, header_bytes: bytes, stored: bytes) -> bytes:
+    """Verifies and decompresses a block's payload. Raises FrameError.
 
-    The size that a zstd frame names is checked before it is unpacked: memory is never given on its word.
+    The size declared in the zstd frame is checked before decompression, so that a forged size cannot cause a
+    large allocation.
     """
-    if zlib.crc32(stored, zlib.crc32(head_bytes[: _BLOCK.size])) != told.crc:
-        raise FrameError(f"block {told.sequence} is damaged")
-    if not told.flags & ZSTD:
+    if zlib.crc32(stored, zlib.crc32(header_bytes[: _BLOCK_HEADER.size])) != header.crc:
+        raise FrameError(f"block {header.sequence} is damaged")
+    if not header.flags & FLAG_ZSTD:
         return stored
     try:
-        if zstandard.frame_content_size(stored) != told.raw:
-            raise FrameError(f"block {told.sequence} holds another size than it says")
-        return zstandard.ZstdDecompressor().decompress(stored, max_output_size=told.raw)
+        if zstandard.frame_content_size(stored) != header.raw:
+            raise FrameError(f"block {header.sequence} declares two different sizes")
+        return zstandard.ZstdDecompressor().decompress(stored, max_output_size=header.raw)
     except zstandard.ZstdError as error:
-        raise FrameError(f"block {told.sequence} cannot be unpacked: {error}") from None
+        raise FrameError(f"block {header.sequence} cannot be decompressed: {error}") from None
 
 
-def tail(offset: int) -> bytes:
-    """A file's last bytes: where its index block begins."""
-    return _TAIL.pack(offset, TAIL)
+def encode_trailer(offset: int) -> bytes:
+    """Returns the trailer of a file, which holds the offset of the index block."""
+    return _TRAILER.pack(offset, TRAILER_MAGIC)
 
 
 def index_offset(data: bytes) -> int | None:
-    """Where the index begins, from a file's last TAIL_SIZE bytes; None where it was cut off before."""
-    if len(data) != TAIL_SIZE:
+    """Returns the offset of the index from a file's last TRAILER_SIZE bytes; None if they are no trailer."""
+    if len(data) != TRAILER_SIZE:
         return None
-    offset, magic = _TAIL.unpack(data)
-    return int(offset) if magic == TAIL else None
+    offset, magic = _TRAILER.unpack(data)
+    return int(offset) if magic == TRAILER_MAGIC else None
--- a/heronstall/trace/records.py
+++ b/heronstall/trace/records.py
@@ -1,7 +1,7 @@
-"""Events and actions of the decision module to the columns of a block, and back. No I/O.
+"""Encodes events and actions of the decision module into the columns of a block, and decodes them. No I/O.
 
-While a block is open its records are kept as they are; only its close takes them apart, column by column: a
-protobuf message for each record cost several times as much.
+The records of an open block are kept as objects and are encoded column by column only when the block is
+closed: one protobuf message per record cost several times as much.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 )
 SCOPES = ("changes", "complete", "persisted", "error")
 STATES = ("active", "leaving", "left")
-MOST = 2**32 - 1  # microseconds, and whatever else is a uint32
+UINT32_MAX = 2**32 - 1  # durations in microseconds and other values are stored as uint32
 ARRIVAL, SEND, NOTE, OUTCOME, REFUSAL, FAILURE, SERVERS, PROBE, GONE, CANCEL = range(5, 15)
 KINDS: dict[type, int] = {
     i.Arrival: ARRIVAL,
@@ -44,199 +44,199 @@
 _STATUS = {status: n for n, status in enumerate(STATUSES)}
 _SCOPE = {scope: n for n, scope in enumerate(SCOPES)}
 _STATE = {state: n for n, state in enumerate(STATES)}
-_FIGURES = ("util", "inflight", "queued", "free_slots", "free_memory")
+_REPORT_FIELDS = ("util", "inflight", "queued", "free_slots", "free_memory")
 
-Told = Union[i.Event, i.Action]
+Content = Union[i.Event, i.Action]
 
 
-class Item(NamedTuple):
-    """One record, at a moment of the dispatcher's clock in microseconds."""
+class TraceRecord(NamedTuple):
+    """One record of a trace, with its time on the dispatcher's clock in microseconds."""
 
     at: int
-    what: Told
+    content: Content
 
 
 class ColumnError(ValueError):
-    """A block whose columns do not go together."""
+    """The columns of a block are inconsistent."""
 
 
-def hashed(key: str) -> int:
-    """What stands in a trace for the thing that a request is about; never 0."""
+def hash_key(key: str) -> int:
+    """Returns the hash that a trace stores in place of a request's key; never 0."""
     return int.from_bytes(hashlib.blake2b(key.encode(), digest_size=8).digest(), "little") or 1
 
 
-def _wholes(values: list[int]) -> list[int]:
-    """Values as a column of uint32 can hold them."""
-    if min(values) >= 0 and max(values) <= MOST:
+def _clamp_to_uint32(values: list[int]) -> list[int]:
+    """Returns the values clamped to the range of uint32."""
+    if min(values) >= 0 and max(values) <= UINT32_MAX:
         return values
-    return [0 if value < 0 else MOST if value > MOST else value for value in values]
+    return [0 if value < 0 else UINT32_MAX if value > UINT32_MAX else value for value in values]
 
 
-# ------------------------------------------------------------------ to columns
+# ------------------------------------------------------------------ encoding
 
 
-def _put_reports(out: pb.Reports, rows: list[i.Report | None]) -> None:
+def _encode_reports(out: pb.Reports, rows: list[i.Report | None]) -> None:
     out.there = bytes(row is not None for row in rows)
     there = [row for row in rows if row is not None]
-    for place, name in enumerate(_FIGURES):
+    for place, name in enumerate(_REPORT_FIELDS):
         values = [row[place] for row in there]
         if any(value is not None for value in values):
             getattr(out, name).extend([0.0 if value is None else value + 1.0 for value in values])
 
 
-def _put_arrivals(out: pb.Records, rows: list[i.Arrival]) -> None:
+def _encode_arrivals(out: pb.Records, rows: list[i.Arrival]) -> None:
     a = out.arrival
     a.session.extend([r.request for r in rows])
     a.cls.extend([r.cls for r in rows])
     a.tenant.extend([r.tenant + 1 for r in rows])
-    a.time_left.extend(_wholes([r.time_left for r in rows]))
-    a.work.extend(_wholes([r.work or 0 for r in rows]))
+    a.time_left.extend(_clamp_to_uint32([r.time_left for r in rows]))
+    a.work.extend(_clamp_to_uint32([r.work or 0 for r in rows]))
     if any(r.slots != 1.0 for r in rows):
         a.slots.extend([r.slots for r in rows])
     if any(r.retry for r in rows):
         a.retry.extend([r.retry for r in rows])
     if any(r.key is not None for r in rows):
-        a.key.extend([0 if r.key is None else hashed(r.key) for r in rows])
+        a.key.extend([0 if r.key is None else hash_key(r.key) for r in rows])
 
 
-def _put_sends(out: pb.Records, rows: list[i.Send]) -> None:
+def _encode_sends(out: pb.Records, rows: list[i.Send]) -> None:
     out.send.session.extend([r.request for r in rows])
     out.send.server.extend([r.worker for r in rows])
     if any(r.timeout for r in rows):
-        out.send.timeout.extend(_wholes([r.timeout for r in rows]))
+        out.send.timeout.extend(_clamp_to_uint32([r.timeout for r in rows]))
 
 
-def _put_notes(out: pb.Records, rows: list[i.JobNote]) -> None:
+def _encode_notes(out: pb.Records, rows: list[i.JobNote]) -> None:
     out.note.session.extend([r.request for r in rows])
     out.note.attempt.extend([r.attempt for r in rows])
     out.note.share.extend([-1.0 if r.share is None else r.share for r in rows])
     out.note.server.extend([r.worker for r in rows])
 
 
-def _put_outcomes(out: pb.Records, rows: list[i.Outcome]) -> None:
+def _encode_outcomes(out: pb.Records, rows: list[i.Outcome]) -> None:
     o = out.outcome
     o.session.extend([r.request for r in rows])
     o.server.extend([r.worker for r in rows])
     o.attempt.extend([r.attempt for r in rows])
     o.ended = bytes([r.ended for r in rows])
     o.status = bytes([_STATUS[r.status] for r in rows])
-    o.latency.extend(_wholes([r.latency for r in rows]))
-    _put_reports(o.report, [r.report for r in rows])
+    o.latency.extend(_clamp_to_uint32([r.latency for r in rows]))
+    _encode_reports(o.report, [r.report for r in rows])
 
 
-def _put_probes(out: pb.Records, rows: list[i.ProbeResult]) -> None:
+def _encode_probes(out: pb.Records, rows: list[i.ProbeResult]) -> None:
     out.probe.server.extend([r.worker for r in rows])
     out.probe.ok = bytes([r.ok for r in rows])
-    out.probe.latency.extend(_wholes([r.latency for r in rows]))
-    _put_reports(out.probe.report, [r.report for r in rows])
+    out.probe.latency.extend(_clamp_to_uint32([r.latency for r in rows]))
+    _encode_reports(out.probe.report, [r.report for r in rows])
 
 
-def _put_refusals(out: pb.Records, rows: list[i.Refuse]) -> None:
+def _encode_refusals(out: pb.Records, rows: list[i.Refuse]) -> None:
     out.refusal.session.extend([r.request for r in rows])
-    out.refusal.retry_after.extend(_wholes([r.retry_after for r in rows]))
+    out.refusal.retry_after.extend(_clamp_to_uint32([r.retry_after for r in rows]))
 
 
-def _put_cancels(out: pb.Records, rows: list[i.Cancel]) -> None:
+def _encode_cancels(out: pb.Records, rows: list[i.Cancel]) -> None:
     out.cancel.session.extend([r.request for r in rows])
     out.cancel.attempt.extend([r.attempt for r in rows])
 
 
-def _put_servers(out: pb.Records, rows: list[i.WorkerList]) -> None:
+def _encode_servers(out: pb.Records, rows: list[i.WorkerList]) -> None:
     for row in rows:
-        told = out.servers.add()
-        told.scope = _SCOPE[row.scope]
+        server_list = out.servers.add()
+        server_list.scope = _SCOPE[row.scope]
         for entry in row.entries:
-            server = told.server.add()
+            server = server_list.server.add()
             server.server, server.zone, server.kind = entry.worker, max(0, entry.zone), max(0, entry.kind)
-            server.cell = max(0, entry.cell) & MOST
+            server.cell = max(0, entry.cell) & UINT32_MAX
             server.state, server.weight = _STATE[entry.state], entry.weight
-            server.mark = entry.mark & MOST
+            server.mark = entry.mark & UINT32_MAX
             if entry.started_at is not None:
                 server.started_at, server.started_known = entry.started_at, True
 
 
-def _put_failures(out: pb.Records, rows: list[i.Fail]) -> None:
+def _encode_failures(out: pb.Records, rows: list[i.Fail]) -> None:
     out.failure.session.extend([r.request for r in rows])
 
 
-def _put_gone(out: pb.Records, rows: list[i.ClientGone]) -> None:
+def _encode_gone(out: pb.Records, rows: list[i.ClientGone]) -> None:
     out.gone.session.extend([r.request for r in rows])
 
 
-_PUT: dict[int, Callable[[pb.Records, Any], None]] = {
-    ARRIVAL: _put_arrivals,
-    SEND: _put_sends,
-    NOTE: _put_notes,
-    OUTCOME: _put_outcomes,
-    REFUSAL: _put_refusals,
-    FAILURE: _put_failures,
-    SERVERS: _put_servers,
-    PROBE: _put_probes,
-    GONE: _put_gone,
-    CANCEL: _put_cancels,
+_ENCODERS: dict[int, Callable[[pb.Records, Any], None]] = {
+    ARRIVAL: _encode_arrivals,
+    SEND: _encode_sends,
+    NOTE: _encode_notes,
+    OUTCOME: _encode_outcomes,
+    REFUSAL: _encode_refusals,
+    FAILURE: _encode_failures,
+    SERVERS: _encode_servers,
+    PROBE: _encode_probes,
+    GONE: _encode_gone,
+    CANCEL: _encode_cancels,
 }
 
 
-class Encoder:
-    """Records of one block to be."""
+class BlockEncoder:
+    """Collects the records of one block and encodes them."""
 
     def __init__(self, at: int, dropped: int = 0) -> None:
         self.first = at
         self._dropped = dropped
         self._kinds = bytearray()
-        self._ats: list[int] = []
-        self._by: dict[int, list[Told]] = {kind: [] for kind in _PUT}
+        self._times: list[int] = []
+        self._records_by_kind: dict[int, list[Content]] = {kind: [] for kind in _ENCODERS}
 
     @property
     def count(self) -> int:
-        """Records so far."""
+        """The number of records so far."""
         return len(self._kinds)
 
     @property
     def last(self) -> int:
-        """When the last one was."""
-        return self._ats[-1] if self._ats else self.first
+        """The time of the last record, or of the start if there is none."""
+        return self._times[-1] if self._times else self.first
 
     def add(self, at: int, events: Sequence[i.Event], actions: Sequence[i.Action]) -> int:
-        """What the decisions were told at a moment, and what they said; the records there are now."""
-        kinds, ats, by = self._kinds, self._ats, self._by
-        for told in (events, actions):
-            for what in told:
-                kind = KINDS.get(type(what))
+        """Adds the events and actions of one decision; returns the number of records."""
+        kinds, times, records_by_kind = self._kinds, self._times, self._records_by_kind
+        for group in (events, actions):
+            for content in group:
+                kind = KINDS.get(type(content))
                 if kind is not None:
                     kinds.append(kind)
-                    ats.append(at)
-                    by[kind].append(what)
+                    times.append(at)
+                    records_by_kind[kind].append(content)
         return len(kinds)
 
-    def done(self) -> bytes:
-        """The block's payload."""
+    def encode(self) -> bytes:
+        """Returns the block's payload."""
         block = pb.Records(at=self.first, dropped=self._dropped, kind=bytes(self._kinds))
-        ats = self._ats
-        gaps = list(map(sub, ats, [self.first, *ats]))
-        block.after.extend(_wholes(gaps) if gaps else gaps)
-        for kind, some in self._by.items():
-            if some:
-                _PUT[kind](block, some)
+        times = self._times
+        gaps = list(map(sub, times, [self.first, *times]))
+        block.after.extend(_clamp_to_uint32(gaps) if gaps else gaps)
+        for kind, records in self._records_by_kind.items():
+            if records:
+                _ENCODERS[kind](block, records)
         return block.SerializeToString()
 
 
-# ------------------------------------------------------------------ and back
+# ------------------------------------------------------------------ decoding
 
 
 def _column(values: Sequence[Any], count: int, default: Any) -> Sequence[Any] | repeat[Any]:
-    """A column of so many values; an empty one holds defaults. Raises ColumnError for another length."""
+    """Returns a column of `count` values, or defaults if it is empty. Raises ColumnError otherwise."""
     if not len(values):
         return repeat(default, count)
     if len(values) != count:
-        raise ColumnError(f"a column of {len(values)} values where {count} are wanted")
+        raise ColumnError(f"column of {len(values)} values, expected {count}")
     return values
 
 
-def _get_reports(told: pb.Reports, count: int) -> list[i.Report | None]:
-    there = list(_column(told.there, count, 0))
-    held = sum(1 for flag in there if flag)
-    columns = [_column(getattr(told, name), held, 0.0) for name in _FIGURES]
+def _decode_reports(column: pb.Reports, count: int) -> list[i.Report | None]:
+    there = list(_column(column.there, count, 0))
+    report_count = sum(1 for flag in there if flag)
+    columns = [_column(getattr(column, name), report_count, 0.0) for name in _REPORT_FIELDS]
     reports = iter(
         [
             i.Report(*(None if v == 0.0 else round(v - 1.0, 6) for v in row))
@@ -246,7 +246,7 @@
     return [next(reports) if flag else None for flag in there]
 
 
-def _get_arrivals(block: pb.Records, count: int) -> Iterator[Told]:
+def _decode_arrivals(block: pb.Records, count: int) -> Iterator[Content]:
     a = block.arrival
     columns = (
         _column(a.session, count, 0),
@@ -259,17 +259,17 @@
         _column(a.retry, count, False),
     )
     for session, cls, left, tenant, key, work, slots, retry in zip(*columns, strict=True):
-        named = f"{key:016x}" if key else None
-        yield i.Arrival(session, cls, left, tenant - 1, named, work or None, slots, 0.0, retry)
+        key_hash = f"{key:016x}" if key else None
+        yield i.Arrival(session, cls, left, tenant - 1, key_hash, work or None, slots, 0.0, retry)
 
 
-def _get_sends(block: pb.Records, count: int) -> Iterator[Told]:
+def _decode_sends(block: pb.Records, count: int) -> Iterator[Content]:
     s = block.send
     columns = (_column(s.session, count, 0), _column(s.server, count, 0), _column(s.timeout, count, 0))
     yield from map(i.Send, *columns)
 
 
-def _get_notes(block: pb.Records, count: int) -> Iterator[Told]:
+def _decode_notes(block: pb.Records, count: int) -> Iterator[Content]:
     n = block.note
     columns = (
         _column(n.session, count, 0),
@@ -281,7 +281,7 @@
         yield i.JobNote(session, server, attempt, None if share < 0 else share)
 
 
-def _get_outcomes(block: pb.Records, count: int) -> Iterator[Told]:
+def _decode_outcomes(block: pb.Records, count: int) -> Iterator[Content]:
     o = block.outcome
     columns = (
         _column(o.session, count, 0),
@@ -290,48 +290,48 @@
         _column(o.ended, count, 0),
         _column(o.status, count, 0),
         _column(o.latency, count, 0),
-        _get_reports(o.report, count),
+        _decode_reports(o.report, count),
     )
     for session, server, attempt, ended, status, latency, report in zip(*columns, strict=True):
-        # A status of a later release says at the least that it was no success.
-        known: i.Status = STATUSES[status] if status < len(STATUSES) else "error"
-        yield i.Outcome(session, server, attempt, bool(ended), known, latency, report)
+        # An unknown status was written by a later release; treat it as an error.
+        status_name: i.Status = STATUSES[status] if status < len(STATUSES) else "error"
+        yield i.Outcome(session, server, attempt, bool(ended), status_name, latency, report)
 
 
-def _get_probes(block: pb.Records, count: int) -> Iterator[Told]:
+def _decode_probes(block: pb.Records, count: int) -> Iterator[Content]:
     p = block.probe
     columns = (
         _column(p.server, count, 0),
         _column(p.ok, count, 0),
         _column(p.latency, count, 0),
-        _get_reports(p.report, count),
+        _decode_reports(p.report, count),
     )
     for server, ok, latency, report in zip(*columns, strict=True):
         yield i.ProbeResult(server, bool(ok), latency, report)
 
 
-def _get_refusals(block: pb.Records, count: int) -> Iterator[Told]:
+def _decode_refusals(block: pb.Records, count: int) -> Iterator[Content]:
     r = block.refusal
     yield from map(i.Refuse, _column(r.session, count, 0), _column(r.retry_after, count, 0))
 
 
-def _get_failures(block: pb.Records, count: int) -> Iterator[Told]:
+def _decode_failures(block: pb.Records, count: int) -> Iterator[Content]:
     yield from map(i.Fail, _column(block.failure.session, count, 0))
 
 
-def _get_gone(block: pb.Records, count: int) -> Iterator[Told]:
+def _decode_gone(block: pb.Records, count: int) -> Iterator[Content]:
     yield from map(i.ClientGone, _column(block.gone.session, count, 0))
 
 
-def _get_cancels(block: pb.Records, count: int) -> Iterator[Told]:
+def _decode_cancels(block: pb.Records, count: int) -> Iterator[Content]:
     c = block.cancel
     yield from map(i.Cancel, _column(c.session, count, 0), _column(c.attempt, count, 0))
 
 
-def _get_servers(block: pb.Records, count: int) -> Iterator[Told]:
+def _decode_servers(block: pb.Records, count: int) -> Iterator[Content]:
     if len(block.servers) != count:
-        raise ColumnError(f"{len(block.servers)} lists of servers where {count} are wanted")
-    for told in block.servers:
+        raise ColumnError(f"{len(block.servers)} server lists, expected {count}")
+    for server_list in block.servers:
         entries = tuple(
             i.WorkerEntry(
                 s.server,
@@ -343,40 +343,40 @@
                 s.started_at if s.started_known else None,
                 s.mark,
             )
-            for s in told.server
+            for s in server_list.server
         )
-        if told.scope == 0:
+        if server_list.scope == 0:
             yield i.WorkerList("changes", entries)
         else:
-            scope = told.scope
+            scope = server_list.scope
             yield i.WorkerList("complete" if scope == 1 else "persisted" if scope == 2 else "error", entries)
 
 
-_GET: dict[int, Callable[[pb.Records, int], Iterator[Told]]] = {
-    ARRIVAL: _get_arrivals,
-    SEND: _get_sends,
-    NOTE: _get_notes,
-    OUTCOME: _get_outcomes,
-    REFUSAL: _get_refusals,
-    FAILURE: _get_failures,
-    SERVERS: _get_servers,
-    PROBE: _get_probes,
-    GONE: _get_gone,
-    CANCEL: _get_cancels,
+_DECODERS: dict[int, Callable[[pb.Records, int], Iterator[Content]]] = {
+    ARRIVAL: _decode_arrivals,
+    SEND: _decode_sends,
+    NOTE: _decode_notes,
+    OUTCOME: _decode_outcomes,
+    REFUSAL: _decode_refusals,
+    FAILURE: _decode_failures,
+    SERVERS: _decode_servers,
+    PROBE: _decode_probes,
+    GONE: _decode_gone,
+    CANCEL: _decode_cancels,
 }
 
 
-def decode(block: pb.Records) -> list[Item]:
-    """A block's records, in order; kinds not known here are passed over. Raises ColumnError."""
+def decode(block: pb.Records) -> list[TraceRecord]:
+    """Returns a block's records in order; skips unknown kinds. Raises ColumnError."""
     kinds = block.kind
     after = _column(block.after, len(kinds), 0)
     counts: dict[int, int] = {}
     for kind in kinds:
         counts[kind] = counts.get(kind, 0) + 1
-    sources = {kind: iter(list(_GET[kind](block, n))) for kind, n in counts.items() if kind in _GET}
+    sources = {kind: iter(list(_DECODERS[kind](block, n))) for kind, n in counts.items() if kind in _DECODERS}
     at, items = block.at, []
     for kind, gap in zip(kinds, after, strict=True):
         at += gap
         if kind in sources:
-            items.append(Item(at, next(sources[kind])))
+            items.append(TraceRecord(at, next(sources[kind])))
     return items
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -198,7 +198,7 @@
     (path,) = traces.iterdir()
     with TraceReader(path) as reader:
         assert reader.about.node == "n3" and "services" in reader.about.settings
-        assert list(reader.items()) and not reader.notes.cut
+        assert list(reader.items()) and not reader.diagnostics.truncated
     settings.write_text(json.dumps({"trace": {"dir": str(settings)}}))  # a file where a folder is wanted
     assert "serving continues without it" in "\n".join(lines("n3", settings))
 
--- a/tests/test_validate.py
+++ b/tests/test_validate.py
@@ -16,7 +16,7 @@
 from heronstall.cli.validating import doubts, note_path, signals_of_model
 from heronstall.model.signals import Listener, Signals
 from heronstall.model.validate import agreement
-from heronstall.trace.records import Item
+from heronstall.trace.records import TraceRecord
 from tests.scenarios import BASE, RATE, small_scenario
 
 MS = 1000
@@ -33,10 +33,10 @@
         (410 * MS, [i.Arrival(2, 0, 10**6)], [i.Refuse(2)]),
     ]
     live, read = Listener(), Listener()
-    items: list[Item] = []
+    items: list[TraceRecord] = []
     for at, told, said in turns:
         live.observe(at, told, said)
-        items += [Item(at, what) for what in (*told, *said)]
+        items += [TraceRecord(at, what) for what in (*told, *said)]
     read.read(items)
     assert live.signals == read.signals
     s = live.signals
