--- a/heronstall/cli/rollout.py
+++ b/heronstall/cli/rollout.py
@@ -277,9 +277,9 @@
 def report(file: Path, folder: Path) -> None:
     """Write one HTML page on a rollout into FOLDER: each stage's figures, intervals, each step's reason."""
     from heronstall.keeper.log import read
-    from heronstall.report.rollout import write
+    from heronstall.report.rollout import write_rollout_page
 
     made = read_plan(file)
     _state(made)
     records: list[dict[str, Any]] = read(Path(made.journal))
-    click.echo(str(write(made, records, folder)))
+    click.echo(str(write_rollout_page(made, records, folder)))
--- a/heronstall/cli/tier.py
+++ b/heronstall/cli/tier.py
@@ -19,7 +19,7 @@
     from heronstall.lab.tier.demo import Step
     from heronstall.lab.tier.plan import Plan, Sizes
     from heronstall.lab.tier.tier import LocalTier
-    from heronstall.report.misses import Moment
+    from heronstall.report.misses import TimeInterval
 
 LOOK = 0.5  # seconds between looks at the processes
 
@@ -301,11 +301,11 @@
 
     Example: heronstall tier misses tier --moment burst:10:13
     """
-    from heronstall.report.misses import LogError, log_files, miss_table, read_events
+    from heronstall.report.misses import LogError, count_misses, log_files, read_events
 
     named = [_moment(text) for text in moments]
     try:
-        table = miss_table(read_events(log_files(logs)), named)
+        table = count_misses(read_events(log_files(logs)), named)
     except LogError as error:
         raise BadInput(str(error)) from None
     if as_json:
@@ -315,12 +315,12 @@
         click.echo(line)
 
 
-def _moment(text: str) -> Moment:
-    from heronstall.report.misses import Moment
+def _moment(text: str) -> TimeInterval:
+    from heronstall.report.misses import TimeInterval
 
     name, begin, end = (text.rsplit(":", 2) + ["", ""])[:3]
     try:
-        moment = Moment(name, float(begin), float(end))
+        moment = TimeInterval(name, float(begin), float(end))
     except ValueError:
         raise BadInput(f"--moment {text}: NAME:FROM:TO is wanted, FROM and TO in seconds") from None
     if not name or not moment.begin < moment.end:
--- a/heronstall/report/__init__.py
+++ b/heronstall/report/__init__.py
@@ -1,4 +1,4 @@
-"""Reports: one self-contained HTML page with plots, from records of runs."""
+"""Generates reports from the records of runs: self-contained HTML pages with plots."""
 
 from heronstall.report.comparison import comparison_page, write_comparison
 from heronstall.report.page import page, write_page
--- a/heronstall/report/misses.py
+++ b/heronstall/report/misses.py
@@ -1,6 +1,6 @@
-"""Which requests a tier's dispatchers served late or not at all, read from their logs and added up.
+"""Counts the requests that a tier's dispatchers served late or not at all, from their logs.
 
-The log lines are those of `dataplane/misses.py`. A line may stand behind a time in seconds and a node's name.
+`dataplane/misses.py` writes the log lines. A line may be prefixed with a time in seconds and a node's name.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 from statistics import fmean
 from typing import Any
 
-FIELD = re.compile(r'(\w+)=("(?:[^"\\]|\\.)*"|\S*)')
-SECONDS_BEFORE = re.compile(r"\s*(-?\d+(?:\.\d+)?)\s")
-CALM = "calm"
-WAITS = ("deferred_ms", "held_ms", "sent_ms", "first_ms", "gap_ms", "slack_ms", "waited_ms", "ran_ms")
-COUNTS = (
+FIELD_PATTERN = re.compile(r'(\w+)=("(?:[^"\\]|\\.)*"|\S*)')
+SECONDS_PREFIX = re.compile(r"\s*(-?\d+(?:\.\d+)?)\s")
+NO_INTERVAL = "calm"
+TIME_FIELDS = ("deferred_ms", "held_ms", "sent_ms", "first_ms", "gap_ms", "slack_ms", "waited_ms", "ran_ms")
+TALLY_FIELDS = (
     "requests",
     "missed",
     "size",
@@ -29,16 +29,21 @@
     "planned",
     "connections",
 )
-REQUEST_MISSED, ITEM_MISSED, JOB_MISSED, TALLY = "request missed", "item missed", "job missed", "requests"
+REQUEST_MISSED, ITEM_MISSED, JOB_MISSED, TALLY_EVENT = (
+    "request missed",
+    "item missed",
+    "job missed",
+    "requests",
+)
 
 
 class LogError(ValueError):
-    """Logs that cannot be used; the message names the file and line."""
+    """The logs are missing or invalid; the message names the file and line if known."""
 
 
 @dataclass(frozen=True)
-class Moment:
-    """A named stretch of time; seconds by the logs' clock."""
+class TimeInterval:
+    """A named time interval, in seconds on the logs' clock."""
 
     name: str
     begin: float
@@ -47,7 +52,7 @@
 
 @dataclass(frozen=True)
 class LogEvent:
-    """One line of a log."""
+    """One event of a log."""
 
     at: float  # seconds
     name: str
@@ -55,57 +60,60 @@
 
 
 @dataclass(frozen=True)
-class Place:
-    """Where a miss is counted."""
+class MissGroup:
+    """The group in which a miss is counted."""
 
     route: str
-    moment: str
+    interval: str
     reason: str
 
 
 @dataclass
 class MissCount:
-    """Misses of one place."""
+    """The misses of one group and the times that explain them, in milliseconds."""
 
     count: int = 0
-    waits: defaultdict[str, list[float]] = field(default_factory=lambda: defaultdict(list))
+    times: defaultdict[str, list[float]] = field(default_factory=lambda: defaultdict(list))
 
 
 @dataclass
 class RouteTotals:
-    """What the tallies of a route add up to."""
+    """The sums of a route's tallies."""
 
-    counts: dict[str, int] = field(default_factory=lambda: dict.fromkeys(COUNTS, 0))
+    counts: dict[str, int] = field(default_factory=lambda: dict.fromkeys(TALLY_FIELDS, 0))
 
 
 @dataclass
 class MissTable:
-    """All misses, by place, and the totals by route."""
+    """All misses by group, and the totals by route."""
 
     routes: dict[str, RouteTotals] = field(default_factory=dict)
-    misses: dict[Place, MissCount] = field(default_factory=dict)
+    misses: dict[MissGroup, MissCount] = field(default_factory=dict)
 
     def record(self) -> dict[str, Any]:
-        """The table for JSON."""
+        """Returns the table as a record for JSON."""
         return {
             "routes": {name: totals.counts for name, totals in sorted(self.routes.items())},
             "misses": [
                 {
-                    "route": place.route,
-                    "moment": place.moment,
-                    "reason": place.reason,
-                    "count": found.count,
-                    **{f"mean_{name}": round(fmean(seen), 1) for name, seen in sorted(found.waits.items())},
+                    "route": group.route,
+                    "moment": group.interval,
+                    "reason": group.reason,
+                    "count": miss_count.count,
+                    **{
+                        f"mean_{name}": round(fmean(values), 1)
+                        for name, values in sorted(miss_count.times.items())
+                    },
                 }
-                for place, found in self._sorted()
+                for group, miss_count in self._sorted_groups()
             ],
         }
 
-    def _sorted(self) -> list[tuple[Place, MissCount]]:
-        return sorted(self.misses.items(), key=lambda pair: (pair[0].route, pair[0].moment, -pair[1].count))
+    def _sorted_groups(self) -> list[tuple[MissGroup, MissCount]]:
+        return sorted(self.misses.items(), key=lambda pair: (pair[0].route, pair[0].interval, -pair[1].count))
 
     def lines(self) -> Iterator[str]:
-        """The table for people."""
+        """Yields the table as lines of text."""
         yield (
             f"{'route':<24} {'ended':>7} {'missed':>7} {'share':>6} {'new conn.':>9}"
             "  large prompts planned; at home, second, elsewhere"
@@ -120,29 +128,33 @@
             )
         yield ""
         yield f"{'route':<24} {'moment':<14} {'reason':<24} {'count':>6} {'share':>6}  mean milliseconds"
-        for place, found in self._sorted():
-            totals = self.routes.get(place.route, RouteTotals())
-            share = found.count / max(1, totals.counts["requests"])
-            waits = ", ".join(
-                f"{name.removesuffix('_ms')} {fmean(seen):.0f}"
-                for name, seen in found.waits.items()
-                if any(seen)
+        for group, miss_count in self._sorted_groups():
+            totals = self.routes.get(group.route, RouteTotals())
+            share = miss_count.count / max(1, totals.counts["requests"])
+            times = ", ".join(
+                f"{name.removesuffix('_ms')} {fmean(values):.0f}"
+                for name, values in miss_count.times.items()
+                if any(values)
             )
             yield (
-                f"{place.route:<24} {place.moment:<14} {place.reason:<24} {found.count:>6} {share:>6.1%}"
-                f"  {waits}"
+                f"{group.route:<24} {group.interval:<14} {group.reason:<24} {miss_count.count:>6}"
+                f" {share:>6.1%}  {times}"
             )
 
 
 def read_event(line: str) -> LogEvent | None:
-    """The event of a line; None where it is none of ours."""
+    """Returns the event of a line; None if the line is not an event of the tier."""
     start = line.find("timestamp=")
     if start < 0:
         return None
-    fields = {name: _unquoted(value) for name, value in FIELD.findall(line, start)}
-    before = SECONDS_BEFORE.match(line[:start])
+    fields = {name: _unquoted(value) for name, value in FIELD_PATTERN.findall(line, start)}
+    seconds_prefix = SECONDS_PREFIX.match(line[:start])
     try:
-        at = float(before[1]) if before else datetime.fromisoformat(fields["timestamp"]).timestamp()
+        at = (
+            float(seconds_prefix[1])
+            if seconds_prefix
+            else datetime.fromisoformat(fields["timestamp"]).timestamp()
+        )
     except ValueError as error:
         raise LogError(f"timestamp: {error}") from None
     return LogEvent(at, fields.get("event", ""), fields)
@@ -155,7 +167,7 @@
 
 
 def read_events(paths: Iterable[Path]) -> Iterator[LogEvent]:
-    """All events of some files, file by file. Raises LogError."""
+    """Yields the events of the files, file by file. Raises LogError."""
     for path in paths:
         try:
             with path.open(errors="replace") as lines:
@@ -170,43 +182,43 @@
             raise LogError(f"{path}: {error.strerror}") from None
 
 
-def log_files(place: Path) -> list[Path]:
-    """The log files of a folder, or a file itself. Raises LogError where there is none."""
-    if place.is_dir():
-        files = sorted(path for path in place.rglob("*.log") if path.is_file())
+def log_files(path_or_folder: Path) -> list[Path]:
+    """Returns the log files below a folder, or the file itself. Raises LogError if there are none."""
+    if path_or_folder.is_dir():
+        files = sorted(path for path in path_or_folder.rglob("*.log") if path.is_file())
     else:
-        files = [place] if place.exists() else []
+        files = [path_or_folder] if path_or_folder.exists() else []
     if not files:
-        raise LogError(f"{place}: no log file is there")
+        raise LogError(f"{path_or_folder}: no log file found")
     return files
 
 
-def miss_table(events: Iterable[LogEvent], moments: Sequence[Moment] = ()) -> MissTable:
-    """Add up the misses of some events. Raises LogError where a count cannot be read."""
+def count_misses(events: Iterable[LogEvent], intervals: Sequence[TimeInterval] = ()) -> MissTable:
+    """Counts the misses of the events. Raises LogError if a number is invalid."""
     table = MissTable()
     for event in events:
-        if event.name == TALLY:
+        if event.name == TALLY_EVENT:
             _add_tally(table, event)
         elif event.name in (REQUEST_MISSED, ITEM_MISSED, JOB_MISSED):
-            _add_miss(table, event, moments)
+            _add_miss(table, event, intervals)
     return table
 
 
 def _add_tally(table: MissTable, event: LogEvent) -> None:
     totals = table.routes.setdefault(event.fields.get("route", ""), RouteTotals())
-    for name in COUNTS:
+    for name in TALLY_FIELDS:
         totals.counts[name] += int(_number(event, name))
 
 
-def _add_miss(table: MissTable, event: LogEvent, moments: Sequence[Moment]) -> None:
+def _add_miss(table: MissTable, event: LogEvent, intervals: Sequence[TimeInterval]) -> None:
     age = _number(event, "age_ms") / 1000
-    moment = _moment(event.at - age, moments)
-    place = Place(event.fields.get("route", ""), moment, _reason(event))
-    found = table.misses.setdefault(place, MissCount())
-    found.count += 1
-    for name in WAITS:
+    interval = _interval_name(event.at - age, intervals)
+    group = MissGroup(event.fields.get("route", ""), interval, _reason(event))
+    miss_count = table.misses.setdefault(group, MissCount())
+    miss_count.count += 1
+    for name in TIME_FIELDS:
         if event.fields.get(name):
-            found.waits[name].append(_number(event, name))
+            miss_count.times[name].append(_number(event, name))
 
 
 def _reason(event: LogEvent) -> str:
@@ -222,8 +234,8 @@
     try:
         return float(text)
     except ValueError:
-        raise LogError(f"event {event.name!r}: {name}: {text!r} is no number") from None
+        raise LogError(f"event {event.name!r}: {name}: {text!r} is not a number") from None
 
 
-def _moment(at: float, moments: Sequence[Moment]) -> str:
-    return next((m.name for m in moments if m.begin <= at < m.end), CALM)
+def _interval_name(at: float, intervals: Sequence[TimeInterval]) -> str:
+    return next((m.name for m in intervals if m.begin <= at < m.end), NO_INTERVAL)
--- a/heronstall/report/rollout.py
+++ b/heronstall/report/rollout.py
@@ -1,4 +1,4 @@
-"""One page on a rollout, from its journal: what happened and why, curves of old and new, intervals."""
+"""Generates the HTML report of a rollout from its journal: steps with reasons, curves and intervals."""
 
 from __future__ import annotations
 
@@ -11,109 +11,122 @@
 
 from matplotlib.figure import Figure
 
-from heronstall.report.page import STYLE
 from heronstall.report.plots import svg
+from heronstall.report.page import STYLE
 from heronstall.rollout.plan import Plan
 from heronstall.rollout.state import State
 
-NEW, OLD = "#3b7ea1", "#8a8a8a"
-PLAIN = ("begin", "baseline", "watch", "look", "epoch")
-PERIODS = 6  # watches shown at the most; the latest
+NEW_COLOUR, OLD_COLOUR = "#3b7ea1", "#8a8a8a"
+UNLISTED_KINDS = ("begin", "baseline", "watch", "look", "epoch")
+MAX_WATCHES_SHOWN = 6  # the number of latest watches that the page shows
 
 
-def curves(looks: list[dict[str, Any]]) -> str:
-    """Either cohort's figures, look by look of one watch."""
-    names = [name for name in looks[-1]["levels"] if any(name in look["levels"] for look in looks)]
-    across = 3
-    down = max(1, math.ceil(len(names) / across))
-    figure = Figure(figsize=(9.0, 1.7 * down), layout="constrained")
-    axes = figure.subplots(down, across, squeeze=False)
+def plot_curves(evaluations: list[dict[str, Any]]) -> str:
+    """Returns a plot of both cohorts' metrics over the interim evaluations of one watch."""
+    names = [
+        name
+        for name in evaluations[-1]["levels"]
+        if any(name in evaluation["levels"] for evaluation in evaluations)
+    ]
+    column_count = 3
+    row_count = max(1, math.ceil(len(names) / column_count))
+    figure = Figure(figsize=(9.0, 1.7 * row_count), layout="constrained")
+    axes = figure.subplots(row_count, column_count, squeeze=False)
     for n, name in enumerate(names):
-        one = axes[n // across][n % across]
-        some = [look for look in looks if name in look["levels"]]
-        at = [look["elapsed"] / 1e6 for look in some]
-        for k, (label, colour) in enumerate((("new", NEW), ("old", OLD))):
-            one.plot(at, [look["levels"][name][k] for look in some], color=colour, label=label, marker=".")
-        one.set_title(name, fontsize=8)
-        one.tick_params(labelsize=7)
-    for n in range(len(names), down * across):
-        axes[n // across][n % across].axis("off")
+        subplot = axes[n // column_count][n % column_count]
+        present_evaluations = [evaluation for evaluation in evaluations if name in evaluation["levels"]]
+        at = [evaluation["elapsed"] / 1e6 for evaluation in present_evaluations]
+        for k, (label, colour) in enumerate((("new", NEW_COLOUR), ("old", OLD_COLOUR))):
+            subplot.plot(
+                at,
+                [evaluation["levels"][name][k] for evaluation in present_evaluations],
+                color=colour,
+                label=label,
+                marker=".",
+            )
+        subplot.set_title(name, fontsize=8)
+        subplot.tick_params(labelsize=7)
+    for n in range(len(names), row_count * column_count):
+        axes[n // column_count][n % column_count].axis("off")
     if names:
         axes[0][0].legend(frameon=False, fontsize=7)
     return svg(figure)
 
 
-def intervals(look: dict[str, Any]) -> str:
-    """A look's findings: what new is worse by, in units of what is tolerable."""
-    rows = [row for row in look["findings"] if row[4] > 0]
+def plot_intervals(evaluation: dict[str, Any]) -> str:
+    """Returns a plot of an evaluation's findings: the degradation in units of the tolerance."""
+    rows = [row for row in evaluation["findings"] if row[4] > 0]
     if not rows:
         return ""
     figure = Figure(figsize=(9.0, 0.7 + 0.24 * len(rows)))
     axes = figure.subplots()
-    for n, (_, _, value, least, tolerable, bad) in enumerate(rows):
+    for n, (_, _, value, lower_bound, tolerance, bad) in enumerate(rows):
         colour = "#aa1111" if bad else "0.4"
-        axes.plot([max(-4, least / tolerable), min(4, value / tolerable)], [n, n], color=colour, linewidth=2)
-        axes.plot([max(-4, min(4, value / tolerable))], [n], "o", color=colour, markersize=4)
+        axes.plot(
+            [max(-4, lower_bound / tolerance), min(4, value / tolerance)], [n, n], color=colour, linewidth=2
+        )
+        axes.plot([max(-4, min(4, value / tolerance))], [n], "o", color=colour, markersize=4)
     axes.axvline(0.0, color="0.3", linewidth=0.8)
     axes.axvline(1.0, color="#aa1111", linewidth=0.8, linestyle=":")
     axes.set_yticks(range(len(rows)), [f"{row[0]} {row[1]}".strip() for row in rows], fontsize=7)
     axes.invert_yaxis()
     axes.set_xlim(-4.2, 4.2)
-    axes.set_xlabel("worse by, where 1 is tolerable; the line begins at what it is surely above")
+    axes.set_xlabel("degradation, 1 = tolerated; each line begins at the lower confidence bound")
     return svg(figure)
 
 
-def _when(record: dict[str, Any]) -> str:
+def _format_time(record: dict[str, Any]) -> str:
     return time.strftime("%Y-%m-%d %H:%M:%S", time.localtime(record["at"] / 1e6))
 
 
-def page(plan: Plan, records: list[dict[str, Any]]) -> str:
-    """The page; it refers to nothing outside itself."""
+def rollout_page(plan: Plan, records: list[dict[str, Any]]) -> str:
+    """Returns the HTML page; it references no external resources."""
     state = State.of(records)
     steps = []
     for r in records:
-        if r["kind"] in PLAIN and not r.get("foot"):
+        if r["kind"] in UNLISTED_KINDS and not r.get("foot"):
             continue
-        told = "; ".join(r["all"]) if "all" in r else r.get("reason") or r.get("text") or ""
-        who = r.get("dispatcher", "")
+        detail = "; ".join(r["all"]) if "all" in r else r.get("reason") or r.get("text") or ""
+        dispatcher = r.get("dispatcher", "")
         colour = "bad" if r["kind"] in ("back", "refused", "lost", "trouble", "hold", "stopped") else ""
         steps.append(
-            f'<tr class="{colour}"><td>{_when(r)}</td><td>{r["kind"]}</td><td>{escape(who)}</td>'
-            f"<td>{escape(str(told))}</td></tr>"
+            f'<tr class="{colour}"><td>{_format_time(r)}</td><td>{r["kind"]}</td>'
+            f"<td>{escape(dispatcher)}</td>"
+            f"<td>{escape(str(detail))}</td></tr>"
         )
     watches: dict[tuple[int, int], list[dict[str, Any]]] = defaultdict(list)
-    nth = 0
+    watch_number = 0
     for r in records:
-        nth += r["kind"] == "watch"
+        watch_number += r["kind"] == "watch"
         if r["kind"] == "look" and not r.get("foot"):
-            watches[nth, r["stage"]].append(r)
-    shown = []
-    for (_, stage), looks in list(watches.items())[-PERIODS:]:
-        jobs = ", ".join(f"{name} {n:.0f}" for name, n in looks[-1]["jobs"].items())
-        shown.append(
-            f"<h2>Stage {stage + 1}, watched from {_when(looks[0])}</h2>"
-            f"<p>Jobs at new dispatchers: {escape(jobs)}. {len(looks)} looks.</p>"
-            f"{curves(looks)}{intervals(looks[-1])}"
+            watches[watch_number, r["stage"]].append(r)
+    watch_sections = []
+    for (_, stage), evaluations in list(watches.items())[-MAX_WATCHES_SHOWN:]:
+        jobs = ", ".join(f"{name} {n:.0f}" for name, n in evaluations[-1]["jobs"].items())
+        watch_sections.append(
+            f"<h2>Stage {stage + 1}, watched from {_format_time(evaluations[0])}</h2>"
+            f"<p>Jobs at new dispatchers: {escape(jobs)}. {len(evaluations)} interim evaluations.</p>"
+            f"{plot_curves(evaluations)}{plot_intervals(evaluations[-1])}"
         )
-    good = "good" if state.phase == "done" else "bad" if state.phase == "stopped" else ""
+    status_class = "good" if state.phase == "done" else "bad" if state.phase == "stopped" else ""
     stages = "".join(
-        f"<tr><td>{n + 1}</td><td>{escape(', '.join(names)) or 'nobody'}</td></tr>"
+        f"<tr><td>{n + 1}</td><td>{escape(', '.join(names)) or 'none'}</td></tr>"
         for n, names in enumerate(state.stages)
     )
-    why = f": {escape(state.reason)}" if state.reason else ""
+    reason_text = f": {escape(state.reason)}" if state.reason else ""
     return (
         '<!doctype html>\n<html lang="en"><head><meta charset="utf-8">'
         f"<title>heronstall: rollout {escape(plan.name)}</title><style>{STYLE}</style></head><body>"
         f"<h1>Rollout {escape(plan.name)}</h1><p>{escape(state.release)}, {len(state.homes)} dispatchers."
-        f' <b class="{good}">{state.phase}{why}.</b></p>'
-        f"<h2>Steps</h2><table>{''.join(steps)}</table>{''.join(shown)}"
+        f' <b class="{status_class}">{state.phase}{reason_text}.</b></p>'
+        f"<h2>Steps</h2><table>{''.join(steps)}</table>{''.join(watch_sections)}"
         f"<h2>Stages</h2><table>{stages}</table></body></html>\n"
     )
 
 
-def write(plan: Plan, records: list[dict[str, Any]], folder: Path) -> Path:
-    """Write rollout.html into a folder, which is made."""
+def write_rollout_page(plan: Plan, records: list[dict[str, Any]], folder: Path) -> Path:
+    """Writes rollout.html into a folder, creating it if needed."""
     folder.mkdir(parents=True, exist_ok=True)
     path = folder / "rollout.html"
-    path.write_text(page(plan, records), encoding="utf-8")
+    path.write_text(rollout_page(plan, records), encoding="utf-8")
     return path
--- a/tests/tier/test_miss_table.py
+++ b/tests/tier/test_miss_table.py
@@ -16,7 +16,7 @@
 
 from heronstall.cli import main
 from heronstall.dataplane.misses import MissLog
-from heronstall.report.misses import LogError, Moment, log_files, miss_table, read_event
+from heronstall.report.misses import LogError, TimeInterval, count_misses, log_files, read_event
 from heronstall.tier_process import set_up_logs
 from tests.tier.test_misses import attempt, ended
 
@@ -50,7 +50,7 @@
             "a line that is no log event",
         )
         events = [event for line in lines if (event := read_event(line)) is not None]
-        record = miss_table(events, (Moment("burst", 10, 13),)).record()
+        record = count_misses(events, (TimeInterval("burst", 10, 13),)).record()
         self.assertEqual(record["routes"]["r"]["requests"], 50)
         self.assertEqual(
             [(row["moment"], row["reason"], row["count"]) for row in record["misses"]],
@@ -70,7 +70,7 @@
                 misses.log_tallies()
         structlog.reset_defaults()
         events = [event for line in written.getvalue().splitlines() if (event := read_event(line))]
-        record = miss_table(events).record()
+        record = count_misses(events).record()
         reasons = {row["reason"]: row for row in record["misses"]}
         self.assertEqual(set(reasons), {"late first event", "refused here"})
         self.assertEqual(reasons["late first event"]["mean_first_ms"], 400.0)
@@ -81,7 +81,7 @@
         event = read_event(TALLY.replace("requests=50", "requests=many"))
         assert event is not None
         with self.assertRaisesRegex(LogError, "requests: 'many'"):
-            miss_table([event])
+            count_misses([event])
         with self.assertRaisesRegex(LogError, "timestamp"):
             read_event("timestamp=yesterday event=requests")
 
