--- a/heronstall/report/rollout.py
+++ b/heronstall/report/rollout.py
@@ -11,8 +11,8 @@
 
 from matplotlib.figure import Figure
 
-from heronstall.report.plots import svg
 from heronstall.report.page import STYLE
+from heronstall.report.plots import svg
 from heronstall.rollout.plan import Plan
 from heronstall.rollout.state import State
 
