--- a/heronstall/operator.py
+++ b/heronstall/operator.py
@@ -130,9 +130,9 @@
         trace.get("rotate_s", 3600.0),
         trace.get("keep", 24),
         figures.get("detail", False),
-        _peers(name, _section(name, record, "peers")),
-        _snapshot(name, _section(name, record, "snapshot")),
-        _takeover(name, _section(name, record, "takeover")),
+        _parse_peers(name, _section(name, record, "peers")),
+        _parse_snapshot(name, _section(name, record, "snapshot")),
+        _parse_takeover(name, _section(name, record, "takeover")),
     )
     if settings.takeover is not None and settings.peers is None:
         raise OperatorError(f"{name}: takeover.witnesses: requires peers.port")
@@ -144,13 +144,13 @@
     ):
         if value not in allowed:
             raise OperatorError(f"{name}: {key}: {value!r}, expected {' or '.join(allowed)}")
-    for key, figure in (("trace.rotate_s", settings.trace_rotate_s), ("trace.keep", settings.trace_keep)):
-        if isinstance(figure, bool) or not isinstance(figure, (int, float)) or not figure >= 1:
-            raise OperatorError(f"{name}: {key}: {figure!r}, expected a number of at least 1")
+    for key, number in (("trace.rotate_s", settings.trace_rotate_s), ("trace.keep", settings.trace_keep)):
+        if isinstance(number, bool) or not isinstance(number, (int, float)) or not number >= 1:
+            raise OperatorError(f"{name}: {key}: {number!r}, expected a number of at least 1")
     return settings
 
 
-def _peers(name: str, record: dict[str, Any]) -> PeerSettings | None:
+def _parse_peers(name: str, record: dict[str, Any]) -> PeerSettings | None:
     port, join = record.get("port", 0), record.get("join", [])
     if isinstance(port, bool) or not isinstance(port, int) or not 0 <= port <= 65534:
         raise OperatorError(f"{name}: peers.port: {port!r}, expected a port up to 65534")
@@ -179,7 +179,7 @@
     return PeerSettings(port, host, tuple(addresses), cluster, endpoints == "same", learn, advertise)
 
 
-def _takeover(name: str, record: dict[str, Any]) -> TakeoverSettings | None:
+def _parse_takeover(name: str, record: dict[str, Any]) -> TakeoverSettings | None:
     groups, classes = record.get("witnesses", []), record.get("classes", [])
     if not isinstance(groups, list) or not all(isinstance(g, list) and g for g in groups):
         raise OperatorError(f"{name}: takeover.witnesses: expected a list of groups of names")
@@ -199,12 +199,12 @@
         ("room_mb", 16, 1),
         ("body_kb", 16, 0),
     ):
-        figure = record.get(key, default)
-        if isinstance(figure, bool) or not isinstance(figure, (int, float)) or not figure >= minimum:
+        number = record.get(key, default)
+        if isinstance(number, bool) or not isinstance(number, (int, float)) or not number >= minimum:
             raise OperatorError(
-                f"{name}: takeover.{key}: {figure!r}, expected a number of at least {minimum}"
+                f"{name}: takeover.{key}: {number!r}, expected a number of at least {minimum}"
             )
-        limits[key] = float(figure)
+        limits[key] = float(number)
     return TakeoverSettings(
         tuple(tuple(str(member) for member in group) for group in groups),
         tuple(str(cls) for cls in classes),
@@ -216,7 +216,7 @@
     )
 
 
-def _snapshot(name: str, record: dict[str, Any]) -> SnapshotSettings | None:
+def _parse_snapshot(name: str, record: dict[str, Any]) -> SnapshotSettings | None:
     folder, max_age_h = record.get("dir", ""), record.get("most_h", 24.0)
     if not isinstance(folder, str):
         raise OperatorError(f"{name}: snapshot.dir: {folder!r}, expected a path")
