--- a/benchmarks/fuzz.py
+++ b/benchmarks/fuzz.py
@@ -30,7 +30,7 @@
     from heronstall.net.server_table import ServerTable
     from heronstall.ops import state_files
     from heronstall.start import snapshot
-    from heronstall.takeover import words
+    from heronstall.takeover import messages as words
 
 CLUSTER, NODE, SERVICE = "c", "n0", "127.0.0.1:80"
 AGE = 60_000_000  # of a snapshot, microseconds
--- a/heronstall/net/takeover/coordinator.py
+++ b/heronstall/net/takeover/coordinator.py
@@ -25,11 +25,11 @@
 from heronstall.net.loop import Coroutine, Loop, Task
 from heronstall.net.server_table import BackendServer
 from heronstall.operator import TakeoverFile
-from heronstall.takeover.holder import Holder, Taker
+from heronstall.takeover.messages import Job as HeldJob
+from heronstall.takeover.messages import Phase, Word
+from heronstall.takeover.ownership import Holder, Taker
 from heronstall.takeover.succession import Roster, in_order
 from heronstall.takeover.witness import Register, Witness
-from heronstall.takeover.words import Job as HeldJob
-from heronstall.takeover.words import Phase, Word
 
 RESULT_RETENTION_US = 2_000_000  # beyond the longest deadline, for clients that repeat a job
 POLL_INTERVAL_US = 30_000  # between queries of a register that another process will end
--- a/heronstall/net/takeover/links.py
+++ b/heronstall/net/takeover/links.py
@@ -23,7 +23,7 @@
 from heronstall.net.connection import Connection, Ended, Lines, connect
 from heronstall.net.loop import READ, Coroutine, Loop, Task, sleep
 from heronstall.net.takeover.coordinator import TakeoverCoordinator
-from heronstall.takeover.words import LARGEST, Unreadable, Word, pack, unpack
+from heronstall.takeover.messages import LARGEST, Unreadable, Word, pack, unpack
 
 PATH = b"/v1/takeover"
 CONNECT_TIMEOUT_US = 500_000
--- a/heronstall/takeover/holder.py
+++ b/heronstall/takeover/ownership.py
@@ -9,7 +9,7 @@
 from collections.abc import Sequence
 from typing import Literal
 
-from heronstall.takeover.words import EPOCHS, Job, Phase, State, Word, epoch
+from heronstall.takeover.messages import EPOCHS, Job, Phase, State, Word, epoch
 
 Verdict = Literal["open", "go", "known", "lost"]
 
--- a/heronstall/takeover/witness.py
+++ b/heronstall/takeover/witness.py
@@ -9,7 +9,7 @@
 
 from collections.abc import Iterator
 
-from heronstall.takeover.words import Job, Phase, State, Word
+from heronstall.takeover.messages import Job, Phase, State, Word
 
 AGAIN = frozenset({"refused"})  # ended, and a client may hand it in anew as if for the first time
 
--- a/tests/explore.py
+++ b/tests/explore.py
@@ -13,9 +13,9 @@
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
-from heronstall.takeover.holder import Holder, Taker
+from heronstall.takeover.messages import Job, Phase, State, Word, epoch
+from heronstall.takeover.ownership import Holder, Taker
 from heronstall.takeover.witness import Register, Witness
-from heronstall.takeover.words import Job, Phase, State, Word, epoch
 
 KEY, LONG = "k", 1_000
 WITNESSES = ("w0", "w1", "w2")
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -9,10 +9,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from heronstall.takeover.holder import Holder, Taker
+from heronstall.takeover.messages import Job, Phase, State, Unreadable, Word, epoch, pack, unpack
+from heronstall.takeover.ownership import Holder, Taker
 from heronstall.takeover.succession import Roster, in_order
 from heronstall.takeover.witness import Register, Witness
-from heronstall.takeover.words import Job, Phase, State, Unreadable, Word, epoch, pack, unpack
 from tests.explore import JOB, KEY, LONG, WITNESSES, begun, crashes, explore, held, owner, steps, takes_over
 
 SECOND = 1_000_000
