--- a/benchmarks/fuzz.py
+++ b/benchmarks/fuzz.py
@@ -30,7 +30,7 @@
     from heronstall.net.server_table import ServerTable
     from heronstall.ops import state_files
     from heronstall.start import snapshot
-    from heronstall.takeover import messages as words
+    from heronstall.takeover import messages as takeover_messages
 
 CLUSTER, NODE, SERVICE = "c", "n0", "127.0.0.1:80"
 AGE = 60_000_000  # of a snapshot, microseconds
@@ -79,13 +79,17 @@
 
 
 def _word() -> Decoder:
-    state = words.State(5, 1, "n0", 7, words.Phase.WRITING, "w1", 1, "", "", "ab", "n0/7/1")
-    told = words.Word("put", "0/k", 5, 1, state, True, False, words.Job(0, 10**6, "{}"))
+    state = takeover_messages.State(
+        5, 1, "n0", 7, takeover_messages.Phase.WRITING, "w1", 1, "", "", "ab", "n0/7/1"
+    )
+    told = takeover_messages.Message(
+        "put", "0/k", 5, 1, state, True, False, takeover_messages.Job(0, 10**6, "{}")
+    )
     return Decoder(
-        (words.Unreadable,),
-        words.unpack,
-        words.pack,
-        (words.pack(told), words.pack(words.Word("ask", "0/k"))),
+        (takeover_messages.UnreadableMessage,),
+        takeover_messages.unpack,
+        takeover_messages.pack,
+        (takeover_messages.pack(told), takeover_messages.pack(takeover_messages.Message("ask", "0/k"))),
     )
 
 
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -24,7 +24,15 @@
 from heronstall.lab.manual_requests import ManualAttempt
 from heronstall.lab.nodes import Nodes
 from heronstall.lab.peered import PeeredNodes
-from tests.explore import begun, crashes, held, owner, steps, takes_over, wander
+from tests.explore import (
+    crashes,
+    initial_world,
+    owner,
+    owner_steps,
+    queued_world,
+    random_walk,
+    successor_steps,
+)
 from tests.losses import Loss, later, scene, statuses
 
 
@@ -89,17 +97,23 @@
 def wandered(seed: int) -> tuple[int, str, tuple[str, ...]]:
     """One way: its steps; what was broken, and the way to it."""
     kind, more = seed % 4, seed // 4 % 4
-    successors = [takes_over(name, n) for n, name in enumerate("BCE"[:more], 1)]
+    successors = [successor_steps(name, n) for n, name in enumerate("BCE"[:more], 1)]
     if kind == 0:
-        found = wander(begun(owner("A", 0)), [steps("A", alone=True), *successors], seed)
+        found = random_walk(initial_world(owner("A", 0)), [owner_steps("A", alone=True), *successors], seed)
     elif kind == 1:
-        found = wander(held("A", 0), [steps("A", waits=True, refuses=True), *successors], seed)
+        found = random_walk(
+            queued_world("A", 0), [owner_steps("A", waits=True, refuses=True), *successors], seed
+        )
     elif kind == 2:
-        back = [steps("A"), steps("D"), *successors, crashes(1)]
-        found = wander(begun(owner("A", 0), owner("D", 4)), back, seed)
+        back = [owner_steps("A"), owner_steps("D"), *successors, crashes(1)]
+        found = random_walk(initial_world(owner("A", 0), owner("D", 4)), back, seed)
     else:
-        found = wander(held("A", 0, confirmed=True), [steps("A", waits=True), *successors, crashes(1)], seed)
-    return found.depth, found.broken, found.trace
+        found = random_walk(
+            queued_world("A", 0, confirmed=True),
+            [owner_steps("A", waits=True), *successors, crashes(1)],
+            seed,
+        )
+    return found.depth, found.violation, found.trace
 
 
 def wanders(runs: int, workers: int) -> None:
--- a/heronstall/net/takeover/coordinator.py
+++ b/heronstall/net/takeover/coordinator.py
@@ -26,9 +26,9 @@
 from heronstall.net.server_table import BackendServer
 from heronstall.operator import TakeoverFile
 from heronstall.takeover.messages import Job as HeldJob
-from heronstall.takeover.messages import Phase, Word
-from heronstall.takeover.ownership import Holder, Taker
-from heronstall.takeover.succession import Roster, in_order
+from heronstall.takeover.messages import Message, Phase
+from heronstall.takeover.ownership import Holder, Successor
+from heronstall.takeover.succession import Roster, takeover_order
 from heronstall.takeover.witness import Register, Witness
 
 RESULT_RETENTION_US = 2_000_000  # beyond the longest deadline, for clients that repeat a job
@@ -65,7 +65,7 @@
     def register_id(self) -> str:
         """The identity of the register whose end this session waits for."""
         other = self.holder.other
-        return self.holder.state.made if other is None else other.made
+        return self.holder.state.register_id if other is None else other.register_id
 
 
 class TakeoverCoordinator:
@@ -83,12 +83,13 @@
         }
         self._owned: dict[str, ProtectedSession] = {}
         self._by_session: dict[int, ProtectedSession] = {}
-        self._takeovers: dict[str, tuple[Taker, Register, int]] = {}
+        self._takeovers: dict[str, tuple[Successor, Register, int]] = {}
         self._gone_owners: dict[tuple[str, int], int] = {}  # and when their loss was reported
         self.counts: Counter[str] = Counter()
         self._totals: Counter[str] = Counter()  # of counts that have been logged
         self._counts_logged_at = loop.now
-        self.send: Callable[[str, Word], None] = lambda name, word: None  # sends to another process's witness
+        # Sends to another process's witness.
+        self.send: Callable[[str, Message], None] = lambda name, message: None
         self.is_reachable: Callable[[str], bool] = lambda name: False
 
     def start(self, dispatcher: Dispatcher) -> None:
@@ -171,10 +172,10 @@
         if (
             protected is not None
             and protected.holder is holder
-            and not holder.said
+            and not holder.announced
             and not protected.session.over
         ):
-            self._broadcast(holder.put(Phase.HELD), holder)
+            self._broadcast(holder.put(Phase.ACCEPTED), holder)
 
     def _join_owned(self, session: Session, key: str, digest: str) -> None:
         """Lets a session wait for the end of the same job in an earlier session of this process."""
@@ -211,11 +212,11 @@
             if holder.verdict == "go":
                 return
             repeatable = self._config.settings.classes[session.cls].effect != "unsafe"
-            no_majority = self._loop.now >= alone_at or holder.hopeless()
-            if no_majority and (holder.alone() or repeatable):
+            no_majority = self._loop.now >= alone_at or holder.majority_impossible()
+            if no_majority and (holder.may_run_alone() or repeatable):
                 self.counts["alone"] += 1
                 return
-            if no_majority and holder.gives_way():
+            if no_majority and holder.yield_to_other():
                 self._delegate(protected)
                 continue
             if self._loop.now >= until:
@@ -235,7 +236,7 @@
         ):
             return
         if OUTCOME[ending] in i.PROVES_NOT_RUN:
-            phase = Phase.CONFIRMED if protected.holder.confirmed else Phase.HELD
+            phase = Phase.CONFIRMED if protected.holder.confirmed else Phase.ACCEPTED
             self._broadcast(protected.holder.put(phase, server="", attempt=0), protected.holder)
 
     def answers(self, session: Session, answer: Answer) -> bool:
@@ -248,7 +249,7 @@
         if protected is None or protected.delegated:
             return False
         holder = protected.holder
-        ran = holder.said and holder.state.phase is Phase.WRITING
+        ran = holder.announced and holder.state.phase is Phase.WRITING
         if answer.kind == "refused" and holder.confirmed:
             protected.refusal = answer
             self._broadcast(holder.put(Phase.ENDED, answer="refused"), holder)
@@ -268,14 +269,14 @@
         """Handles the departure of a session's client."""
         protected = self._by_session.get(session.number)
         if protected is not None and not protected.delegated:
-            ran = protected.holder.said and protected.holder.state.phase is Phase.WRITING
+            ran = protected.holder.announced and protected.holder.state.phase is Phase.WRITING
             self._close_register(protected, "failed" if ran else "refused", "")
         elif protected is not None:
             self._remove(protected)
 
     def _close_register(self, protected: ProtectedSession, kind: str, body: str) -> None:
         holder = protected.holder
-        if holder.said and holder.verdict not in ("known", "lost"):
+        if holder.announced and holder.verdict not in ("known", "lost"):
             self._broadcast(holder.put(Phase.ENDED, answer=kind, body=body), holder)
         self._settle_joined(protected, kind, body)
 
@@ -301,43 +302,45 @@
 
     # ------------------------------------------------------------------ messages
 
-    def _broadcast(self, word: Word, holder: Holder) -> None:
+    def _broadcast(self, message: Message, holder: Holder) -> None:
         for name in holder.witnesses:
-            self._send_to(name, word)
+            self._send_to(name, message)
 
-    def _send_to(self, name: str, word: Word) -> None:
+    def _send_to(self, name: str, message: Message) -> None:
         if name == self._name:
-            self.handle_reply(name, self.handle_message(word))
+            self.handle_reply(name, self.handle_message(message))
         else:
-            self.send(name, word)
+            self.send(name, message)
 
-    def handle_message(self, word: Word) -> Word:
+    def handle_message(self, message: Message) -> Message:
         """Passes a message to this process's witness and returns the reply."""
-        return self.witness.heard(word, self._loop.now)
+        return self.witness.handle_message(message, self._loop.now)
 
-    def handle_reply(self, witness: str, word: Word) -> None:
+    def handle_reply(self, witness: str, message: Message) -> None:
         """Processes a witness's reply."""
-        takeover = self._takeovers.get(word.key)
-        if takeover is not None and word.kind in ("promise", "no") and word.epoch == takeover[0].epoch:
-            takeover[0].heard(witness, word)
-            self._check_takeover(word.key)
+        takeover = self._takeovers.get(message.key)
+        if takeover is not None and message.kind in ("promise", "no") and message.epoch == takeover[0].epoch:
+            takeover[0].handle_reply(witness, message)
+            self._check_takeover(message.key)
             return
-        protected = self._owned.get(word.key)
-        if protected is not None and word.kind in ("ack", "no"):
+        protected = self._owned.get(message.key)
+        if protected is not None and message.kind in ("ack", "no"):
             before = protected.holder.verdict
-            after = protected.holder.heard(witness, word)
+            after = protected.holder.handle_reply(witness, message)
             if after != before:
                 self._apply_verdict(protected, after)
-            elif protected.holder.hopeless():
+            elif protected.holder.majority_impossible():
                 protected.wake()
-        if word.kind == "tell" and word.state is not None and word.state.phase is Phase.ENDED:
-            for waiting in [p for p in self._by_session.values() if p.delegated and p.holder.key == word.key]:
-                if word.state.made == waiting.register_id:
-                    self._settle(waiting, word.state.answer, word.state.body)
+        if message.kind == "tell" and message.state is not None and message.state.phase is Phase.ENDED:
+            for waiting in [
+                p for p in self._by_session.values() if p.delegated and p.holder.key == message.key
+            ]:
+                if message.state.register_id == waiting.register_id:
+                    self._settle(waiting, message.state.answer, message.state.body)
 
     def _apply_verdict(self, protected: ProtectedSession, verdict: str) -> None:
         holder = protected.holder
-        if verdict == "go" and holder.state.phase is Phase.HELD:
+        if verdict == "go" and holder.state.phase is Phase.ACCEPTED:
             self._broadcast(holder.put(Phase.CONFIRMED), holder)
         if verdict == "go" and protected.refusal is not None:
             answer, protected.refusal = protected.refusal, None
@@ -354,8 +357,10 @@
         other, holder = protected.holder.other, protected.holder
         self.counts["returned" if holder.verdict == "known" else "lost"] += 1
         protected.delegated = True
-        if holder.verdict == "known" and holder.said:  # a register that it made at a witness has no owner
-            self._broadcast(holder.withdrawn(), holder)
+        if (
+            holder.verdict == "known" and holder.announced
+        ):  # a register that it made at a witness has no owner
+            self._broadcast(holder.withdrawal(), holder)
         if self._owned.get(holder.key) is protected:
             del self._owned[holder.key]
         if holder.verdict == "known" and other is not None and other.digest != holder.state.digest:
@@ -384,7 +389,7 @@
                 self._settle(protected, "failed", "")
             elif protected.holder.key not in self._owned:
                 for name in protected.holder.witnesses:
-                    self._send_to(name, Word("ask", protected.holder.key))
+                    self._send_to(name, Message("ask", protected.holder.key))
         self._loop.at(now + POLL_INTERVAL_US, self._poll_delegated)
 
     # ------------------------------------------------------------------ taking over
@@ -393,7 +398,7 @@
         """Handles the loss of a process: members reported it, or a later process of its name connected."""
         if name != self._name and (name, life) not in self._gone_owners:
             self._gone_owners[name, life] = self._loop.now
-            jobs = sum(1 for _ in self.witness.of(name))
+            jobs = sum(1 for _ in self.witness.open_registers(name))
             say(log, events.TAKEOVER_GONE, owner=name, jobs=jobs)
             self._loop.at(self._loop.now + TAKEOVER_DELAY_US, self._start_takeovers)
 
@@ -403,7 +408,7 @@
 
         gone = {name for name, _ in self._gone_owners}  # their connections may still be open
         for name, life in list(self._gone_owners):
-            for key, register in self.witness.of(name):
+            for key, register in self.witness.open_registers(name):
                 state = register.state
                 if state is None or state.life != life or key in self._takeovers:
                     continue
@@ -414,45 +419,45 @@
         """Starts to take over the most valuable orphaned jobs, a bounded number at a time."""
         now, classes = self._loop.now, self._config.settings.classes
         found = list(self._orphaned_registers())
-        for key, register in in_order(found, now, [c.worth for c in classes]):
+        for key, register in takeover_order(found, now, [c.worth for c in classes]):
             if len(self._takeovers) >= MAX_CONCURRENT_TAKEOVERS:
                 break
             if register.state is None:
                 continue
-            taker = Taker(
+            successor = Successor(
                 key,
                 self._roster.witnesses(key),
                 self._name,
                 self._life,
-                self._roster.place(self._name),
+                self._roster.position(self._name),
                 register.state,
             )
-            self._takeovers[key] = taker, register, now
-            for name in taker.witnesses:
-                self._send_to(name, taker.take())
+            self._takeovers[key] = successor, register, now
+            for name in successor.witnesses:
+                self._send_to(name, successor.take())
         if found:
             self._loop.at(now + max(5_000, round(1e6 / self._settings.pace)), self._start_takeovers)
 
     def _check_takeover(self, key: str) -> None:
-        taker, register, _ = self._takeovers[key]
-        if taker.verdict == "lost":
+        successor, register, _ = self._takeovers[key]
+        if successor.verdict == "lost":
             del self._takeovers[key]
-        elif taker.verdict == "go":
+        elif successor.verdict == "go":
             del self._takeovers[key]
-            self._complete_takeover(taker, register)
+            self._complete_takeover(successor, register)
 
-    def _complete_takeover(self, taker: Taker, register: Register) -> None:
+    def _complete_takeover(self, successor: Successor, register: Register) -> None:
         """Runs or ends a job whose register this process has taken over."""
-        now, job, latest = self._loop.now, register.job, taker.latest
+        now, job, latest = self._loop.now, register.job, successor.latest
         if latest.phase is Phase.ENDED:
             return
-        holder = taker.holder(job)
-        time_left = 0 if job is None else job.left - (now - register.since)
+        holder = successor.to_holder(job)
+        time_left = 0 if job is None else job.time_left - (now - register.received_at)
         cls = None if job is None else self._config.settings.classes[job.cls]
         repeatable = cls is not None and (
             cls.effect == "safe" or (cls.effect == "keyed" and cls.group == "all")
         )
-        if cls is None or job is None or time_left < MIN_TIME_LEFT_US or not taker.may_run(repeatable):
+        if cls is None or job is None or time_left < MIN_TIME_LEFT_US or not successor.may_run(repeatable):
             self.counts["ended"] += 1
             never_ran = latest.phase is Phase.CONFIRMED
             self._broadcast(holder.put(Phase.ENDED, answer="refused" if never_ran else "failed"), holder)
--- a/heronstall/net/takeover/links.py
+++ b/heronstall/net/takeover/links.py
@@ -23,7 +23,7 @@
 from heronstall.net.connection import Connection, Ended, Lines, connect
 from heronstall.net.loop import READ, Coroutine, Loop, Task, sleep
 from heronstall.net.takeover.coordinator import TakeoverCoordinator
-from heronstall.takeover.messages import LARGEST, Unreadable, Word, pack, unpack
+from heronstall.takeover.messages import MAX_LINE_BYTES, Message, UnreadableMessage, pack, unpack
 
 PATH = b"/v1/takeover"
 CONNECT_TIMEOUT_US = 500_000
@@ -47,11 +47,11 @@
         self.up = False
         self._loop.spawn(self._keep_connected(), f"link to {name}")
 
-    def send(self, word: Word) -> None:
+    def send(self, message: Message) -> None:
         """Queues a message; it is sent together with the other messages of this turn of the loop."""
         if not self.up:
             return
-        line = pack(word)
+        line = pack(message)
         self._queued_bytes += len(line)
         if self._queued_bytes > MAX_QUEUED_BYTES:
             self._queued_bytes -= len(line)
@@ -91,7 +91,10 @@
             yield from sleep(self._loop.now + self._random.randrange(*RECONNECT_DELAY_US))
 
     def _receive(self, connection: Connection) -> Coroutine[None]:
-        lines, sender = Lines(LARGEST), self._loop.spawn(self._send_queued(connection), "takeover's words")
+        lines, sender = (
+            Lines(MAX_LINE_BYTES),
+            self._loop.spawn(self._send_queued(connection), "takeover's words"),
+        )
         self._sender, self.up = sender, True
         try:
             while True:
@@ -153,10 +156,10 @@
         link = self._links.get(name)
         return link is not None and link.up and self.address(name) is not None
 
-    def _send(self, name: str, word: Word) -> None:
+    def _send(self, name: str, message: Message) -> None:
         link = self._links.get(name)
         if link is not None:
-            link.send(word)
+            link.send(message)
 
     def link_lost(self, name: str) -> None:
         """Reports that a witness's connection has ended, so that the witness is probed."""
@@ -166,12 +169,12 @@
         """Processes a line that a witness has sent."""
         try:
             self.coordinator.handle_reply(name, unpack(line))
-        except Unreadable as error:
+        except UnreadableMessage as error:
             say(log, events.TAKEOVER_UNREADABLE, peer=name, reason=str(error))
 
     def serve(self, connection: Connection) -> Coroutine[None]:
         """Answers an owner's messages until its connection ends. Raises Ended."""
-        loop, lines, owner = self.loop, Lines(LARGEST), ("", 0)
+        loop, lines, owner = self.loop, Lines(MAX_LINE_BYTES), ("", 0)
         headers = [("Transfer-Encoding", "chunked")]
         response = connection.parser.send(h11.Response(status_code=200, headers=headers)) or b""
         yield from connection.write(response, loop.now + WRITE_TIMEOUT_US)
@@ -187,7 +190,7 @@
                         continue
                     try:
                         replies.append(pack(self.coordinator.handle_message(unpack(line))))
-                    except Unreadable as error:
+                    except UnreadableMessage as error:
                         say(log, events.TAKEOVER_UNREADABLE, peer=owner[0], reason=str(error))
                 if replies:
                     data = connection.parser.send(h11.Data(data=b"".join(replies))) or b""
--- a/heronstall/takeover/__init__.py
+++ b/heronstall/takeover/__init__.py
@@ -1,5 +1,6 @@
-"""Work in hand survives the loss of its dispatcher: free of I/O and of clocks.
+"""Lets jobs survive the loss of their dispatcher. Nothing here does I/O or reads a clock.
 
-`words` is what is said and its form, `witness` keeps the registers of others, `holder` is an owner's part and
-a successor's. docs/takeover.md is the page on it, docs/design/takeover.md the reasons.
+`messages` defines the messages and their encoding, `witness` stores registers for other processes, and
+`ownership` has the protocol of a job's owner and of its successor. `succession` chooses witnesses and
+successors. docs/takeover.md describes the behaviour, docs/design/takeover.md the reasons.
 """
--- a/heronstall/takeover/messages.py
+++ b/heronstall/takeover/messages.py
@@ -1,8 +1,8 @@
-"""The words of takeover: what owners, successors and witnesses say to each other, and its form.
+"""The messages that owners, successors and witnesses exchange, and their encoding.
 
-One JSON array a line: [kind, key, epoch, number, state, first, grown, job]. A state: [epoch, number, owner,
-life, phase, server, attempt, answer, body, digest, made]; a job: [class, time left in us, request]. What is
-said after the known fields is from a later version and passed over.
+Each line is a JSON array: [kind, key, epoch, number, state, first, mature, job]. A state is [epoch, number,
+owner, life, phase, server, attempt, answer, body, digest, register_id]; a job is [class, time left in us,
+request]. Elements after the known fields come from a later version and are ignored.
 """
 
 from __future__ import annotations
@@ -13,56 +13,61 @@
 import ujson
 
 VERSION = 1
-LARGEST = 256 * 1024  # bytes of a line: a job with its body, and an answer
-MOST = 1 << 53
-EPOCHS = 1024  # places in an epoch for its owner's number, so that no two are equal
+MAX_LINE_BYTES = 256 * 1024  # enough for a job with its body, and for an answer
+MAX_INTEGER = 1 << 53
+EPOCHS_PER_ROUND = 1024  # each dispatcher has its own epoch in a round, so that no two epochs are equal
 KINDS = ("put", "take", "ask", "ack", "no", "promise", "tell")
 
 
 class Phase(IntEnum):
-    """How far a job has come, by its owner's word."""
+    """The progress of a job as its owner reports it."""
 
-    HELD = 0  # taken, and no byte of it written; not known to be known to a majority
-    CONFIRMED = 1  # the same, and a majority has it
+    ACCEPTED = 0  # accepted, not written to a server, and not known to be stored by a majority
+    CONFIRMED = 1  # accepted, not written to a server, and stored by a majority
     WRITING = 2  # an attempt may have begun
     ENDED = 3  # answered
 
 
 class State(NamedTuple):
-    """A register's value. Of two the one with the higher (epoch, number) is the later."""
+    """The value of a register. Of two values the one with the higher (epoch, number) is the later."""
 
     epoch: int
     number: int
     owner: str
-    life: int  # of the owner's process
+    life: int  # incarnation of the owner's process
     phase: Phase
-    server: str = ""  # whom an attempt is written to
+    server: str = ""  # that an attempt is written to
     attempt: int = 0
-    answer: str = ""  # an ended one's: served, refused, failed, unusable
+    answer: str = ""  # of an ended job: served, refused, failed or unusable
     body: str = ""
-    digest: str = ""  # of the job, so that a key used for two is noticed
-    made: str = ""  # of this register, in which the key may be used again later: who made it, and when
+    digest: str = ""  # of the job, to detect that a key is used for two different jobs
+    register_id: str = ""  # who created the register and when; tells apart registers that reuse a key
 
     @property
     def rank(self) -> tuple[int, int]:
-        """Its place in order."""
+        """The sort key: the higher rank is the later value."""
         return self.epoch, self.number
 
 
 class Job(NamedTuple):
-    """What a successor wants of a job. `left`: microseconds of its client's time."""
+    """The part of a job that a successor needs. `time_left` is the client's time in microseconds."""
 
     cls: int
-    left: int
-    request: str  # of the frontend, opaque here
+    time_left: int
+    request: str  # encoded by the frontend, opaque here
 
 
-class Word(NamedTuple):
-    """One word. `grown`: its sender has lived for longer than any job does.
+class Message(NamedTuple):
+    """One message. `mature`: its sender has been running for longer than the lifetime of any job.
 
-    put: the owner's state, the first one with `first`. take: a successor wants the register of `state` under
-    `epoch`. ask: what is known. ack: a put is taken. no: it is not, and why: `state` is somebody else's, or
-    (`first`) a higher epoch was promised. promise: an epoch is, with the latest state. tell: what is known.
+    put: the owner's state; `first` marks the put that creates the register.
+    take: a successor requests the register with `state` under `epoch`.
+    ask: requests the state of a register.
+    ack: a put was accepted.
+    no: the message was refused, because of another owner's `state`, or because a higher epoch was promised
+        (`first`).
+    promise: an epoch was promised; carries the latest state.
+    tell: the answer to ask.
     """
 
     kind: str
@@ -71,83 +76,83 @@
     number: int = 0
     state: State | None = None
     first: bool = False
-    grown: bool = False
+    mature: bool = False
     job: Job | None = None
 
 
-class Unreadable(ValueError):
-    """Not a word of ours; the message says why."""
+class UnreadableMessage(ValueError):
+    """A line is not a takeover message; the text gives the reason."""
 
 
-def epoch(round_: int, place: int) -> int:
-    """The epoch of a round for the dispatcher with a place in the roster."""
-    return round_ * EPOCHS + place
+def epoch(round_: int, position: int) -> int:
+    """Returns the epoch of a round for the dispatcher with a position in the roster."""
+    return round_ * EPOCHS_PER_ROUND + position
 
 
-def pack(word: Word) -> bytes:
-    """A line, with its end."""
-    w = word
-    state = None if w.state is None else [*w.state[:4], int(w.state.phase), *w.state[5:]]
-    job = None if w.job is None else list(w.job)
-    told = [w.kind, w.key, w.epoch, w.number, state, int(w.first), int(w.grown), job]
-    return bytes(ujson.dumps(told, escape_forward_slashes=False).encode()) + b"\n"
+def pack(message: Message) -> bytes:
+    """Encodes a message as a line, with its line end."""
+    m = message
+    state = None if m.state is None else [*m.state[:4], int(m.state.phase), *m.state[5:]]
+    job = None if m.job is None else list(m.job)
+    fields = [m.kind, m.key, m.epoch, m.number, state, int(m.first), int(m.mature), job]
+    return bytes(ujson.dumps(fields, escape_forward_slashes=False).encode()) + b"\n"
 
 
-def unpack(line: bytes) -> Word:
-    """A line's word. Raises Unreadable."""
-    if len(line) > LARGEST:
-        raise Unreadable(f"{len(line)} bytes")
+def unpack(line: bytes) -> Message:
+    """Decodes a line. Raises UnreadableMessage."""
+    if len(line) > MAX_LINE_BYTES:
+        raise UnreadableMessage(f"the line is too long: {len(line)} bytes")
     try:
-        told = ujson.loads(line)
+        fields = ujson.loads(line)
     except (ValueError, RecursionError):
-        raise Unreadable("not JSON") from None
-    if not isinstance(told, list) or len(told) < 8 or told[0] not in KINDS:
-        raise Unreadable("not a word of ours")
-    kind, key, at, number, state, first, grown, job = told[:8]
-    return Word(
+        raise UnreadableMessage("not JSON") from None
+    if not isinstance(fields, list) or len(fields) < 8 or fields[0] not in KINDS:
+        raise UnreadableMessage("not a takeover message")
+    kind, key, epoch_, number, state, first, mature, job = fields[:8]
+    return Message(
         kind,
         _text(key),
-        _whole(at),
-        _whole(number),
+        _integer(epoch_),
+        _integer(number),
         None if state is None else _state(state),
-        bool(_whole(first)),
-        bool(_whole(grown)),
+        bool(_integer(first)),
+        bool(_integer(mature)),
         None if job is None else _job(job),
     )
 
 
-def _state(told: Any) -> State:
-    if not isinstance(told, list) or len(told) < 11 or not 0 <= _whole(told[4]) <= Phase.ENDED:
-        raise Unreadable("a state is too short or out of range")
-    at, number, owner, life, phase, server, attempt, answer, body, digest, made = told[:11]
+def _state(fields: Any) -> State:
+    if not isinstance(fields, list) or len(fields) < 11 or not 0 <= _integer(fields[4]) <= Phase.ENDED:
+        raise UnreadableMessage("the state is too short or out of range")
+    epoch_, number, owner, life, phase, server, attempt, answer, body, digest, register_id = fields[:11]
     return State(
-        _whole(at),
-        _whole(number),
+        _integer(epoch_),
+        _integer(number),
         _text(owner),
-        _whole(life),
+        _integer(life),
         Phase(phase),
         _text(server),
-        _whole(attempt),
+        _integer(attempt),
         _text(answer),
         _text(body),
         _text(digest),
-        _text(made),
+        _text(register_id),
     )
 
 
-def _job(told: Any) -> Job:
-    if not isinstance(told, list) or len(told) < 3:
-        raise Unreadable("a job is too short")
-    return Job(_whole(told[0]), _whole(told[1]), _text(told[2]))
+def _job(fields: Any) -> Job:
+    if not isinstance(fields, list) or len(fields) < 3:
+        raise UnreadableMessage("the job is too short")
+    return Job(_integer(fields[0]), _integer(fields[1]), _text(fields[2]))
 
 
-def _whole(told: Any) -> int:
-    if not isinstance(told, int) or not 0 <= told <= MOST:
-        raise Unreadable(f"{str(told)[:20]!r} where a whole number is wanted")
-    return int(told)
+def _integer(value: Any) -> int:
+    if not isinstance(value, int) or not 0 <= value <= MAX_INTEGER:
+        raise UnreadableMessage(f"expected an integer of at least 0, got {str(value)[:20]!r}")
+    return int(value)
 
 
-def _text(told: Any) -> str:
-    if not isinstance(told, str):
-        raise Unreadable(f"{str(told)[:20]!r} where a text is wanted")
-    return told
+def _text(value: Any) -> str:
+    if not isinstance(value, str):
+        raise UnreadableMessage(f"expected a string, got {str(value)[:20]!r}")
+    return value
--- a/heronstall/takeover/succession.py
+++ b/heronstall/takeover/succession.py
@@ -1,7 +1,8 @@
-"""Who keeps a job's register, who takes it over, and in which order jobs are taken.
+"""Chooses a job's witnesses and its successor, and orders the jobs that are to be taken over.
 
-Rendezvous by identity (Thaler, Ravishankar, 1998) within each group of witnesses. It goes by the operator's
-file alone and not by who lives: two that see different members must still ask witnesses that meet.
+Both choices use rendezvous hashing (Thaler, Ravishankar, 1998) on the job's identity. Witnesses are chosen
+within each group from the operator's file alone, whatever members are alive: two dispatchers that see
+different members must still ask witnesses that overlap.
 """
 
 from __future__ import annotations
@@ -17,39 +18,43 @@
 
 
 class Roster:
-    """The witnesses of an installation: groups of names, one of each keeps a job."""
+    """The witnesses of an installation, in groups of names. One of each group stores a job's register."""
 
     def __init__(self, groups: Sequence[Sequence[str]]) -> None:
         self.groups = [tuple(group) for group in groups]
-        self._places = {name: n + 1 for n, name in enumerate(sorted({n for g in groups for n in g}))}
+        self._positions = {name: n + 1 for n, name in enumerate(sorted({n for g in groups for n in g}))}
 
     def witnesses(self, key: str) -> tuple[str, ...]:
-        """Of a job: one of each group."""
+        """Returns a job's witnesses: one of each group."""
         return tuple(min(group, key=lambda name: _score(key, name)) for group in self.groups)
 
-    def place(self, name: str) -> int:
-        """A witness's own number, from 1 on; 0 for who is none."""
-        return self._places.get(name, 0)
+    def position(self, name: str) -> int:
+        """Returns a witness's own number, from 1 on, or 0 for a name that is not a witness."""
+        return self._positions.get(name, 0)
 
-    def successor(self, key: str, me: str, lives: Callable[[str], bool]) -> str:
-        """Who is to take a job over: the first of its witnesses that lives, oneself among them.
+    def successor(self, key: str, me: str, is_alive: Callable[[str], bool]) -> str:
+        """Returns the process that is to take a job over: the first live one of its witnesses, with `me`.
 
-        Two who see it differently both try, and one of them finds the other's epoch promised.
+        Where two processes disagree on who is alive, both try, and one of them is refused because the
+        other's epoch was promised.
         """
-        living = [name for name in self.witnesses(key) if name == me or lives(name)]
-        return min(living, key=lambda name: _score(f"successor of {key}", name))
+        alive = [name for name in self.witnesses(key) if name == me or is_alive(name)]
+        return min(alive, key=lambda name: _score(f"successor of {key}", name))
 
 
-def in_order(
-    found: Iterable[tuple[str, Register]], now: int, worths: Sequence[float]
+def takeover_order(
+    registers: Iterable[tuple[str, Register]], now: int, worths: Sequence[float]
 ) -> list[tuple[str, Register]]:
-    """Registers in the order in which their jobs are worth taking: the dearest first, of those the one with
-    the least time left. What is known to have no job comes last: it is only to be ended."""
+    """Sorts registers by the order in which their jobs are to be taken over.
 
-    def rank(row: tuple[str, Register]) -> tuple[float, int]:
-        job = row[1].job
+    Jobs of the highest worth come first, and among equals the one with the least time left. Registers
+    without a job come last, since they are only to be ended.
+    """
+
+    def rank(item: tuple[str, Register]) -> tuple[float, int]:
+        job = item[1].job
         if job is None:
             return 1.0, 0
-        return -worths[job.cls], job.left - (now - row[1].since)
+        return -worths[job.cls], job.time_left - (now - item[1].received_at)
 
-    return sorted(found, key=rank)
+    return sorted(registers, key=rank)
--- a/heronstall/takeover/witness.py
+++ b/heronstall/takeover/witness.py
@@ -1,149 +1,158 @@
-"""A witness: it keeps registers for others, votes, and forgets in time.
+"""A witness: it stores registers for other processes, votes, and drops expired registers.
 
-A word is taken if its epoch is no lower than what was promised (single-decree Paxos: Lamport, "The Part-Time
-Parliament", 1998). A witness that has begun anew has forgotten what it promised before: on what it does not
-know it votes only once it has lived for longer than any job does.
+A message is accepted if its epoch is no lower than the promised one (single-decree Paxos: Lamport, "The
+Part-Time Parliament", 1998). A witness that has restarted has lost its promises: on a register that it does
+not know it votes only once it has been running for longer than the lifetime of any job.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterator
 
-from heronstall.takeover.messages import Job, Phase, State, Word
+from heronstall.takeover.messages import Job, Message, Phase, State
 
-AGAIN = frozenset({"refused"})  # ended, and a client may hand it in anew as if for the first time
+RESUBMITTABLE_ANSWERS = frozenset({"refused"})  # a client may submit such an ended job again as a new one
 
 
 class Register:
-    """One job, as this witness knows it."""
+    """One job as this witness knows it."""
 
-    __slots__ = ("promised", "state", "job", "until", "since", "size")
+    __slots__ = ("promised", "state", "job", "expires_at", "received_at", "size")
 
-    def __init__(self, until: int, since: int) -> None:
+    def __init__(self, expires_at: int, received_at: int) -> None:
         self.promised = 0
         self.state: State | None = None
         self.job: Job | None = None
-        self.until = until  # from then on nobody asks for it
-        self.since = since  # when its job came here, for its time left
+        self.expires_at = expires_at  # nobody asks for the register from then on
+        self.received_at = received_at  # when the job arrived here, to compute its time left
         self.size = 0
 
 
 class Witness:
     """All registers of one process. Times are microseconds of one clock."""
 
-    def __init__(self, born: int, longest: int, room: int) -> None:
-        """`longest`: a job's life, from its arrival until nobody asks for it any more; `room`: bytes."""
-        self._grown_at, self._longest, self._room = born + longest, longest, room
+    def __init__(self, started_at: int, max_lifetime: int, max_bytes: int) -> None:
+        """`max_lifetime`: the longest time from a job's arrival until nobody asks for it any more."""
+        self._mature_at, self._max_lifetime, self._max_bytes = (
+            started_at + max_lifetime,
+            max_lifetime,
+            max_bytes,
+        )
         self.registers: dict[str, Register] = {}
-        self.held = 0  # bytes
-
-    def grown(self, now: int) -> bool:
-        """Whether it has lived for longer than any job does."""
-        return now >= self._grown_at
-
-    def heard(self, word: Word, now: int) -> Word:
-        """The answer to a put, a take or an ask."""
-        if word.kind == "put":
-            return self._put(word, now)
-        if word.kind == "take":
-            return self._take(word, now)
-        register = self._known(word.key, now)
+        self.stored_bytes = 0
+
+    def is_mature(self, now: int) -> bool:
+        """Returns whether the witness has been running for longer than the lifetime of any job."""
+        return now >= self._mature_at
+
+    def handle_message(self, message: Message, now: int) -> Message:
+        """Returns the answer to a put, a take or an ask."""
+        if message.kind == "put":
+            return self._put(message, now)
+        if message.kind == "take":
+            return self._take(message, now)
+        register = self._lookup(message.key, now)
         state = None if register is None else register.state
-        return Word("tell", word.key, state=state, grown=self.grown(now))
+        return Message("tell", message.key, state=state, mature=self.is_mature(now))
 
-    def _known(self, key: str, now: int) -> Register | None:
+    def _lookup(self, key: str, now: int) -> Register | None:
         register = self.registers.get(key)
-        if register is not None and now >= register.until:
+        if register is not None and now >= register.expires_at:
             self._drop(key)
             return None
         return register
 
-    def _put(self, word: Word, now: int) -> Word:
-        state, register = word.state, self._known(word.key, now)
+    def _put(self, message: Message, now: int) -> Message:
+        state, register = message.state, self._lookup(message.key, now)
         if state is None:
-            return self._no(word, register, now)
+            return self._refuse(message, register, now)
         if register is None:
-            if not word.first and not self.grown(now):
-                return self._no(word, None, now)  # it may be older than this witness, who may have promised
-            if not self._make(word, now):
-                return self._no(word, None, now)
-            return self._ack(word, now)
-        held = register.state
-        if word.first and held is not None and held.made != state.made:
-            if held.phase is not Phase.ENDED or held.answer not in AGAIN:
-                return self._no(word, register, now)
-            register.promised = 0  # it is handed in anew, and is a new job
-            held = register.state = register.job = None
-        if held is not None and held.made != state.made:
-            return self._no(word, register, now)  # a late word on a job that had this key before
+            if not message.first and not self.is_mature(now):
+                # The register may be older than this witness, which may have promised a higher epoch.
+                return self._refuse(message, None, now)
+            if not self._create(message, now):
+                return self._refuse(message, None, now)
+            return self._ack(message, now)
+        current = register.state
+        if message.first and current is not None and current.register_id != state.register_id:
+            if current.phase is not Phase.ENDED or current.answer not in RESUBMITTABLE_ANSWERS:
+                return self._refuse(message, register, now)
+            register.promised = 0  # the job was submitted again and counts as a new one
+            current = register.state = register.job = None
+        if current is not None and current.register_id != state.register_id:
+            return self._refuse(message, register, now)  # a late message on an earlier job with this key
         if state.epoch < register.promised:
-            return self._no(word, register, now)
-        if held is None or state.rank > held.rank:
+            return self._refuse(message, register, now)
+        if current is None or state.rank > current.rank:
             register.state, register.promised = state, state.epoch
-            self._keep(register, word.job, now)
-        return self._ack(word, now)
+            self._update_job(register, message.job, now)
+        return self._ack(message, now)
 
-    def _take(self, word: Word, now: int) -> Word:
-        register = self._known(word.key, now)
+    def _take(self, message: Message, now: int) -> Message:
+        register = self._lookup(message.key, now)
         if register is None:
-            if not self.grown(now) or not self._make(word, now):
-                return self._no(word, None, now)
-            register = self.registers[word.key]
-        other = (
-            register.state is not None and word.state is not None and register.state.made != word.state.made
+            if not self.is_mature(now) or not self._create(message, now):
+                return self._refuse(message, None, now)
+            register = self.registers[message.key]
+        different = (
+            register.state is not None
+            and message.state is not None
+            and register.state.register_id != message.state.register_id
+        )
+        if message.epoch <= register.promised or different:
+            return self._refuse(message, register, now)
+        register.promised = message.epoch
+        return Message("promise", message.key, message.epoch, 0, register.state, mature=self.is_mature(now))
+
+    def _ack(self, message: Message, now: int) -> Message:
+        assert message.state is not None
+        return Message(
+            "ack", message.key, message.state.epoch, message.state.number, mature=self.is_mature(now)
         )
-        if word.epoch <= register.promised or other:
-            return self._no(word, register, now)
-        register.promised = word.epoch
-        return Word("promise", word.key, word.epoch, 0, register.state, grown=self.grown(now))
-
-    def _ack(self, word: Word, now: int) -> Word:
-        assert word.state is not None
-        return Word("ack", word.key, word.state.epoch, word.state.number, grown=self.grown(now))
-
-    def _no(self, word: Word, register: Register | None, now: int) -> Word:
-        of = word.epoch if word.kind == "take" or word.state is None else word.state.epoch
-        number = 0 if word.state is None else word.state.number
+
+    def _refuse(self, message: Message, register: Register | None, now: int) -> Message:
+        epoch = message.epoch if message.kind == "take" or message.state is None else message.state.epoch
+        number = 0 if message.state is None else message.state.number
         state = None if register is None else register.state
         promised = 0 if register is None else register.promised
-        return Word("no", word.key, of, number, state, promised > of, self.grown(now))
+        return Message("no", message.key, epoch, number, state, promised > epoch, self.is_mature(now))
 
-    # ------------------------------------------------------------------ memory
+    # ------------------------------------------------------------------ storage
 
-    def _make(self, word: Word, now: int) -> bool:
-        register = Register(now + self._longest, now)
-        if not self._fits(register, word):
+    def _create(self, message: Message, now: int) -> bool:
+        register = Register(now + self._max_lifetime, now)
+        if not self._fits(register, message):
             return False
-        self.registers[word.key] = register
-        register.state = word.state if word.kind == "put" else None
-        register.promised = word.state.epoch if word.kind == "put" and word.state is not None else 0
-        self._keep(register, word.job, now)
+        self.registers[message.key] = register
+        register.state = message.state if message.kind == "put" else None
+        register.promised = message.state.epoch if message.kind == "put" and message.state is not None else 0
+        self._update_job(register, message.job, now)
         return True
 
-    def _fits(self, register: Register, word: Word) -> bool:
-        size = len(word.key) + (0 if word.job is None else len(word.job.request))
-        return self.held + size <= self._room
+    def _fits(self, register: Register, message: Message) -> bool:
+        size = len(message.key) + (0 if message.job is None else len(message.job.request))
+        return self.stored_bytes + size <= self._max_bytes
 
-    def _keep(self, register: Register, job: Job | None, now: int) -> None:
+    def _update_job(self, register: Register, job: Job | None, now: int) -> None:
         if job is not None and register.job is None:
-            register.job, register.since = job, now
+            register.job, register.received_at = job, now
         state = register.state
         if state is not None and state.phase is Phase.ENDED:
-            register.job = None  # nobody will run it
+            register.job = None  # it will not run again
         size = (0 if register.job is None else len(register.job.request)) + len(state.body if state else "")
-        self.held += size - register.size
+        self.stored_bytes += size - register.size
         register.size = size
 
     def _drop(self, key: str) -> None:
-        self.held -= self.registers.pop(key).size
+        self.stored_bytes -= self.registers.pop(key).size
 
     def sweep(self, now: int) -> None:
-        """Forget what nobody asks for any more."""
-        for key in [key for key, register in self.registers.items() if now >= register.until]:
+        """Drops all expired registers."""
+        for key in [key for key, register in self.registers.items() if now >= register.expires_at]:
             self._drop(key)
 
-    def of(self, owner: str) -> Iterator[tuple[str, Register]]:
-        """The registers of an owner whose jobs have not ended."""
+    def open_registers(self, owner: str) -> Iterator[tuple[str, Register]]:
+        """Yields an owner's registers whose jobs have not ended."""
         for key, register in self.registers.items():
             state = register.state
             if state is not None and state.owner == owner and state.phase is not Phase.ENDED:
--- a/tests/explore.py
+++ b/tests/explore.py
@@ -1,9 +1,9 @@
-"""All interleavings of a register's parties: an explicit-state model that runs the program's own classes.
+"""Checks all interleavings of a register's parties with an explicit-state model of the production classes.
 
-A state is what every party holds and every word that was ever said: a word may arrive at any time, any
-number of times, in any order, or never, which is loss, doubling, reordering, delay, pause and partition in
-one. Witnesses may crash and begin anew with nothing remembered. Breadth first, so that a trace to a broken
-rule is a shortest one.
+A state holds every party's state and every message that was ever sent. A message may arrive at any time, any
+number of times, in any order, or never. This covers loss, duplication, reordering, delay, pauses and
+partitions. Witnesses may crash and restart without their memory. The search is breadth-first, so the trace to
+a violation is a shortest one.
 """
 
 from __future__ import annotations
@@ -13,90 +13,94 @@
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
-from heronstall.takeover.messages import Job, Phase, State, Word, epoch
-from heronstall.takeover.ownership import Holder, Taker
+from heronstall.takeover.messages import Job, Message, Phase, State, epoch
+from heronstall.takeover.ownership import Holder, Successor
 from heronstall.takeover.witness import Register, Witness
 
-KEY, LONG = "k", 1_000
+KEY, LIFETIME = "k", 1_000
 WITNESSES = ("w0", "w1", "w2")
-JOB = Job(0, LONG, "body")
+JOB = Job(0, LIFETIME, "body")
 
 
-class Said(NamedTuple):
-    """A word on the way: from whom, to whom."""
+class Sent(NamedTuple):
+    """A message in transit, with its sender and its recipient."""
 
     sender: str
     to: str
-    word: Word
+    message: Message
 
 
 @dataclass
 class World:
-    """One state."""
+    """One state of the model."""
 
     witnesses: dict[str, Witness] = field(default_factory=dict)
     holders: dict[str, Holder] = field(default_factory=dict)
-    takers: dict[str, Taker] = field(default_factory=dict)
-    said: frozenset[Said] = frozenset()
-    writes: tuple[str, ...] = ()  # who wrote the job to a server
-    answers: frozenset[tuple[str, str]] = frozenset()  # who told a client what
+    successors: dict[str, Successor] = field(default_factory=dict)
+    sent: frozenset[Sent] = frozenset()
+    writes: tuple[str, ...] = ()  # the parties that wrote the job to a server
+    answers: frozenset[tuple[str, str]] = frozenset()  # (party, kind of the answer to its client)
     crashes: int = 0
-    done: frozenset[str] = frozenset()  # steps that a party has made
+    done: frozenset[str] = frozenset()  # the steps that the parties have taken
 
     def copy(self) -> World:
-        """A state to be changed; a party in it is cloned before it is."""
+        """Returns a copy to be changed. A party in it is cloned before it is changed."""
         return World(
             dict(self.witnesses),
             dict(self.holders),
-            dict(self.takers),
-            self.said,
+            dict(self.successors),
+            self.sent,
             self.writes,
             self.answers,
             self.crashes,
             self.done,
         )
 
-    def say(self, sender: str, word: Word) -> None:
-        """A word to all witnesses."""
-        self.said |= {Said(sender, name, word) for name in WITNESSES}
+    def broadcast(self, sender: str, message: Message) -> None:
+        """Sends a message to all witnesses."""
+        self.sent |= {Sent(sender, name, message) for name in WITNESSES}
 
 
-def clone(thing: Any) -> Any:
-    """A copy as deep as the parties are."""
-    made = object.__new__(type(thing))
-    for name, value in thing.__dict__.items():
+def clone(party: Any) -> Any:
+    """Returns a copy of a party that shares no mutable part with it."""
+    copied = object.__new__(type(party))
+    for name, value in party.__dict__.items():
         if name == "registers":
             value = {key: _register(register) for key, register in value.items()}
         elif isinstance(value, set):
             value = set(value)
-        made.__dict__[name] = value
-    return made
+        copied.__dict__[name] = value
+    return copied
 
 
 def _register(register: Register) -> Register:
-    made = Register(register.until, register.since)
+    copied = Register(register.expires_at, register.received_at)
     for name in ("promised", "state", "job", "size"):
-        setattr(made, name, getattr(register, name))
-    return made
+        setattr(copied, name, getattr(register, name))
+    return copied
 
 
-def frozen(world: World) -> Hashable:
-    """The state as it is compared. Witnesses are alike and know nothing of each other: it is what the others
-    hold, and the parts of the witnesses in no order: what each holds and was told, and who counts it."""
+def fingerprint(world: World) -> Hashable:
+    """Returns the value by which states are compared.
+
+    Witnesses are interchangeable and do not communicate with each other. So the value consists of the other
+    parties' states and of one part per witness, in no order: what the witness stores, what was sent to it,
+    and which parties count its vote.
+    """
     parts = []
     for name in WITNESSES:
         w = world.witnesses[name]
         registers = tuple((r.promised, r.state, r.job is None) for r in w.registers.values())
-        words = frozenset((s.sender, s.word) for s in world.said if s.to == name)
-        counts = frozenset((n, name in h._acks, name in h._noes) for n, h in world.holders.items())
-        promises = frozenset((n, name in t._promises) for n, t in world.takers.items())
-        parts.append(hash((w.grown(0), registers, words, counts, promises)))
+        messages = frozenset((s.sender, s.message) for s in world.sent if s.to == name)
+        counts = frozenset((n, name in h._acks, name in h._refusals) for n, h in world.holders.items())
+        promises = frozenset((n, name in s._promises) for n, s in world.successors.items())
+        parts.append(hash((w.is_mature(0), registers, messages, counts, promises)))
     holders = frozenset(
-        (n, h.state, h.verdict, h.confirmed, h._first, h._said) for n, h in world.holders.items()
+        (n, h.state, h.verdict, h.confirmed, h._first, h._announced) for n, h in world.holders.items()
     )
-    takers = frozenset((n, t.epoch, t.latest, t.verdict) for n, t in world.takers.items())
+    successors = frozenset((n, s.epoch, s.latest, s.verdict) for n, s in world.successors.items())
     return hash(
-        (tuple(sorted(parts)), holders, takers, world.writes, world.answers, world.crashes, world.done)
+        (tuple(sorted(parts)), holders, successors, world.writes, world.answers, world.crashes, world.done)
     )
 
 
@@ -105,101 +109,107 @@
 
 
 def deliveries(world: World) -> Iterator[Step]:
-    """Each word arrives at a witness; its answer comes at once, or never.
+    """Yields the arrival of each message at a witness; the reply arrives at once, or never.
 
-    An answer that comes late is no case of its own: it is one that came at once to a party that acts on it
-    late, which every party may, or one that has not come yet.
+    A late reply needs no case of its own: it equals one that arrives at once at a party that acts on it late,
+    which every party may do, or one that has not arrived yet.
     """
-    for said in world.said:
-        name = f"{said.sender} to {said.to}: {text(said.word)}"
-        heard = world.copy()
-        witness = heard.witnesses[said.to] = clone(world.witnesses[said.to])
-        answer = witness.heard(said.word, 0)
-        yield f"{name}, {text(answer)} is lost", heard
-        after = heard.copy()
-        if said.sender in after.holders:
-            holder = after.holders[said.sender] = clone(after.holders[said.sender])
-            holder.heard(said.to, answer)
-        if said.sender in after.takers:
-            taker = after.takers[said.sender] = clone(after.takers[said.sender])
-            taker.heard(said.to, answer)
-        yield f"{name}, {text(answer)}", after
-
-
-def crashes(most: int) -> Moves:
-    """Witnesses that begin anew."""
+    for sent in world.sent:
+        name = f"{sent.sender} to {sent.to}: {text(sent.message)}"
+        received = world.copy()
+        witness = received.witnesses[sent.to] = clone(world.witnesses[sent.to])
+        reply = witness.handle_message(sent.message, 0)
+        yield f"{name}, {text(reply)} is lost", received
+        after = received.copy()
+        if sent.sender in after.holders:
+            holder = after.holders[sent.sender] = clone(after.holders[sent.sender])
+            holder.handle_reply(sent.to, reply)
+        if sent.sender in after.successors:
+            successor = after.successors[sent.sender] = clone(after.successors[sent.sender])
+            successor.handle_reply(sent.to, reply)
+        yield f"{name}, {text(reply)}", after
+
+
+def crashes(max_crashes: int) -> Moves:
+    """Returns the moves in which a witness restarts without its memory."""
 
     def moves(world: World) -> Iterator[Step]:
-        if world.crashes < most:
+        if world.crashes < max_crashes:
             for name in WITNESSES:
                 after = world.copy()
-                after.witnesses[name] = Witness(1, LONG, 1 << 20)
+                after.witnesses[name] = Witness(1, LIFETIME, 1 << 20)
                 after.crashes += 1
-                yield f"{name} crashes and begins anew", after
+                yield f"{name} crashes and restarts", after
 
     return moves
 
 
-def begun(*holders: Holder) -> World:
-    """Grown witnesses, and owners that have said nothing yet."""
-    world = World({name: Witness(-LONG, LONG, 1 << 20) for name in WITNESSES})
+def initial_world(*holders: Holder) -> World:
+    """Returns a state with mature witnesses and owners that have sent nothing yet."""
+    world = World({name: Witness(-LIFETIME, LIFETIME, 1 << 20) for name in WITNESSES})
     for holder in holders:
         world.holders[holder.state.owner] = holder
     return world
 
 
-def held(name: str, place: int, confirmed: bool = False) -> World:
-    """A job that waits in its owner's queue, of which all witnesses know, and its owner that they do; they
-    that it does, too, where it has been `confirmed`."""
-    holder = owner(name, place)
-    world = begun(holder)
-    for phase in (Phase.HELD, Phase.CONFIRMED)[: 1 + confirmed]:
-        word = holder.put(phase)
+def queued_world(name: str, position: int, confirmed: bool = False) -> World:
+    """Returns a state in which a job waits in its owner's queue.
+
+    All witnesses store the job, and its owner knows this. With `confirmed` the witnesses also store that the
+    owner knows it.
+    """
+    holder = owner(name, position)
+    world = initial_world(holder)
+    for phase in (Phase.ACCEPTED, Phase.CONFIRMED)[: 1 + confirmed]:
+        message = holder.put(phase)
         for witness in WITNESSES:
-            holder.heard(witness, world.witnesses[witness].heard(word, 0))
+            holder.handle_reply(witness, world.witnesses[witness].handle_message(message, 0))
     assert holder.verdict == "go"
     return world
 
 
-def owner(name: str, place: int) -> Holder:
-    """A job's first owner, or the dispatcher that its client comes back to."""
-    return Holder(KEY, WITNESSES, name, 1, epoch(0, place), "d", JOB)
+def owner(name: str, position: int) -> Holder:
+    """Returns a job's first owner, or the dispatcher that the job's client returns to."""
+    return Holder(KEY, WITNESSES, name, 1, epoch(0, position), "d", JOB)
+
 
+def owner_steps(name: str, *, waits: bool = False, alone: bool = False, refuses: bool = False) -> Moves:
+    """Returns the moves of an owner: it accepts, writes and ends the job; `waits` queues the job first.
 
-def steps(name: str, *, waits: bool = False, alone: bool = False, refuses: bool = False) -> Moves:
-    """What an owner does in its own time: say that it holds, writes, has ended; `waits`: queued first."""
+    `alone` lets it write without a majority, `refuses` lets it give the job up.
+    """
 
     def moves(world: World) -> Iterator[Step]:
         holder = world.holders[name]
 
-        def step(label: str, do: Callable[[World, Holder], None]) -> Step:
+        def step(label: str, change: Callable[[World, Holder], None]) -> Step:
             after = world.copy()
             after.done |= {f"{name} {label}"}
-            mine = after.holders[name] = clone(after.holders[name])
-            do(after, mine)
+            changed = after.holders[name] = clone(after.holders[name])
+            change(after, changed)
             return f"{name} {label}", after
 
         def did(label: str) -> bool:
             return f"{name} {label}" in world.done
 
-        def puts(phase: Phase, **more: Any) -> Callable[[World, Holder], None]:
-            return lambda after, h: after.say(name, h.put(phase, **more))
+        def puts(phase: Phase, **changes: Any) -> Callable[[World, Holder], None]:
+            return lambda after, h: after.broadcast(name, h.put(phase, **changes))
 
         def writes(after: World, h: Holder) -> None:
             after.writes += (name,)
 
         def answers(kind: str) -> Callable[[World, Holder], None]:
-            def do(after: World, h: Holder) -> None:
+            def change(after: World, h: Holder) -> None:
                 after.answers |= {(name, kind)}
 
-            return do
+            return change
 
         phase, go = holder.state.phase, holder.verdict == "go"
-        if not holder._said:
-            yield step("takes the job", puts(Phase.HELD if waits else Phase.WRITING))
+        if not holder._announced:
+            yield step("takes the job", puts(Phase.ACCEPTED if waits else Phase.WRITING))
             return
-        if phase is Phase.HELD and go:
-            yield step("says that a majority knows", puts(Phase.CONFIRMED))
+        if phase is Phase.ACCEPTED and go:
+            yield step("reports that a majority stores the job", puts(Phase.CONFIRMED))
         if phase is Phase.CONFIRMED and not did("gives up") and not did("is about to write"):
             yield step("is about to write", puts(Phase.WRITING))
             if refuses:
@@ -208,7 +218,7 @@
             yield step("refuses", answers("refused"))
         if phase is Phase.WRITING and go and not did("writes"):
             yield step("writes", writes)
-        if alone and holder.alone() and not did("writes"):
+        if alone and holder.may_run_alone() and not did("writes"):
             yield step("writes", writes)
         if did("writes") and phase is Phase.WRITING and not did("serves"):
             yield step("serves", answers("served"))
@@ -216,30 +226,32 @@
     return moves
 
 
-def takes_over(name: str, place: int, repeatable: bool = False) -> Moves:
-    """What a successor does: it learns of the register from any witness, at any time, and takes it."""
+def successor_steps(name: str, position: int, repeatable: bool = False) -> Moves:
+    """Returns the moves of a successor: it learns of the register from any witness, and takes it over."""
 
     def moves(world: World) -> Iterator[Step]:
-        taker, holder = world.takers.get(name), world.holders.get(name)
-        if taker is None:
+        successor, holder = world.successors.get(name), world.holders.get(name)
+        if successor is None:
             for witness in world.witnesses.values():
                 register = witness.registers.get(KEY)
                 if register is None or register.state is None or register.state.phase is Phase.ENDED:
                     continue
                 after = world.copy()
-                made = after.takers[name] = Taker(KEY, WITNESSES, name, 1, place, register.state)
-                after.say(name, made.take())
-                yield f"{name} takes over what {register.state.owner} had", after
+                created = after.successors[name] = Successor(
+                    KEY, WITNESSES, name, 1, position, register.state
+                )
+                after.broadcast(name, created.take())
+                yield f"{name} takes over the register of {register.state.owner}", after
             return
         if holder is None:
-            if taker.verdict == "go":
+            if successor.verdict == "go":
                 after = world.copy()
-                mine = after.holders[name] = taker.holder(JOB)
-                if taker.may_run(repeatable):
-                    after.say(name, mine.put(Phase.WRITING))
+                created_holder = after.holders[name] = successor.to_holder(JOB)
+                if successor.may_run(repeatable):
+                    after.broadcast(name, created_holder.put(Phase.WRITING))
                     yield f"{name} may run it and is about to write", after
-                elif taker.latest.phase is not Phase.ENDED:
-                    after.say(name, mine.put(Phase.ENDED, answer="failed"))
+                elif successor.latest.phase is not Phase.ENDED:
+                    after.broadcast(name, created_holder.put(Phase.ENDED, answer="failed"))
                     yield f"{name} may not run it and ends it", after
             return
         if (
@@ -255,65 +267,65 @@
     return moves
 
 
-class Found(NamedTuple):
-    """What an exploration saw; `trace` leads to `broken`, both empty where nothing is."""
+class Exploration(NamedTuple):
+    """The result of a search. `trace` leads to the `violation`; both are empty where there is none."""
 
     states: int
     depth: int
-    broken: str
+    violation: str
     trace: tuple[str, ...]
 
 
-def explore(first: World, moves: list[Moves], most: int = 2_000_000) -> Found:
-    """All states that can be reached, or the shortest way to one that breaks a rule."""
+def explore(first: World, moves: list[Moves], max_states: int = 2_000_000) -> Exploration:
+    """Visits all reachable states, or stops at the shortest trace to a violation."""
     seen: dict[Hashable, tuple[Hashable, str] | None] = {}
-    start = frozen(first)
+    start = fingerprint(first)
     seen[start] = None
     layer, depth = [(start, first)], 0
     while layer:
         following = []
-        for at, world in layer:
-            for many in (deliveries, *moves):
-                for label, after in many(world):
-                    to = frozen(after)
-                    if to in seen:
+        for source, world in layer:
+            for generator in (deliveries, *moves):
+                for label, after in generator(world):
+                    target = fingerprint(after)
+                    if target in seen:
                         continue
-                    seen[to] = at, label
-                    broken = rule(after)
-                    if broken:
-                        return Found(len(seen), depth + 1, broken, trace(seen, to))
-                    following.append((to, after))
-            if len(seen) > most:
-                raise AssertionError(f"over {most} states")
+                    seen[target] = source, label
+                    violation = find_violation(after)
+                    if violation:
+                        return Exploration(len(seen), depth + 1, violation, trace(seen, target))
+                    following.append((target, after))
+            if len(seen) > max_states:
+                raise AssertionError(f"more than {max_states} states")
         layer, depth = following, depth + 1
-    return Found(len(seen), depth, "", ())
+    return Exploration(len(seen), depth, "", ())
 
 
-def wander(first: World, moves: list[Moves], seed: int, most: int = 60) -> Found:
-    """One way through the states, drawn from a seed: for more parties than all of whose states can be seen.
+def random_walk(first: World, moves: list[Moves], seed: int, max_steps: int = 60) -> Exploration:
+    """Follows one random path through the states, for more parties than an exhaustive search can handle.
 
-    A party is taken as lost from any moment on by being drawn no more, so each way has kills in it.
+    A party is lost from a random moment on: it takes no further step. So each walk contains crashes.
     """
-    draw, world, labels = random.Random(seed), first, []
-    lost = sorted(name for name in (*first.holders, "B", "C", "E") if draw.random() < 0.5)
-    loss = {name: draw.randrange(most) for name in lost}
-    for at in range(most):
-        gone = [name for name in lost if at >= loss[name]]
-        choices = [step for many in moves for step in many(world) if step[0].split()[0] not in gone]
-        if not choices or draw.random() < 0.6:
+    rng, world, labels = random.Random(seed), first, []
+    lost = sorted(name for name in (*first.holders, "B", "C", "E") if rng.random() < 0.5)
+    lost_at = {name: rng.randrange(max_steps) for name in lost}
+    for at in range(max_steps):
+        gone = [name for name in lost if at >= lost_at[name]]
+        choices = [step for generator in moves for step in generator(world) if step[0].split()[0] not in gone]
+        if not choices or rng.random() < 0.6:
             choices = list(deliveries(world)) or choices
         if not choices:
             break
-        label, world = choices[draw.randrange(len(choices))]
+        label, world = choices[rng.randrange(len(choices))]
         labels.append(label)
-        broken = rule(world)
-        if broken:
-            return Found(at, at + 1, broken, tuple(labels))
-    return Found(len(labels), len(labels), "", ())
+        violation = find_violation(world)
+        if violation:
+            return Exploration(at, at + 1, violation, tuple(labels))
+    return Exploration(len(labels), len(labels), "", ())
 
 
-def rule(world: World) -> str:
-    """The rule that a state breaks."""
+def find_violation(world: World) -> str:
+    """Returns the guarantee that a state violates, or an empty string."""
     if len(world.writes) > 1:
         return f"written twice: by {' and '.join(world.writes)}"
     if world.writes and any(kind == "refused" for _, kind in world.answers):
@@ -322,18 +334,18 @@
 
 
 def trace(seen: dict[Hashable, tuple[Hashable, str] | None], at: Hashable) -> tuple[str, ...]:
-    """The way to a state, in words."""
-    rows = []
+    """Returns the labels of the steps that lead to a state."""
+    labels = []
     step = seen[at]
     while step is not None:
-        rows.append(step[1])
+        labels.append(step[1])
         step = seen[step[0]]
-    return tuple(reversed(rows))
+    return tuple(reversed(labels))
 
 
-def text(word: Word) -> str:
-    """A word for people."""
-    state: State | None = word.state
-    told = "" if state is None else f" {state.phase.name.lower()} by {state.owner}"
-    young = ", young" if word.kind == "ack" and not word.grown else ""
-    return f"{word.kind}{told} (epoch {word.epoch or (state.epoch if state else 0)}{young})"
+def text(message: Message) -> str:
+    """Returns a readable form of a message."""
+    state: State | None = message.state
+    described = "" if state is None else f" {state.phase.name.lower()} by {state.owner}"
+    young = ", young" if message.kind == "ack" and not message.mature else ""
+    return f"{message.kind}{described} (epoch {message.epoch or (state.epoch if state else 0)}{young})"
