--- a/benchmarks/fuzz.py
+++ b/benchmarks/fuzz.py
@@ -68,10 +68,10 @@
 
 def _member() -> Decoder:
     row = messages.Row(messages.State.SUSPECT, "n1", 7, "10.0.0.1", 8095, "a", messages.Duty.RELAY, "n2")
-    sums = tuple(range(messages.SUMS))
+    sums = tuple(range(messages.CHECKSUM_COUNT))
     told = messages.Message("page", 3, row, "n1", 1, 2, (row, row), 9, sums)
     return Decoder(
-        (messages.Unreadable,),
+        (messages.UnreadableMessage,),
         lambda data: messages.unpack(CLUSTER, data),
         lambda message: messages.pack(CLUSTER, message),
         (messages.pack(CLUSTER, told), messages.pack(CLUSTER, messages.Message("ping", 1, row))),
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -18,7 +18,7 @@
 from typing import Any
 
 from heronstall.membership.messages import State
-from heronstall.membership.swim import USUAL
+from heronstall.membership.swim import DEFAULT_LIMITS
 from heronstall.model.mesh import Mesh
 
 SECOND = 1_000_000
@@ -82,7 +82,9 @@
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--workers", type=int, default=3)
     args = parser.parse_args()
-    print(f"SWIM's mean to the first suspicion: {1.58 * USUAL.period / SECOND:.2f} s of {USUAL}")
+    print(
+        f"SWIM's mean to the first suspicion: {1.58 * DEFAULT_LIMITS.period / SECOND:.2f} s of {DEFAULT_LIMITS}"
+    )
     with ProcessPoolExecutor(args.workers) as pool:
         jobs = [pool.submit(measure, n, args.minutes, args.loss, args.kills, args.seed) for n in args.members]
         for job in jobs:
--- a/heronstall/membership/__init__.py
+++ b/heronstall/membership/__init__.py
@@ -1,5 +1,5 @@
-"""Who is there: a fleet's dispatchers among themselves, where an installation lets them talk. Free of I/O.
+"""The membership of a fleet's dispatchers, where an installation lets them communicate. Nothing here does I/O.
 
-`messages` is the form of what they say, `swim` decides who lives, `relays` who tells whom the server list.
-`heronstall.net.peers.service` carries it.
+`messages` defines the datagrams, `swim` decides which members are alive, and `relays` decides which members
+pass the server list on to others. `heronstall.net.peers.service` is the transport.
 """
--- a/heronstall/membership/messages.py
+++ b/heronstall/membership/messages.py
@@ -1,11 +1,11 @@
-"""Peers' datagrams: a JSON array each, versioned, checked field by field. Free of I/O.
+"""The datagrams of peers: versioned JSON arrays whose fields are all checked. Nothing here does I/O.
 
-    ["heronstall", 1, cluster, kind, seq, sender row, about, page, pages, [row, ...], revision, [sum, ...]]
-    row: [state, name, incarnation, host, port, zone, duty, by]
+    ["heronstall", 1, cluster, kind, seq, sender row, about, first row, next row, [row, ...], revision,
+     [checksum, ...]]
+    row: [state, name, incarnation, host, port, zone, duty, reporter]
 
-What stands after the known fields is from a later version and passed over, and a duty of a later version is
-none that counts; another number in the second place is a form that cannot be read. docs/peers.md is the
-page on it.
+Elements after the known fields come from a later version and are ignored, and an unknown duty counts as
+FREE. A datagram with another number in the second place is unreadable. docs/peers.md describes the protocol.
 """
 
 from __future__ import annotations
@@ -16,16 +16,16 @@
 
 import ujson
 
-MARK, VERSION = "heronstall", 1
-LARGEST = 1200  # bytes of a datagram: passes every usual path whole
-TEXT = 64  # characters of a name, host or zone
-MOST = 1 << 53  # of a number: what every reader of JSON keeps exactly
+MAGIC, VERSION = "heronstall", 1
+MAX_DATAGRAM_BYTES = 1200  # passes every usual network path without fragmentation
+MAX_TEXT_LENGTH = 64  # characters of a name, host or zone
+MAX_INTEGER = 1 << 53  # every JSON reader keeps integers up to this one exactly
 KINDS = ("ping", "ack", "request", "nack", "sync", "page", "gossip")
-SUMS = 64  # parts of a table that are compared
+CHECKSUM_COUNT = 64  # partitions of a table whose checksums are compared
 
 
 class State(IntEnum):
-    """Of a member; of one incarnation the greater word wins."""
+    """The state of a member; of one incarnation the greater state wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -34,19 +34,19 @@
 
 
 class Duty(IntEnum):
-    """What a member does about the server list."""
+    """What a member does for the distribution of the server list."""
 
-    FREE = 0  # it takes the list from others
-    RELAY = 1  # it watches the list service for others
-    UNFIT = 2  # it did, and heard nothing
-    BRANCH = 3  # it takes the list from a relay and passes it on
+    FREE = 0  # takes the list from others
+    RELAY = 1  # watches the list service for others
+    UNFIT = 2  # was a relay and received nothing from the list service
+    BRANCH = 3  # takes the list from a relay and passes it on
 
 
 DUTIES = frozenset(Duty)
 
 
 class Row(NamedTuple):
-    """What is said of a member. `by`: who suspects it."""
+    """One statement about a member: its state, address and duty. `reporter` is who suspects it."""
 
     state: State
     name: str
@@ -55,37 +55,38 @@
     port: int
     zone: str
     duty: Duty = Duty.FREE
-    by: str = ""
+    reporter: str = ""
 
     @property
     def rank(self) -> tuple[int, int]:
-        """The higher one is the newer word."""
+        """The sort key: the row with the higher rank is newer."""
         return self.incarnation, self.state
 
 
 class Message(NamedTuple):
-    """A datagram. `about`: the member that a request or its answer is about.
+    """A datagram. `about` names the member that a ping, a request or its answer is about.
 
-    A page of a table is its rows from the `page`-th on; `pages` is the row after them, 0 at the table's end.
+    A page holds the rows of a table from `first_row` on. `next_row` is the row after them, or 0 at the end of
+    the table.
     """
 
     kind: str
     seq: int
     sender: Row
     about: str = ""
-    page: int = 0
-    pages: int = 0
+    first_row: int = 0
+    next_row: int = 0
     rows: tuple[Row, ...] = ()
-    rev: int = 0  # of the server list that the sender has
-    sums: tuple[int, ...] = ()  # of the parts of its table; none where it wants no comparison
+    rev: int = 0  # revision of the sender's server list
+    checksums: tuple[int, ...] = ()  # of the partitions of its table; empty unless it requests a comparison
 
 
-class Unreadable(ValueError):
-    """A datagram is not of ours, or of a form that cannot be read; the message says which."""
+class UnreadableMessage(ValueError):
+    """A datagram is foreign or has a form that cannot be read; the text gives the reason."""
 
 
-def row_form(row: Row) -> list[Any]:
-    """A row as it is sent."""
+def encode_row(row: Row) -> list[Any]:
+    """Returns a row in the form in which it is sent."""
     return [
         int(row.state),
         row.name,
@@ -94,89 +95,94 @@
         row.port,
         row.zone,
         int(row.duty),
-        row.by,
+        row.reporter,
     ]
 
 
-def fitting(rows: Sequence[Row], room: int = LARGEST - 550) -> list[Row]:
-    """The first rows that fit into so many bytes, one at least; `room`: beside the longest head."""
+def rows_that_fit(rows: Sequence[Row], max_bytes: int = MAX_DATAGRAM_BYTES - 550) -> list[Row]:
+    """Returns the first rows that fit into `max_bytes`, at least one.
+
+    The default leaves space for the longest header.
+    """
     chosen: list[Row] = []
     for row in rows:
-        room -= len(ujson.dumps(row_form(row), escape_forward_slashes=False).encode()) + 1
-        if room < 0 and chosen:
+        max_bytes -= len(ujson.dumps(encode_row(row), escape_forward_slashes=False).encode()) + 1
+        if max_bytes < 0 and chosen:
             break
         chosen.append(row)
     return chosen
 
 
 def pack(cluster: str, message: Message) -> bytes:
-    """The datagram; of the rows only the first that fit into `LARGEST` bytes."""
+    """Encodes a message, with as many of its rows as fit into `MAX_DATAGRAM_BYTES`."""
     m = message
-    head = [MARK, VERSION, cluster, m.kind, m.seq, row_form(m.sender), m.about, m.page, m.pages]
-    text: str = ujson.dumps(head, escape_forward_slashes=False)[:-1] + ",["
-    sums = f",[{','.join(map(str, m.sums))}]" if m.sums else ""
-    size, packed = len(text.encode()) + len(sums), []
+    header = [MAGIC, VERSION, cluster, m.kind, m.seq, encode_row(m.sender), m.about, m.first_row, m.next_row]
+    text: str = ujson.dumps(header, escape_forward_slashes=False)[:-1] + ",["
+    checksums = f",[{','.join(map(str, m.checksums))}]" if m.checksums else ""
+    size, packed = len(text.encode()) + len(checksums), []
     for row in m.rows:
-        one: str = ujson.dumps(row_form(row), escape_forward_slashes=False)
-        size += len(one.encode()) + 1
-        if size + 20 > LARGEST:  # with the revision
+        encoded: str = ujson.dumps(encode_row(row), escape_forward_slashes=False)
+        size += len(encoded.encode()) + 1
+        if size + 20 > MAX_DATAGRAM_BYTES:  # the 20 bytes are for the revision
             break
-        packed.append(one)
-    return (text + ",".join(packed) + f"],{m.rev}{sums}]").encode()
+        packed.append(encoded)
+    return (text + ",".join(packed) + f"],{m.rev}{checksums}]").encode()
 
 
 def unpack(cluster: str, data: bytes) -> Message:
-    """A datagram's message. Raises Unreadable."""
-    if len(data) > LARGEST:
-        raise Unreadable(f"{len(data)} bytes")
+    """Decodes a datagram. Raises UnreadableMessage."""
+    if len(data) > MAX_DATAGRAM_BYTES:
+        raise UnreadableMessage(f"the datagram is too long: {len(data)} bytes")
     try:
-        told = ujson.loads(data)
+        fields = ujson.loads(data)
     except (ValueError, RecursionError):
-        raise Unreadable("not JSON") from None
-    if not isinstance(told, list) or len(told) < 3 or told[0] != MARK:
-        raise Unreadable("not of ours")
-    if told[1] != VERSION:
-        raise Unreadable(f"version {told[1]!r}, {VERSION} is known")
-    if told[2] != cluster:
-        raise Unreadable(f"of the cluster {told[2]!r}")
-    if len(told) < 10 or told[3] not in KINDS or not isinstance(told[9], list):
-        raise Unreadable("fields are missing")
-    rows = tuple(_row(one) for one in told[9])
-    about, page, pages = _text(told[6]), _number(told[7]), _number(told[8])
-    rev = _number(told[10]) if len(told) > 10 else 0
-    sums = told[11] if len(told) > 11 else ()
-    if not isinstance(sums, (list, tuple)) or len(sums) not in (0, SUMS):
-        raise Unreadable(f"a table's sums are {SUMS} or none")
-    told_sums = tuple(_number(one) for one in sums)
-    return Message(told[3], _number(told[4]), _row(told[5]), about, page, pages, rows, rev, told_sums)
-
-
-def _row(told: Any) -> Row:
-    if not isinstance(told, list) or len(told) < 8:
-        raise Unreadable("a row is too short")
-    state, port = _number(told[0]), _number(told[4])
-    duty = _number(told[6])
-    if state > State.LEFT or not 0 < port < 65536 or not told[1] or not told[3]:
-        raise Unreadable("a row is out of range")
+        raise UnreadableMessage("not JSON") from None
+    if not isinstance(fields, list) or len(fields) < 3 or fields[0] != MAGIC:
+        raise UnreadableMessage("not a heronstall datagram")
+    if fields[1] != VERSION:
+        raise UnreadableMessage(f"version {fields[1]!r}, expected {VERSION}")
+    if fields[2] != cluster:
+        raise UnreadableMessage(f"from another cluster, {fields[2]!r}")
+    if len(fields) < 10 or fields[3] not in KINDS or not isinstance(fields[9], list):
+        raise UnreadableMessage("fields are missing")
+    rows = tuple(_row(row) for row in fields[9])
+    about, first_row, next_row = _text(fields[6]), _integer(fields[7]), _integer(fields[8])
+    rev = _integer(fields[10]) if len(fields) > 10 else 0
+    sums = fields[11] if len(fields) > 11 else ()
+    if not isinstance(sums, (list, tuple)) or len(sums) not in (0, CHECKSUM_COUNT):
+        raise UnreadableMessage(f"expected {CHECKSUM_COUNT} checksums or none")
+    checksums = tuple(_integer(value) for value in sums)
+    return Message(
+        fields[3], _integer(fields[4]), _row(fields[5]), about, first_row, next_row, rows, rev, checksums
+    )
+
+
+def _row(fields: Any) -> Row:
+    if not isinstance(fields, list) or len(fields) < 8:
+        raise UnreadableMessage("a row is too short")
+    state, port = _integer(fields[0]), _integer(fields[4])
+    duty = _integer(fields[6])
+    if state > State.LEFT or not 0 < port < 65536 or not fields[1] or not fields[3]:
+        raise UnreadableMessage("a row is out of range")
     return Row(
         State(state),
-        _text(told[1]),
-        _number(told[2]),
-        _text(told[3]),
+        _text(fields[1]),
+        _integer(fields[2]),
+        _text(fields[3]),
         port,
-        _text(told[5]),
+        _text(fields[5]),
         Duty(duty) if duty in DUTIES else Duty.FREE,
-        _text(told[7]),
+        _text(fields[7]),
     )
 
 
-def _number(told: Any) -> int:
-    if isinstance(told, bool) or not isinstance(told, int) or not 0 <= told <= MOST:
-        raise Unreadable(f"{str(told)[:20]!r} where a number is wanted")
-    return told
+def _integer(value: Any) -> int:
+    if isinstance(value, bool) or not isinstance(value, int) or not 0 <= value <= MAX_INTEGER:
+        raise UnreadableMessage(f"expected an integer of at least 0, got {str(value)[:20]!r}")
+    return value
 
 
-def _text(told: Any) -> str:
-    if not isinstance(told, str) or len(told) > TEXT:
-        raise Unreadable(f"{str(told)[:20]!r} where a short text is wanted")
-    return told
+def _text(value: Any) -> str:
+    if not isinstance(value, str) or len(value) > MAX_TEXT_LENGTH:
+        raise UnreadableMessage(f"expected a short string, got {str(value)[:20]!r}")
+    return value
--- a/heronstall/membership/relays.py
+++ b/heronstall/membership/relays.py
@@ -1,13 +1,15 @@
-"""Who asks the list service for all, and whom the others ask. Free of I/O and of clocks.
-
-In each zone two members watch the list service, three of a large one: relays. Where they would have to
-serve more than a few dozen others each, further members take the list from them and pass it on: branches.
-So the list service is asked by as many as there are zones, whatever the fleet's size, and nobody is more
-than two steps from it. Both are the first in an order that everybody works out alike (rendezvous: Thaler,
-Ravishankar, "Using Name-Based Mappings to Increase Hit Rates", 1998), but one who has taken it on stays:
-otherwise each newcomer that is earlier in the order would ask, too. One that hears nothing from the list
-service gives it up for a while, so that asking goes round among all at a bounded pace while the service is
-dead to everybody.
+"""Decides which members ask the list service and which take the server list from others.
+
+Nothing here does I/O or reads a clock. In each zone two members, in a large zone three, watch the list
+service: the relays. Where each of them would have to serve more than a few dozen followers, further members
+take the list from them and pass it on: the branches. So the load on the list service depends on the number of
+zones and not on the size of the fleet, and no member is more than two steps away from it.
+
+Both are the first members in an order that all members compute alike (rendezvous hashing: Thaler, Ravishankar,
+"Using Name-Based Mappings to Increase Hit Rates", 1998). A member that has taken a duty on keeps it: otherwise
+each new member that is earlier in the order would ask the list service, too. A relay that receives nothing
+from the list service gives the duty up for a while. So while the service is unreachable to all, the members
+take turns in asking, at a bounded rate.
 """
 
 from __future__ import annotations
@@ -19,29 +21,31 @@
 from heronstall.membership.messages import Duty, Row, State
 
 SECOND = 1_000_000
-LEAST = 2  # watchers in a zone, so that the loss of one is nothing
-LARGE = 96  # members of a zone from which it has one more: the loss of two at once is then likelier
-FOLLOWERS = 32  # members for each relay or branch
-SETTLE = 300_000  # from taking it on until one asks: who took it on at the same moment is heard of by then
-MOST_FOLLOWERS = 96  # that one serves, when others have gone
-GATHER = 1_000_000  # from the start until one counts on what one knows of the others
-UNFIT = 4_000_000  # without a word from the list service, until another is to try
-EACH = 1_000_000  # longer for the first word, for each who asks: one may be answered after all the others
-REST = 10_000_000  # until one who gave it up may be asked again
-AVOID = 2_000_000  # a relay that failed is not asked again for so long
-MISLED = 60_000_000  # nor one whose word nobody else has heard
-ALONE = 1_000_000  # with a later list than all others have, until that is taken for made up
-APART = 100_000  # times the members: over so long those spread who find no relay
-AGE_MOST = 4_000_000  # an older list is not relied on
-BEHIND = 300_000  # with an older list than others have, until another relay is asked
-RELAY_BEHIND = 1_000_000  # the same of a relay, until another is to be one; agents differ by less
-BLIND_BEHIND = 400_000  # the same of a relay that the list service has not answered yet: it hears nobody
-HOLD = 1_000_000  # that a relay without a list yet keeps a follower
-BEAT = 400_000  # between a relay's words
-
-
-def order(name: str, rows: Iterable[Row]) -> list[Row]:
-    """Rows in the order that belongs to a name."""
+MIN_RELAYS = 2  # in a zone, so that the loss of one has no effect
+LARGE_ZONE_MEMBERS = 96  # a zone of this size has one more relay, since the loss of two at once is likelier
+FOLLOWERS_PER_RELAY = 32  # members for each relay or branch
+SETTLE_US = 300_000  # from taking the duty on to asking; members that took it on together learn of it by then
+MAX_FOLLOWERS = 96  # of one relay or branch, after others have gone
+GATHER_US = 1_000_000  # from the start until a member relies on what it knows of the others
+MAX_RELAY_SILENCE_US = 4_000_000  # without a message from the list service, until another member is to try
+SILENCE_PER_RELAY_US = (
+    1_000_000  # added for the first message, per relay: one may be answered after all others
+)
+UNFIT_PERIOD_US = 10_000_000  # until a member that gave the duty up may become a relay again
+AVOID_FAILED_US = 2_000_000  # a relay that failed is not asked for this long
+AVOID_MISLEADING_US = 60_000_000  # nor is a relay whose revision no other member knows
+UNCONFIRMED_REVISION_US = 1_000_000  # until a revision that is later than all others counts as fabricated
+DIRECT_REQUEST_SPREAD_US = 100_000  # times the members: the time over which those without a relay spread
+MAX_LIST_AGE_US = 4_000_000  # an older list is not relied on
+FOLLOWER_LAG_US = 300_000  # with an older list than others have, until another relay is asked
+RELAY_LAG_US = 1_000_000  # the same for a relay, until another one replaces it; agents differ by less
+UNANSWERED_RELAY_LAG_US = 400_000  # the same for a relay that the list service has not answered yet
+EMPTY_RELAY_HOLD_US = 1_000_000  # that a relay without a list keeps a follower waiting
+HEARTBEAT_INTERVAL_US = 400_000  # between a relay's messages
+
+
+def rendezvous_order(name: str, rows: Iterable[Row]) -> list[Row]:
+    """Returns rows in the rendezvous order of a name."""
 
     def score(row: Row) -> bytes:
         return hashlib.blake2b(f"{name}\0{row.name}".encode(), digest_size=8).digest()
@@ -49,197 +53,219 @@
     return sorted(rows, key=score)
 
 
-def wanted(members: int) -> int:
-    """How many of a zone's members are to watch."""
-    return LEAST + (members >= LARGE)
+def wanted_relays(members: int) -> int:
+    """Returns how many relays a zone of this size is to have."""
+    return MIN_RELAYS + (members >= LARGE_ZONE_MEMBERS)
 
 
-def branches(members: int) -> int:
-    """How many more of them are to pass the list on."""
-    return max(0, -(-members // FOLLOWERS) - wanted(members))
+def wanted_branches(members: int) -> int:
+    """Returns how many branches a zone of this size is to have."""
+    return max(0, -(-members // FOLLOWERS_PER_RELAY) - wanted_relays(members))
 
 
-TELLS = (Duty.RELAY, Duty.BRANCH)
+SERVING_DUTIES = (Duty.RELAY, Duty.BRANCH)
 
 
-class Relaying:
-    """One member's part in it."""
+class RelayRole:
+    """One member's part in the distribution of the server list."""
 
     def __init__(self, now: int) -> None:
-        self._begun = now
+        self._started_at = now
         self.duty = Duty.FREE
-        self._since = now  # of this duty
-        self._failed: dict[str, int] = {}  # relays that failed, and until when they are left alone
-        self._seen: Sequence[Row] | None = None  # what the four below are of
-        self._here: list[Row] = []  # one's own zone
-        self._askers = self._relays = self._branches = 0  # relays of all zones; both kinds of one's own
-        self._held = 0  # places of relays in it that are taken
-
-    def gathering(self, now: int, me: Row, living: Sequence[Row]) -> bool:
-        """Whether it is too early: those who start together know nothing of each other."""
-        if now - self._begun > GATHER:
+        self._duty_since = now
+        self._avoid_until: dict[str, int] = {}  # by name of a relay that failed
+        self._last_living: Sequence[Row] | None = None  # the rows that the next four attributes derive from
+        self._zone_rows: list[Row] = []  # of the own zone
+        # The number of relays in all zones; of unsuspected relays and branches in the own zone.
+        self._all_relays = self._relays = self._branches = 0
+        self._filled = 0  # places of relays in the own zone that are taken
+
+    def is_gathering(self, now: int, me: Row, living: Sequence[Row]) -> bool:
+        """Returns whether it is too early to decide: members that start together do not know each other."""
+        if now - self._started_at > GATHER_US:
             return False
         return not any(r.duty is Duty.RELAY and r.zone == me.zone for r in living if r.name != me.name)
 
     def decide(self, now: int, me: Row, living: Sequence[Row], fresh_at: int | None) -> Duty:
-        """What one is to be from now on. `living` is another object whenever anything in it has changed.
-        `fresh_at`: when the list service last said anything to oneself."""
-        if self.duty is Duty.UNFIT and now - self._since > REST:
+        """Returns the member's duty from now on.
+
+        `living` has to be another object whenever a row in it has changed. `fresh_at` is the time of the list
+        service's last message to this member.
+        """
+        if self.duty is Duty.UNFIT and now - self._duty_since > UNFIT_PERIOD_US:
             self.duty = Duty.FREE
-        if self.gathering(now, me, living):
+        if self.is_gathering(now, me, living):
             return self.duty
-        here = self._look(me, living)
-        want = wanted(len(here))
+        zone_rows = self._update_counts(me, living)
+        wanted = wanted_relays(len(zone_rows))
         if self.duty is Duty.RELAY:
-            heard = max(self._since, fresh_at or 0)
-            first = fresh_at is None or fresh_at < self._since
-            if now - heard > UNFIT + EACH * self._askers * first:
+            heard_at = max(self._duty_since, fresh_at or 0)
+            waits_for_first = fresh_at is None or fresh_at < self._duty_since
+            if (
+                now - heard_at
+                > MAX_RELAY_SILENCE_US + SILENCE_PER_RELAY_US * self._all_relays * waits_for_first
+            ):
                 self._become(Duty.UNFIT, now)
-            # A surplus goes: of those who took it on together, or after the two sides of a cut have met.
-            elif self._relays > want and not _ahead(me, here, want):
+            # Surplus relays arise where several take the duty on together, or after a partition has healed.
+            elif self._relays > wanted and not _is_among_first(me, zone_rows, wanted):
                 self._become(Duty.FREE, now)
             return self.duty
-        missing = want - self._held
+        missing = wanted - self._filled
         if missing <= 0:
             if self.duty is not Duty.UNFIT:
-                self._branch(now, me, here)
+                self._decide_branch(now, me, zone_rows)
             return self.duty
-        able = [r for r in here if r.duty in (Duty.FREE, Duty.BRANCH) and r.state is State.ALIVE]
-        able = able or [r for r in here if r.duty is Duty.UNFIT and r.state is State.ALIVE]
-        if me in order(me.zone, able)[:missing]:
+        able = [r for r in zone_rows if r.duty in (Duty.FREE, Duty.BRANCH) and r.state is State.ALIVE]
+        able = able or [r for r in zone_rows if r.duty is Duty.UNFIT and r.state is State.ALIVE]
+        if me in rendezvous_order(me.zone, able)[:missing]:
             self._become(Duty.RELAY, now)
         return self.duty
 
-    def _look(self, me: Row, living: Sequence[Row]) -> list[Row]:
-        """Those of one's own zone, oneself among them; gone through anew when there is news of anybody.
+    def _update_counts(self, me: Row, living: Sequence[Row]) -> list[Row]:
+        """Returns the rows of the own zone, including `me`; recomputed only when a row has changed.
 
-        Where all relays are suspected none counts: until their end is certain half of the time has passed in
-        which a drain is to reach everybody, and a few more who ask, for a moment, are no harm. While one is
-        not, the others wait: where machines are too slow, everybody is suspected now and then.
+        Where all relays are suspected, none of them counts. Waiting until their end is certain would take
+        half of the time in which a drain has to reach all members, and a few more members that ask the list
+        service for a moment do no harm. While one relay is not suspected, the suspected ones count, too:
+        where machines are too slow, every member is suspected now and then.
         """
-        if living is not self._seen:
-            self._seen = living
-            self._here = [r for r in living if r.zone == me.zone and r.name != me.name] + [me]
-            self._askers = sum(r.duty is Duty.RELAY for r in living)
-            there = [r.duty for r in self._here if r.state is State.ALIVE]
-            self._relays, self._branches = there.count(Duty.RELAY), there.count(Duty.BRANCH)
-            all_of_them = sum(r.duty is Duty.RELAY for r in self._here)
-            self._held = all_of_them if self._relays else 0
-        return self._here
-
-    def _branch(self, now: int, me: Row, here: Sequence[Row]) -> None:
-        """Whether to pass the list on: asked only while there are relays to take it from."""
-        more = branches(len(here))
+        if living is not self._last_living:
+            self._last_living = living
+            self._zone_rows = [r for r in living if r.zone == me.zone and r.name != me.name] + [me]
+            self._all_relays = sum(r.duty is Duty.RELAY for r in living)
+            duties = [r.duty for r in self._zone_rows if r.state is State.ALIVE]
+            self._relays, self._branches = duties.count(Duty.RELAY), duties.count(Duty.BRANCH)
+            with_suspects = sum(r.duty is Duty.RELAY for r in self._zone_rows)
+            self._filled = with_suspects if self._relays else 0
+        return self._zone_rows
+
+    def _decide_branch(self, now: int, me: Row, zone_rows: Sequence[Row]) -> None:
+        """Decides whether to pass the list on. Called only while there are relays to take it from."""
+        wanted = wanted_branches(len(zone_rows))
         if self.duty is Duty.BRANCH:
-            if self._branches > more and not _ahead(me, here, more):
+            if self._branches > wanted and not _is_among_first(me, zone_rows, wanted):
                 self._become(Duty.FREE, now)
             return
-        missing = more - self._branches
-        able = (r for r in here if r.duty is Duty.FREE and r.state is State.ALIVE)
-        if missing > 0 and me in order(me.zone, able)[:missing]:
+        missing = wanted - self._branches
+        able = (r for r in zone_rows if r.duty is Duty.FREE and r.state is State.ALIVE)
+        if missing > 0 and me in rendezvous_order(me.zone, able)[:missing]:
             self._become(Duty.BRANCH, now)
 
     @property
-    def since(self) -> int:
+    def duty_since(self) -> int:
         """When this duty was taken on."""
-        return self._since
+        return self._duty_since
 
-    def settled(self, now: int) -> bool:
-        """Whether a relay may ask: too many that took it on at one moment have heard of each other."""
-        return now - self._since >= SETTLE
+    def is_settled(self, now: int) -> bool:
+        """Returns whether a relay may ask: surplus relays of the same moment have heard of each other."""
+        return now - self._duty_since >= SETTLE_US
 
     def give_up(self, now: int) -> None:
-        """Others hear what oneself does not."""
+        """Gives the duty up, because others receive what this member does not."""
         self._become(Duty.UNFIT, now)
 
     def _become(self, duty: Duty, now: int) -> None:
-        self.duty, self._since = duty, now
+        self.duty, self._duty_since = duty, now
 
-    def failed(self, relay: str, now: int, avoid: int = AVOID) -> None:
-        """A relay could not be used."""
-        self._failed[relay] = now + avoid
+    def mark_failed(self, relay: str, now: int, avoid_for: int = AVOID_FAILED_US) -> None:
+        """Avoids a relay for a while because it could not be used."""
+        self._avoid_until[relay] = now + avoid_for
 
     def sources(self, now: int, me: Row, living: Sequence[Row], ahead: Container[str] = ()) -> list[Row]:
-        """Who may be asked, the best first: those `ahead` of oneself, by name, then those not suspected, then
-        those of one's own zone, in one's own order; by a branch relays alone, so that no two ever take from
-        each other."""
-        self._failed = {name: until for name, until in self._failed.items() if until > now}
-        tells = (Duty.RELAY,) if self.duty is Duty.BRANCH else TELLS
-        usable = [r for r in living if r.duty in tells and r.name not in self._failed and r.name != me.name]
+        """Returns the members that may be asked for the list, the best first.
+
+        Members named in `ahead`, whose list is later, come first, then those not suspected, then those of the
+        own zone, then the member's own order decides. A branch asks only relays, so that no two members take
+        the list from each other.
+        """
+        self._avoid_until = {name: until for name, until in self._avoid_until.items() if until > now}
+        duties = (Duty.RELAY,) if self.duty is Duty.BRANCH else SERVING_DUTIES
+        usable = [
+            r for r in living if r.duty in duties and r.name not in self._avoid_until and r.name != me.name
+        ]
         return sorted(
-            order(me.name, usable),
+            rendezvous_order(me.name, usable),
             key=lambda r: (r.name not in ahead, r.state is State.SUSPECT, r.zone != me.zone),
         )
 
 
-def _ahead(me: Row, here: Sequence[Row], most: int) -> bool:
-    """Whether one is among the first so many of those who have one's duty."""
-    return me in order(me.zone, (r for r in here if r.duty is me.duty and r.state is State.ALIVE))[:most]
+def _is_among_first(me: Row, zone_rows: Sequence[Row], count: int) -> bool:
+    """Returns whether `me` is among the first `count` members of its duty."""
+    return (
+        me
+        in rendezvous_order(me.zone, (r for r in zone_rows if r.duty is me.duty and r.state is State.ALIVE))[
+            :count
+        ]
+    )
 
 
-class Told(NamedTuple):
-    """A list service's message, as it came."""
+class ListMessage(NamedTuple):
+    """A message of the list service, unchanged, with its revision."""
 
     rev: int
     message: Any
 
 
-class Revisions:
-    """Which words on the server list count, where they come over several ways that are not equally fresh.
+class RevisionFilter:
+    """Selects the list messages that count, where they arrive from sources that are not equally fresh.
 
-    A revision is the list service's count of its changes, so a word with a lower one than was taken already
-    is older, and could put back a server that drains: it waits. Either its sender catches up, as agents of
-    one service do within a second, or it goes on saying so of moments `PATIENCE` after the higher one came:
-    then that one was made up, or the service counts anew, and what was held back counts.
+    A revision is the list service's count of its changes. A message with a lower one than was accepted is
+    older and could restore a server that drains, so it is held back. Either its sender catches up, as agents
+    of one service do within a second, or its sender still reports the lower revision for times that are
+    `MAX_DISAGREEMENT_US` after the higher one arrived. Then the higher one was fabricated, or the service has
+    restarted its count, and the messages held back are released.
     """
 
-    PATIENCE = 1_200_000  # more than agents of one service differ by
+    MAX_DISAGREEMENT_US = 1_200_000  # more than agents of one service differ by
 
     def __init__(self) -> None:
-        self.floor: int | None = None
-        self._back: list[Told] = []
-        self._raised = 0  # when the floor came
-
-    def told(self, rev: int, message: Any, as_of: int, now: int) -> list[Told]:
-        """A message has come, true of a moment (`as_of`); those that are to be taken now, in order."""
-        if self.floor is None or rev >= self.floor:
-            if self.floor is None or rev > self.floor:
-                self._raised = now
-            self.floor = rev
-            made, self._back = [*self._back, Told(rev, message)], []
-            return made
-        self._back.append(Told(rev, message))
-        return self.caught_up(as_of)
+        self.highest: int | None = None
+        self._held_back: list[ListMessage] = []
+        self._raised_at = 0  # when the highest revision arrived
+
+    def accept(self, rev: int, message: Any, as_of: int, now: int) -> list[ListMessage]:
+        """Returns the messages to apply now, in order. `as_of`: the time for which `message` was true."""
+        if self.highest is None or rev >= self.highest:
+            if self.highest is None or rev > self.highest:
+                self._raised_at = now
+            self.highest = rev
+            released, self._held_back = [*self._held_back, ListMessage(rev, message)], []
+            return released
+        self._held_back.append(ListMessage(rev, message))
+        return self.release(as_of)
 
     @property
-    def holding(self) -> bool:
-        """Whether something is held back."""
-        return bool(self._back)
+    def is_holding_back(self) -> bool:
+        """Whether messages are held back."""
+        return bool(self._held_back)
+
+    def start_watch(self) -> None:
+        """Begins a watch of another source: its first message, a whole list, replaces those held back."""
+        self._held_back = []
 
-    def begun(self) -> None:
-        """A new watch, of whomever: what the former one held back is in its first, whole list."""
-        self._back = []
+    def is_fabricated(self, now: int, revisions: Callable[[int, bool], list[int]]) -> bool:
+        """Returns whether, some time after its arrival, the other relays do not know the highest revision.
 
-    def made_up(self, now: int, others: Callable[[int, bool], list[int]]) -> bool:
-        """Whether a word of long ago is known to no other relay, or to hardly anybody, that has spoken since.
+        Where no other relay reports one, the members decide: at least three, of which fewer than half know it.
 
-        `others`: the revisions of those who have, since a moment; of relays alone, or of all. Guards against
-        one relay that says a revision of its own making, after which nobody's true word would count for a
-        while. Relays go before the others, who may all have been led astray.
+        `revisions(since, relays_only)` returns the revisions of the members that have reported one since a
+        time. This guards against a relay that reports a revision of its own making, after which true messages
+        would not count for a while. Relays take precedence over the other members, which may all have been
+        misled.
         """
-        if self.floor is None or now - self._raised < ALONE:
+        if self.highest is None or now - self._raised_at < UNCONFIRMED_REVISION_US:
             return False
-        since, floor = self._raised + ALONE // 2, self.floor
-        told = others(since, True)
-        if told:
-            return max(told) < floor
-        told = others(since, False)
-        return len(told) >= 3 and 2 * sum(rev >= floor for rev in told) < len(told)
-
-    def caught_up(self, as_of: int) -> list[Told]:
-        """What was held back, once its sender speaks of a moment late enough."""
-        if not self._back or as_of - self._raised < self.PATIENCE:
+        since, highest = self._raised_at + UNCONFIRMED_REVISION_US // 2, self.highest
+        reported = revisions(since, True)
+        if reported:
+            return max(reported) < highest
+        reported = revisions(since, False)
+        return len(reported) >= 3 and 2 * sum(rev >= highest for rev in reported) < len(reported)
+
+    def release(self, as_of: int) -> list[ListMessage]:
+        """Returns the messages held back once their sender reports on a late enough time."""
+        if not self._held_back or as_of - self._raised_at < self.MAX_DISAGREEMENT_US:
             return []
-        made, self._back = self._back, []
-        self.floor, self._raised = made[-1].rev, as_of
-        return made
+        released, self._held_back = self._held_back, []
+        self.highest, self._raised_at = released[-1].rev, as_of
+        return released
--- a/heronstall/membership/swim.py
+++ b/heronstall/membership/swim.py
@@ -1,14 +1,15 @@
-"""Who is there: SWIM with Lifeguard's refinements. Free of I/O and of clocks.
-
-Each member probes another every period, asks some others to probe it where no answer came, and suspects it
-then; a suspicion that nobody refutes in time is an end. What has changed travels on everything that is
-said. From Das, Gupta, Motivala, "SWIM" (DSN 2002); from Dadgar, Phillips, Currey, "Lifeguard: Local Health
-Awareness" (DSN workshops 2018): one's own lateness stretches one's patience, a suspicion ends the sooner
-the more members share it, and who is suspected is told first.
-
-Beside it the two sides of a cut find each other again, since those who are gone are asked now and then;
-and tables are compared in parts (Demers et al., "Epidemic Algorithms for Replicated Database Maintenance",
-1987, section 1.3): of what is equal nothing is said, so what gossip has missed is found in one comparison.
+"""Membership by SWIM with Lifeguard's refinements. Nothing here does I/O or reads a clock.
+
+Each member probes another one in every period. Without an answer it asks some others to probe that member,
+and then suspects it; a suspicion that is not refuted in time means that the member is dead. Changes are
+piggybacked on all messages. See Das, Gupta, Motivala, "SWIM" (DSN 2002), and Dadgar, Phillips, Currey,
+"Lifeguard: Local Health Awareness" (DSN workshops 2018): a member that is slow itself extends its timeouts,
+a suspicion ends sooner the more members confirm it, and a suspected member is informed first.
+
+In addition the two sides of a partition find each other again, since dead members are still contacted now and
+then. Tables are compared in partitions (Demers et al., "Epidemic Algorithms for Replicated Database
+Maintenance", 1987, section 1.3): equal partitions cause no traffic, and one comparison finds everything that
+gossip has missed.
 """
 
 from __future__ import annotations
@@ -21,38 +22,47 @@
 from typing import NamedTuple
 from zlib import crc32
 
-from heronstall.membership.messages import LARGEST, SUMS, Duty, Message, Row, State, fitting, row_form
+from heronstall.membership.messages import (
+    CHECKSUM_COUNT,
+    MAX_DATAGRAM_BYTES,
+    Duty,
+    Message,
+    Row,
+    State,
+    encode_row,
+    rows_that_fit,
+)
 
 Address = tuple[str, int]
-MOST_MEMBERS = 4096  # guards against words that make up one name after the other
-PAGE = 16  # rows of a page of the table at the most
-PULLS = 4  # times that a page is asked for
-ALL = "all"  # a newcomer's sync: it wants every page
-LATELY = 1_000_000  # what members said longer ago of their server list may have changed since
-ANSWERS = 4  # pages at the most that answer a comparison
+MAX_MEMBERS = 4096  # guards against messages that invent one name after the other
+MAX_PAGE_ROWS = 16
+PULL_ATTEMPTS = 4  # requests for one page
+FULL_TABLE = "all"  # marks the sync of a new member, which requests every page
+RECENT_US = 1_000_000  # an older report of a member's list revision may be out of date
+MAX_COMPARISON_PAGES = 4  # pages that answer a comparison
 
 
 class Limits(NamedTuple):
-    """The pace of it; microseconds, and counts."""
+    """The parameters of the protocol: times in microseconds, counts, and factors."""
 
-    period: int = 250_000  # between one's probes
-    answer: int = 100_000  # for a probe's answer, before others are asked
-    helpers: int = 3  # others that are asked
-    spread: int = 100_000  # between words on what has changed, while there are any
-    fan: int = 2  # members that each such word goes to
-    repeat: float = 4.0  # times log10 of the members + 1: how often a change is said
-    patience: float = 2.0  # times log10 of the members, times a period: a suspicion that many share
-    alone: float = 6.0  # times as long: one that nobody shares
-    sharers: int = 3  # how many who share it make the shortest
-    health: int = 8  # of self-doubt, the most
-    sync: int = 5_000_000  # between comparisons with another's table; a newcomer's are denser, and of all
-    forget: int = 120_000_000  # one that has gone is remembered, so that old words on it are known as old
+    period: int = 250_000  # between a member's probes
+    answer_timeout: int = 100_000  # of a probe, before helpers are asked
+    helpers: int = 3  # members that are asked to probe
+    gossip_interval: int = 100_000  # between gossip messages, while there are updates
+    gossip_fanout: int = 2  # members that each gossip goes to
+    gossip_factor: float = 4.0  # times log10 of the members + 1: how often an update is sent
+    suspicion_factor: float = 2.0  # times log10 of the members, times a period: a fully confirmed suspicion
+    unconfirmed_factor: float = 6.0  # times as long: a suspicion that no other member confirms
+    confirmations: int = 3  # further reporters that make a suspicion the shortest
+    max_health: int = 8  # upper bound of the health score
+    sync_interval: int = 5_000_000  # between comparisons with another table; new members sync more often
+    forget_after: int = 120_000_000  # a dead member is remembered, so that old rows of it are recognised
 
 
-USUAL = Limits()
+DEFAULT_LIMITS = Limits()
 
 
-class Out(NamedTuple):
+class Outgoing(NamedTuple):
     """A message to be sent."""
 
     to: Address
@@ -61,382 +71,411 @@
 
 @dataclass
 class Member:
-    """Another dispatcher, as far as is known."""
+    """What is known of another dispatcher."""
 
     row: Row
-    since: int  # when its state was learned
-    until: int = 0  # a suspicion's end
-    begun: int = 0  # a suspicion's beginning
-    by: set[str] = field(default_factory=set)
-    rev: int = 0  # of its server list, by its own last word
-    heard: int = 0  # when that came
+    state_since: int  # when its state was learned
+    suspicion_end: int = 0
+    suspicion_start: int = 0
+    reporters: set[str] = field(default_factory=set)  # who suspects it
+    rev: int = 0  # revision of its server list, as it last reported itself
+    heard_at: int = 0  # when that report arrived
 
     @property
     def address(self) -> Address:
-        """Where it is heard."""
+        """The address that it receives datagrams at."""
         return self.row.host, self.row.port
 
 
 @dataclass
 class _Probe:
-    """One that is out: for oneself, or for another who asked."""
+    """A pending probe, for this member or on behalf of another one."""
 
     name: str
-    for_whom: Address | None = None
-    their_seq: int = 0
-    asked: int = 0  # helpers that were asked and have not said that there is no answer yet
+    requester: Address | None = None
+    requester_seq: int = 0
+    pending_helpers: int = 0  # helpers that were asked and have not sent a nack yet
     answered: bool = False
 
 
 class Swim:
-    """The table of members and what is to be said.
+    """The table of members and the messages to be sent.
 
-    `me` is one's own row, its incarnation higher than any former life's: milliseconds of the start will do.
-    `seeds` are asked for the table at first, and again while nobody is there. Every call returns what is to
-    be sent; `due` says when `turn` is wanted next. `changed` hears of every member that came, changed or
-    went, after it did, and of its state before.
+    `me` is this member's own row. Its incarnation has to be higher than that of any earlier process of its
+    name; the start time in milliseconds will do. `seeds` are asked for their table at first, and again while
+    no member is known. The methods return the messages to be sent, and `due` is the time at which `turn` is to
+    be called next. `on_change` is called after each change of a member, with the member and its state before.
     """
 
     def __init__(
-        self, me: Row, seeds: Iterable[Address], now: int, draw: random.Random, limits: Limits = USUAL
+        self,
+        me: Row,
+        seeds: Iterable[Address],
+        now: int,
+        rng: random.Random,
+        limits: Limits = DEFAULT_LIMITS,
     ) -> None:
-        self.me, self.limits, self._draw = me, limits, draw
+        self.me, self.limits, self._rng = me, limits, rng
         self.seeds = [seed for seed in seeds if seed != (me.host, me.port)]
         self.members: dict[str, Member] = {}
-        self.rev = 0  # of one's own server list
-        self.blind = False  # a relay that has no word of the list service yet: what it has may be old
-        self.health = 0  # self-doubt: 0 is well
-        self.replaced = False  # another process has our name, and was begun later
-        self.changed: Callable[[Member, State | None], None] = lambda member, before: None
+        self.rev = 0  # revision of the own server list
+        self.list_unconfirmed = (
+            False  # a relay that the list service has not answered yet: its list may be old
+        )
+        self.health = 0  # Lifeguard's local health score: 0 is healthy
+        self.replaced = False  # a later process has this member's name
+        self.on_change: Callable[[Member, State | None], None] = lambda member, before: None
         self._seq = 0
         self._probes: dict[int, _Probe] = {}
         self._round: list[str] = []
-        self._words: dict[str, tuple[Row, int]] = {}  # what is being spread, and how often it was said
-        self._timers: list[tuple[int, int, Callable[[int], Iterator[Out]]]] = []
-        self._tie = 0
-        self._between = 2 * limits.period
-        self._pulled: tuple[Address, int] | None = None  # whom a page of its table was asked for, and which
-        self._living: list[Row] | None = None  # made anew when a row has changed
-        self._count = 0  # of others who are not known to be gone
-        self._rival: Row | None = None  # a later process of our name, by what others say
-        self._at(now + draw.randrange(limits.period), self._period)
-        self._at(now, self._sync)
-        self._at(now + limits.spread, self._spread)
-
-    # ------------------------------------------------------------------ what is known
+        self._updates: dict[str, tuple[Row, int]] = {}  # rows to be spread, and how often each was sent
+        self._timers: list[tuple[int, int, Callable[[int], Iterator[Outgoing]]]] = []
+        self._timer_count = 0  # orders timers of the same time
+        self._sync_delay = 2 * limits.period
+        self._requested_page: tuple[Address, int] | None = None  # the peer, and the page's first row
+        self._living: list[Row] | None = None  # cached until a row changes
+        self._others_alive = 0  # other members that are not known to be gone
+        self._rival: Row | None = None  # a later process of this member's name, as others report it
+        self._schedule(now + rng.randrange(limits.period), self._probe_next)
+        self._schedule(now, self._sync)
+        self._schedule(now + limits.gossip_interval, self._gossip)
+
+    # ------------------------------------------------------------------ the table
 
     def living(self) -> Sequence[Row]:
-        """All who are not known to be gone, oneself among them; those under suspicion too."""
+        """Returns the rows of all members that are not known to be gone, including suspects and `me`."""
         if self._living is None:
             others = [m.row for m in self.members.values() if m.row.state <= State.SUSPECT]
             self._living = others if self.replaced else [self.me, *others]
         return self._living
 
-    def behind(self, now: int) -> bool:
-        """Whether two others have a later server list, and a third of those heard lately: one alone may be
-        wrong, or lie, and lead a few astray. Relays hear the list service, and look at other relays alone."""
-        told = self.revs(now - LATELY, self.me.duty is Duty.RELAY and not self.blind)
-        ahead = sum(rev > self.rev for rev in told)
-        return ahead >= 2 and 3 * ahead >= len(told)
+    def is_behind(self, now: int) -> bool:
+        """Returns whether enough members have a later server list.
+
+        These are at least two, and a third of those that reported recently: a single member may be wrong, or
+        lie, and mislead a few. A relay gets the list from the list service and considers only other relays.
+        """
+        recent = self.revs(now - RECENT_US, self.me.duty is Duty.RELAY and not self.list_unconfirmed)
+        ahead = sum(rev > self.rev for rev in recent)
+        return ahead >= 2 and 3 * ahead >= len(recent)
 
     def ahead(self, now: int) -> set[str]:
-        """The names of those that have a later server list than oneself, but for one that only one has."""
-        heard = [m for m in self._alive() if m.heard > now - LATELY and m.rev > self.rev]
-        known = sorted(m.rev for m in heard)[:-1]
-        return {m.row.name for m in heard if known and m.rev <= known[-1]}
-
-    def revs(self, since: int, relays: bool = False, but: str = "") -> list[int]:
-        """Of the server lists of all, or of all relays, who have said something themselves since a moment;
-        not of those who say that they have none to speak of."""
-        heard = (m for m in self._alive() if m.heard > since and m.rev and m.row.name != but)
-        return [m.rev for m in heard if not relays or m.row.duty is Duty.RELAY]
-
-    def _alive(self) -> list[Member]:
+        """Returns the names of the members with a later server list, except one that only one member has."""
+        later = [m for m in self._alive_members() if m.heard_at > now - RECENT_US and m.rev > self.rev]
+        known = sorted(m.rev for m in later)[:-1]
+        return {m.row.name for m in later if known and m.rev <= known[-1]}
+
+    def revs(self, since: int, relays: bool = False, excluded: str = "") -> list[int]:
+        """Returns the list revisions of the members that have sent something themselves since a time.
+
+        Members that report no revision are left out; `relays` restricts the result to relays.
+        """
+        recent = (m for m in self._alive_members() if m.heard_at > since and m.rev and m.row.name != excluded)
+        return [m.rev for m in recent if not relays or m.row.duty is Duty.RELAY]
+
+    def _alive_members(self) -> list[Member]:
         return [m for m in self.members.values() if m.row.state <= State.SUSPECT]
 
-    def _scale(self) -> float:
-        return max(1.0, math.log10(self._count + 1))
+    def _log_scale(self) -> float:
+        return max(1.0, math.log10(self._others_alive + 1))
 
-    def _doubt(self, by: int) -> None:
-        self.health = min(self.limits.health, max(0, self.health + by))
+    def _adjust_health(self, by: int) -> None:
+        self.health = min(self.limits.max_health, max(0, self.health + by))
 
     # ------------------------------------------------------------------ time
 
     def due(self) -> int:
-        """When `turn` is wanted."""
+        """Returns the time at which `turn` is to be called next."""
         return self._timers[0][0]
 
-    def _at(self, when: int, call: Callable[[int], Iterator[Out]]) -> None:
-        self._tie += 1
-        heapq.heappush(self._timers, (when, self._tie, call))
+    def _schedule(self, when: int, call: Callable[[int], Iterator[Outgoing]]) -> None:
+        self._timer_count += 1
+        heapq.heappush(self._timers, (when, self._timer_count, call))
 
-    def turn(self, now: int) -> list[Out]:
-        """All that is due by now.
+    def turn(self, now: int) -> list[Outgoing]:
+        """Runs all timers that are due.
 
-        Called late, we were the slow one: the answers that we wait for may lie unread, so nothing that
-        happened meanwhile is held against anybody.
+        After a late call this member was the slow one. The answers that it waits for may still be unread, so
+        pending probes are dropped and suspicions extended.
         """
         late = now - self.due()
         if late > self.limits.period:
-            self._doubt(1)
+            self._adjust_health(1)
             self._probes.clear()
             for member in self.members.values():
-                member.until += late
-        out: list[Out] = []
+                member.suspicion_end += late
+        out: list[Outgoing] = []
         while self._timers[0][0] <= now:
             _, _, call = heapq.heappop(self._timers)
             if not self.replaced:
                 out.extend(call(now))
-            elif not self._timers:  # `due` has an answer for ever
-                self._at(now + self.limits.forget, lambda now: iter(()))
+            elif not self._timers:  # keeps one timer, so that `due` always has a result
+                self._schedule(now + self.limits.forget_after, lambda now: iter(()))
         return out
 
-    # ------------------------------------------------------------------ saying
+    # ------------------------------------------------------------------ sending
 
-    def _say(self, to: Address, kind: str, seq: int = 0, **more: object) -> Out:
-        rows = more.pop("rows", None)
-        rev = 0 if self.blind else self.rev  # an old one would speak against those that are true
-        message = Message(kind, seq, self.me, rev=rev, **more)  # type: ignore[arg-type]
-        chosen = self._news(to) if rows is None else tuple(rows)  # type: ignore[arg-type]
-        return Out(to, message._replace(rows=chosen))
+    def _message(self, to: Address, kind: str, seq: int = 0, **fields: object) -> Outgoing:
+        rows = fields.pop("rows", None)
+        rev = 0 if self.list_unconfirmed else self.rev  # an old revision would count against current ones
+        message = Message(kind, seq, self.me, rev=rev, **fields)  # type: ignore[arg-type]
+        chosen = self._updates_for(to) if rows is None else tuple(rows)  # type: ignore[arg-type]
+        return Outgoing(to, message._replace(rows=chosen))
 
-    def _news(self, to: Address) -> tuple[Row, ...]:
-        """The words said least often so far, as many as there is room for; first those on the hearer."""
-        if not self._words:
+    def _updates_for(self, to: Address) -> tuple[Row, ...]:
+        """Returns the updates sent least often so far, as many as fit; those about the recipient come first."""
+        if not self._updates:
             return ()
-        most = math.ceil(self.limits.repeat * self._scale())
-        room = LARGEST - 300
+        max_times = math.ceil(self.limits.gossip_factor * self._log_scale())
+        free_bytes = MAX_DATAGRAM_BYTES - 300
         rows = []
         order = sorted(
-            self._words.items(), key=lambda item: ((item[1][0].host, item[1][0].port) != to, item[1][1])
+            self._updates.items(), key=lambda item: ((item[1][0].host, item[1][0].port) != to, item[1][1])
         )
         for name, (row, times) in order:
-            room -= 3 * len(row_form(row)) + len(name) + len(row.host) + len(row.zone) + len(row.by) + 24
-            if room < 0:
+            free_bytes -= (
+                3 * len(encode_row(row)) + len(name) + len(row.host) + len(row.zone) + len(row.reporter) + 24
+            )
+            if free_bytes < 0:
                 break
             rows.append(row)
-            if times + 1 >= most:
-                del self._words[name]
+            if times + 1 >= max_times:
+                del self._updates[name]
             else:
-                self._words[name] = (row, times + 1)
+                self._updates[name] = (row, times + 1)
         return tuple(rows)
 
-    def _tell_all(self, row: Row) -> None:
-        self._words[row.name] = (row, 0)
+    def _spread_update(self, row: Row) -> None:
+        self._updates[row.name] = (row, 0)
 
     def announce(self, duty: Duty) -> None:
-        """Say what one does about the server list."""
+        """Announces this member's duty."""
         if duty is not self.me.duty:
             self.me = self.me._replace(duty=duty)
-            self._renew(self.me.incarnation)
+            self._raise_incarnation(self.me.incarnation)
 
-    def _renew(self, above: int) -> None:
+    def _raise_incarnation(self, above: int) -> None:
         self.me = self.me._replace(incarnation=max(self.me.incarnation, above) + 1)
         self._living = None
-        self._tell_all(self.me)
+        self._spread_update(self.me)
 
-    def leave(self) -> list[Out]:
-        """Say goodbye to a few, who tell the others."""
+    def leave(self) -> list[Outgoing]:
+        """Announces to a few members, which spread it, that this member leaves."""
         self.me = self.me._replace(state=State.LEFT)
         self.replaced, self._living = True, None
-        alive = self._alive()
-        few = self._draw.sample(alive, min(len(alive), 2 * self.limits.helpers))
-        return [self._say(m.address, "gossip", rows=(self.me,)) for m in few]
+        alive = self._alive_members()
+        chosen = self._rng.sample(alive, min(len(alive), 2 * self.limits.helpers))
+        return [self._message(m.address, "gossip", rows=(self.me,)) for m in chosen]
 
-    # ------------------------------------------------------------------ periods
+    # ------------------------------------------------------------------ probes, gossip and syncs
 
-    def _period(self, now: int) -> Iterator[Out]:
-        self._at(now + self.limits.period * (1 + self.health), self._period)
-        member = self._next()
+    def _probe_next(self, now: int) -> Iterator[Outgoing]:
+        self._schedule(now + self.limits.period * (1 + self.health), self._probe_next)
+        member = self._next_member()
         if member is not None:
             yield from self._probe(member, now)
 
-    def ask(self, name: str, now: int) -> list[Out]:
-        """Probe a member now, out of turn, since something speaks for its being gone: a connection broke.
+    def ask(self, name: str, now: int) -> list[Outgoing]:
+        """Probes a member now, out of turn, because something suggests that it is gone: a connection broke.
 
-        It gets the same time to answer, and to refute, as any other.
+        It gets the same time to answer, and to refute, as any other member.
         """
         member = self.members.get(name)
-        open_already = any(p.name == name and p.for_whom is None for p in self._probes.values())
+        open_already = any(p.name == name and p.requester is None for p in self._probes.values())
         if member is None or member.row.state is not State.ALIVE or open_already:
             return []
         return list(self._probe(member, now))
 
-    def _probe(self, member: Member, now: int) -> Iterator[Out]:
-        limits, patience = self.limits, 1 + self.health
+    def _probe(self, member: Member, now: int) -> Iterator[Outgoing]:
+        limits, factor = self.limits, 1 + self.health
         self._seq += 1
         seq, probe = self._seq, _Probe(member.row.name)
         self._probes[seq] = probe
-        self._at(now + limits.answer * patience, lambda now: self._unanswered(now, seq))
-        self._at(now + limits.period * patience, lambda now: self._judge(now, seq))
+        self._schedule(now + limits.answer_timeout * factor, lambda now: self._ask_helpers(now, seq))
+        self._schedule(now + limits.period * factor, lambda now: self._finish_probe(now, seq))
         if member.row.state is State.SUSPECT:
-            self._words.setdefault(member.row.name, (member.row, 0))  # it is the first who should know
-        yield self._say(member.address, "ping", seq, about=member.row.name)
+            # The suspect is the first that has to know, so that it can refute.
+            self._updates.setdefault(member.row.name, (member.row, 0))
+        yield self._message(member.address, "ping", seq, about=member.row.name)
 
-    def _next(self) -> Member | None:
-        """Each member in turn, in an order drawn anew each round: so the time to a probe is bounded."""
+    def _next_member(self) -> Member | None:
+        """Returns each member in turn, shuffled anew in each round, so the time to a probe is bounded."""
         while True:
             while self._round:
                 member = self.members.get(self._round.pop())
                 if member is not None and member.row.state <= State.SUSPECT:
                     return member
-            self._round = [m.row.name for m in self._alive()]
+            self._round = [m.row.name for m in self._alive_members()]
             if not self._round:
                 return None
-            self._draw.shuffle(self._round)
+            self._rng.shuffle(self._round)
 
-    def _unanswered(self, now: int, seq: int) -> Iterator[Out]:
+    def _ask_helpers(self, now: int, seq: int) -> Iterator[Outgoing]:
         probe = self._probes.get(seq)
         if probe is None or probe.answered:
             return
-        others = [m for m in self._alive() if m.row.name != probe.name and m.row.state is State.ALIVE]
-        helpers = self._draw.sample(others, min(len(others), self.limits.helpers))
-        probe.asked = len(helpers) or 1  # with nobody to ask we may be the one who is cut off
+        others = [m for m in self._alive_members() if m.row.name != probe.name and m.row.state is State.ALIVE]
+        helpers = self._rng.sample(others, min(len(others), self.limits.helpers))
+        probe.pending_helpers = len(helpers) or 1  # without helpers this member may itself be cut off
         for helper in helpers:
-            yield self._say(helper.address, "request", seq, about=probe.name)
+            yield self._message(helper.address, "request", seq, about=probe.name)
 
-    def _judge(self, now: int, seq: int) -> Iterator[Out]:
-        """A probe's period is over."""
+    def _finish_probe(self, now: int, seq: int) -> Iterator[Outgoing]:
+        """Evaluates a probe at the end of its period."""
         probe = self._probes.pop(seq, None)
         if probe is None:
             return
         if probe.answered:
-            self._doubt(-1)
+            self._adjust_health(-1)
             return
-        # Helpers that have not even said "no answer yet" tell of our own connection, not of the member's.
-        self._doubt(probe.asked)
+        # Helpers that have not even sent a nack point to this member's own connection, not to the probed one.
+        self._adjust_health(probe.pending_helpers)
         member = self.members.get(probe.name)
         if member is not None and member.row.state <= State.SUSPECT:
-            self._take(member.row._replace(state=State.SUSPECT, by=self.me.name), now)
+            self._apply(member.row._replace(state=State.SUSPECT, reporter=self.me.name), now)
         yield from ()
 
-    def _spread(self, now: int) -> Iterator[Out]:
-        self._at(now + self.limits.spread, self._spread)
-        if self._words and self._count:
-            alive = self._alive()
-            for member in self._draw.sample(alive, min(len(alive), self.limits.fan)):
-                rows = self._news(member.address)
+    def _gossip(self, now: int) -> Iterator[Outgoing]:
+        self._schedule(now + self.limits.gossip_interval, self._gossip)
+        if self._updates and self._others_alive:
+            alive = self._alive_members()
+            for member in self._rng.sample(alive, min(len(alive), self.limits.gossip_fanout)):
+                rows = self._updates_for(member.address)
                 if rows:
-                    yield self._say(member.address, "gossip", rows=rows)
+                    yield self._message(member.address, "gossip", rows=rows)
 
-    def _sync(self, now: int) -> Iterator[Out]:
-        """Look at a page of somebody's table, and knock where nobody answered before."""
-        for name in [n for n, m in self.members.items() if _forgotten(m, now, self.limits.forget)]:
+    def _sync(self, now: int) -> Iterator[Outgoing]:
+        """Compares the table with another member's, and contacts addresses that did not answer before."""
+        for name in [n for n, m in self.members.items() if _can_forget(m, now, self.limits.forget_after)]:
             del self.members[name]
-        alive = self._alive()
+        alive = self._alive_members()
         if alive:
-            self._between = min(2 * self._between, self.limits.sync)
-        self._at(now + (self._between if alive else self.limits.period), self._sync)
-        asked: list[Address] = []
+            self._sync_delay = min(2 * self._sync_delay, self.limits.sync_interval)
+        self._schedule(now + (self._sync_delay if alive else self.limits.period), self._sync)
+        recipients: list[Address] = []
         if alive:
-            asked.append(self._draw.choice(alive).address)
+            recipients.append(self._rng.choice(alive).address)
         known = {m.address for m in alive}
         silent = [m.address for m in self.members.values() if m.row.state is State.DEAD]
         silent = sorted({*silent, *self.seeds} - known)
         if silent:
-            asked += self._draw.sample(silent, min(len(silent), 1 if alive else self.limits.helpers))
-        for to in asked:
-            # A newcomer wants all of it, three times over: a page may be lost, and who is asked be new, too.
-            if self._between < self.limits.sync:
-                yield from self._pull(now, to, 0, PULLS)
+            recipients += self._rng.sample(silent, min(len(silent), 1 if alive else self.limits.helpers))
+        for to in recipients:
+            # A new member requests the whole table several times: a page may be lost, and the other member
+            # may be new itself.
+            if self._sync_delay < self.limits.sync_interval:
+                yield from self._request_page(now, to, 0, PULL_ATTEMPTS)
             else:
-                yield self._say(to, "sync", rows=(), sums=self._sums())
-
-    def _pull(self, now: int, to: Address, page: int, tries: int) -> Iterator[Out]:
-        """Ask for a page and, with its answer, for the next one; again where no answer comes."""
-        self._pulled = to, page
-        if tries > 1:
-            self._at(now + 2 * self.limits.answer, lambda now: self._pull_again(now, to, page, tries - 1))
-        yield self._say(to, "sync", about=ALL, page=page)
-
-    def _pull_again(self, now: int, to: Address, page: int, tries: int) -> Iterator[Out]:
-        if self._pulled == (to, page):
-            yield from self._pull(now, to, page, tries)
-
-    # ------------------------------------------------------------------ hearing
-
-    def heard(self, message: Message, now: int) -> list[Out]:
-        """A datagram has come. One from a stranger counts only if it asks for the table, or tells its own."""
+                yield self._message(to, "sync", rows=(), checksums=self._checksums())
+
+    def _request_page(self, now: int, to: Address, first_row: int, attempts: int) -> Iterator[Outgoing]:
+        """Requests a page, and repeats the request without an answer. The answer leads to the next page."""
+        self._requested_page = to, first_row
+        if attempts > 1:
+            self._schedule(
+                now + 2 * self.limits.answer_timeout,
+                lambda now: self._repeat_request(now, to, first_row, attempts - 1),
+            )
+        yield self._message(to, "sync", about=FULL_TABLE, first_row=first_row)
+
+    def _repeat_request(self, now: int, to: Address, first_row: int, attempts: int) -> Iterator[Outgoing]:
+        if self._requested_page == (to, first_row):
+            yield from self._request_page(now, to, first_row, attempts)
+
+    # ------------------------------------------------------------------ receiving
+
+    def handle_message(self, message: Message, now: int) -> list[Outgoing]:
+        """Processes a datagram. One of an unknown member counts only if it is a sync or a page."""
         sender = message.sender
         if self.replaced:
             return []
         back = (sender.host, sender.port)
         if sender.name == self.me.name:
-            return self._namesake(sender, back)
+            return self._handle_namesake(sender, back)
         known = self.members.get(sender.name)
         if known is None and message.kind not in ("sync", "page"):
-            # Not heard. It knows us, though: what we have missed of it, its own table's page tells.
-            return [self._say(back, "sync", rows=())] if message.kind == "ping" else []
+            # The message is ignored. The sender knows this member, though, so a page of its table will give
+            # what this one has missed of it.
+            return [self._message(back, "sync", rows=())] if message.kind == "ping" else []
         if known is not None and known.row.state > State.SUSPECT and sender.rank <= known.row.rank:
-            # It has been taken for gone, and perhaps takes us for gone: each tells the other, who refutes it.
+            # It counts as gone here, and perhaps this member counts as gone there: each sends the other's row
+            # to the other, which refutes it.
             before = self.me.incarnation
             for row in message.rows:
                 if row.name == self.me.name:
-                    self._take(row, now)
+                    self._apply(row, now)
             kind = "gossip" if self.me.incarnation == before else "sync"
-            return [self._say(back, kind, rows=(known.row,))]
+            return [self._message(back, kind, rows=(known.row,))]
         if sender.state <= State.SUSPECT:
-            self._take(sender._replace(state=State.ALIVE, by=""), now)
+            self._apply(sender._replace(state=State.ALIVE, reporter=""), now)
         member = self.members.get(sender.name)
         if member is not None:
-            member.rev, member.heard = message.rev, now
+            member.rev, member.heard_at = message.rev, now
         for row in message.rows:
-            self._take(row, now, message.kind != "page")
+            self._apply(row, now, message.kind != "page")
         out = list(self._answer(message, now))
         if known is not None and sender.rank < known.row.rank and known.address != back:
-            # A former process of this name: nobody writes to where it is any more, so it is told here.
-            out.append(self._say(back, "gossip", rows=(known.row,)))
+            # An earlier process of this name: nothing is sent to its address any more, so it is informed here.
+            out.append(self._message(back, "gossip", rows=(known.row,)))
         return out
 
-    def _answer(self, message: Message, now: int) -> Iterator[Out]:
+    def _answer(self, message: Message, now: int) -> Iterator[Outgoing]:
         back = (message.sender.host, message.sender.port)
         kind, seq = message.kind, message.seq
         if kind == "ping":
             if message.about == self.me.name:
-                yield self._say(back, "ack", seq, about=self.me.name)
+                yield self._message(back, "ack", seq, about=self.me.name)
         elif kind == "request":
-            yield from self._help(message, back, now)
+            yield from self._probe_for_other(message, back, now)
         elif kind in ("ack", "nack"):
-            yield from self._told(message)
-        elif kind == "sync" and message.sums:
-            yield from self._compared(message, back)
+            yield from self._handle_probe_answer(message)
+        elif kind == "sync" and message.checksums:
+            yield from self._answer_comparison(message, back)
         elif kind == "sync":
-            yield self._page_of(message, back)
-        elif kind == "page" and message.about == ALL and self._pulled == (back, message.page):
-            self._pulled = None
-            if message.pages:
-                yield from self._pull(now, back, message.pages, PULLS)
-
-    def _page_of(self, asked: Message, to: Address) -> Out:
-        """A page of one's own table, those gone too: they are news to somebody who was away."""
+            yield self._page(message, back)
+        elif (
+            kind == "page"
+            and message.about == FULL_TABLE
+            and self._requested_page == (back, message.first_row)
+        ):
+            self._requested_page = None
+            if message.next_row:
+                yield from self._request_page(now, back, message.next_row, PULL_ATTEMPTS)
+
+    def _page(self, request: Message, to: Address) -> Outgoing:
+        """Returns a page of the table. It includes dead members, which a member that was away may not know of."""
         rows = [self.me, *(self.members[name].row for name in sorted(self.members))]
-        at = asked.page if asked.page < len(rows) else 0
-        chosen = fitting(rows[at : at + PAGE])
-        after = at + len(chosen)
-        after = after if after < len(rows) else 0
-        return self._say(to, "page", about=asked.about, page=at, pages=after, rows=chosen)
-
-    def _sums(self) -> tuple[int, ...]:
-        """Of each part of the table: who lives, and in which incarnation, in no order."""
-        sums = [0] * SUMS
+        first_row = request.first_row if request.first_row < len(rows) else 0
+        chosen = rows_that_fit(rows[first_row : first_row + MAX_PAGE_ROWS])
+        next_row = first_row + len(chosen)
+        next_row = next_row if next_row < len(rows) else 0
+        return self._message(
+            to, "page", about=request.about, first_row=first_row, next_row=next_row, rows=chosen
+        )
+
+    def _checksums(self) -> tuple[int, ...]:
+        """Returns a checksum of each partition: its living members' names and incarnations, in no order."""
+        checksums = [0] * CHECKSUM_COUNT
         for row in self.living():
-            sums[_part(row.name)] ^= crc32(f"{row.name} {row.incarnation}".encode()) >> 8
-        return tuple(sums)
-
-    def _compared(self, asked: Message, to: Address) -> Iterator[Out]:
-        """What one has in those parts in which the two tables differ; of much, some."""
-        pairs = enumerate(zip(self._sums(), asked.sums, strict=True))
-        parts = {part for part, (own, other) in pairs if own != other}
-        rows = [r for r in (self.me, *(m.row for m in self.members.values())) if _part(r.name) in parts]
-        self._draw.shuffle(rows)
-        for _ in range(ANSWERS):
+            checksums[_partition(row.name)] ^= crc32(f"{row.name} {row.incarnation}".encode()) >> 8
+        return tuple(checksums)
+
+    def _answer_comparison(self, request: Message, to: Address) -> Iterator[Outgoing]:
+        """Sends the rows of the partitions that differ, or a random part of them if there are many."""
+        pairs = enumerate(zip(self._checksums(), request.checksums, strict=True))
+        partitions = {partition for partition, (own, other) in pairs if own != other}
+        rows = [
+            r for r in (self.me, *(m.row for m in self.members.values())) if _partition(r.name) in partitions
+        ]
+        self._rng.shuffle(rows)
+        for _ in range(MAX_COMPARISON_PAGES):
             if rows:
-                chosen = fitting(rows[:PAGE])
+                chosen = rows_that_fit(rows[:MAX_PAGE_ROWS])
                 del rows[: len(chosen)]
-                yield self._say(to, "page", rows=chosen)
+                yield self._message(to, "page", rows=chosen)
 
-    def _help(self, message: Message, back: Address, now: int) -> Iterator[Out]:
-        """Probe a member for another; say in time that it has not answered, if it has not."""
+    def _probe_for_other(self, message: Message, back: Address, now: int) -> Iterator[Outgoing]:
+        """Probes a member on behalf of another one, and sends a nack in time if there is no answer."""
         member = self.members.get(message.about)
         if member is None:
             return
@@ -444,127 +483,127 @@
         seq = self._seq
         self._probes[seq] = _Probe(message.about, back, message.seq)
 
-        def over(now: int) -> Iterator[Out]:
+        def expire(now: int) -> Iterator[Outgoing]:
             probe = self._probes.pop(seq, None)
             if probe is not None and not probe.answered:
-                yield self._say(back, "nack", message.seq, about=message.about)
+                yield self._message(back, "nack", message.seq, about=message.about)
 
-        self._at(now + self.limits.answer * 4 // 5, over)
-        yield self._say(member.address, "ping", seq, about=message.about)
+        self._schedule(now + self.limits.answer_timeout * 4 // 5, expire)
+        yield self._message(member.address, "ping", seq, about=message.about)
 
-    def _told(self, message: Message) -> Iterator[Out]:
+    def _handle_probe_answer(self, message: Message) -> Iterator[Outgoing]:
         probe = self._probes.get(message.seq)
         if probe is None or message.about != probe.name:
             return
         if message.kind == "nack":
-            probe.asked = max(0, probe.asked - 1)
+            probe.pending_helpers = max(0, probe.pending_helpers - 1)
             return
-        if not probe.answered and probe.for_whom is not None:
-            yield self._say(probe.for_whom, "ack", probe.their_seq, about=probe.name)
+        if not probe.answered and probe.requester is not None:
+            yield self._message(probe.requester, "ack", probe.requester_seq, about=probe.name)
         probe.answered = True
 
-    # ------------------------------------------------------------------ words
+    # ------------------------------------------------------------------ applying rows
 
-    def _own(self, row: Row, now: int) -> None:
-        """A word on oneself. What is wrong is refuted; a later process of our name is looked for first."""
+    def _apply_own(self, row: Row, now: int) -> None:
+        """Applies a row about this member. A wrong one is refuted, unless a later process has the name."""
         if row.rank <= self.me.rank:
             return
         if row.state is State.ALIVE and (row.host, row.port) != (self.me.host, self.me.port):
             if self._rival is None:
                 self._rival = row
-                self._at(now, lambda now: self._ask_rival(row))
-                self._at(now + 2 * self.limits.period, lambda now: self._no_rival(row))
+                self._schedule(now, lambda now: self._contact_rival(row))
+                self._schedule(now + 2 * self.limits.period, lambda now: self._dismiss_rival(row))
             return
         if row.state is not State.ALIVE:
-            self._doubt(1)
-        self._renew(row.incarnation)
+            self._adjust_health(1)
+        self._raise_incarnation(row.incarnation)
 
-    def _ask_rival(self, row: Row) -> Iterator[Out]:
-        yield self._say((row.host, row.port), "gossip", rows=())
+    def _contact_rival(self, row: Row) -> Iterator[Outgoing]:
+        yield self._message((row.host, row.port), "gossip", rows=())
 
-    def _no_rival(self, row: Row) -> Iterator[Out]:
-        """Nobody is there: it was a former life of ours, whose clock was ahead."""
+    def _dismiss_rival(self, row: Row) -> Iterator[Outgoing]:
+        """Refutes a rival that did not answer: an earlier process of this name, whose clock was ahead."""
         self._rival = None
         if row.rank > self.me.rank:
-            self._renew(row.incarnation)
+            self._raise_incarnation(row.incarnation)
         yield from ()
 
-    def _namesake(self, sender: Row, back: Address) -> list[Out]:
-        """A living process of our name: the one that was begun later stays."""
+    def _handle_namesake(self, sender: Row, back: Address) -> list[Outgoing]:
+        """Handles a message of a living process with this member's name: the later process stays."""
         if back == (self.me.host, self.me.port) or sender.state > State.SUSPECT:
             return []
         if sender.rank < self.me.rank:
-            return [self._say(back, "gossip", rows=())]
+            return [self._message(back, "gossip", rows=())]
         self.replaced, self._living = True, None
         return []
 
-    def _take(self, row: Row, now: int, spread: bool = True) -> None:
-        """A word on a member, own or heard; `spread`: others are to hear it, if it is news."""
+    def _apply(self, row: Row, now: int, spread: bool = True) -> None:
+        """Applies a row, own or received. `spread`: a new one is passed on to others."""
         if row.name == self.me.name:
-            self._own(row, now)
+            self._apply_own(row, now)
             return
         member = self.members.get(row.name)
         if member is None:
-            # One that has gone and is not remembered needs no word, and would be remembered in turn for ever.
-            if row.state <= State.SUSPECT and len(self.members) < MOST_MEMBERS:
+            # An unknown member that is gone needs no entry, and would otherwise be passed on without end.
+            if row.state <= State.SUSPECT and len(self.members) < MAX_MEMBERS:
                 member = self.members[row.name] = Member(row, now)
-                self._count += 1
-                self._put(member, row, now, spread or row.state is State.SUSPECT, new=True)
+                self._others_alive += 1
+                self._update(member, row, now, spread or row.state is State.SUSPECT, new=True)
         elif row.rank > member.row.rank:
-            self._count += (row.state <= State.SUSPECT) - (member.row.state <= State.SUSPECT)
-            self._put(member, row, now, True)
+            self._others_alive += (row.state <= State.SUSPECT) - (member.row.state <= State.SUSPECT)
+            self._update(member, row, now, True)
         elif (
             (row.rank, row.state) == (member.row.rank, State.SUSPECT)
-            and row.by not in member.by
-            and len(member.by) <= self.limits.sharers
+            and row.reporter not in member.reporters
+            and len(member.reporters) <= self.limits.confirmations
         ):
-            self._share(member, row)  # one more who shares it: that is news
-            self._tell_all(row)
+            self._confirm_suspicion(member, row)  # a further reporter is passed on, too
+            self._spread_update(row)
 
-    def _put(self, member: Member, row: Row, now: int, spread: bool, new: bool = False) -> None:
+    def _update(self, member: Member, row: Row, now: int, spread: bool, new: bool = False) -> None:
         before = None if new else member.row.state
-        member.row, member.since, member.by = row, now, set()
+        member.row, member.state_since, member.reporters = row, now, set()
         self._living = None
         if row.state is State.SUSPECT:
-            member.begun = now
-            self._share(member, row)
-            self._expect(row, member.until)
+            member.suspicion_start = now
+            self._confirm_suspicion(member, row)
+            self._schedule_expiry(row, member.suspicion_end)
         if spread:
-            self._tell_all(row)
-        self.changed(member, before)
+            self._spread_update(row)
+        self.on_change(member, before)
 
-    def _share(self, member: Member, row: Row) -> None:
-        """A suspicion's end, the sooner the more share it (Lifeguard's law)."""
+    def _confirm_suspicion(self, member: Member, row: Row) -> None:
+        """Sets the end of a suspicion, which is sooner the more members report it (Lifeguard's rule)."""
         limits = self.limits
-        member.by.add(row.by)
-        least = limits.patience * self._scale() * limits.period
-        most = limits.alone * least
-        wanted = min(limits.sharers, self._count - 1)  # of a small fleet there are not so many
-        sharers = min(len(member.by) - 1, wanted)
-        part = math.log(sharers + 1) / math.log(wanted + 1) if wanted > 0 else 1.0
-        member.until = member.begun + round(most - (most - least) * part)
-        if sharers:
-            self._expect(row, member.until)
-
-    def _expect(self, row: Row, until: int) -> None:
-        self._at(until, lambda now: self._over(now, row.name, row.incarnation))
-
-    def _over(self, now: int, name: str, incarnation: int) -> Iterator[Out]:
-        """A suspicion's time may be over."""
+        member.reporters.add(row.reporter)
+        shortest = limits.suspicion_factor * self._log_scale() * limits.period
+        longest = limits.unconfirmed_factor * shortest
+        wanted = min(limits.confirmations, self._others_alive - 1)  # a small fleet has fewer members
+        confirmations = min(len(member.reporters) - 1, wanted)
+        part = math.log(confirmations + 1) / math.log(wanted + 1) if wanted > 0 else 1.0
+        member.suspicion_end = member.suspicion_start + round(longest - (longest - shortest) * part)
+        if confirmations:
+            self._schedule_expiry(row, member.suspicion_end)
+
+    def _schedule_expiry(self, row: Row, when: int) -> None:
+        self._schedule(when, lambda now: self._expire_suspicion(now, row.name, row.incarnation))
+
+    def _expire_suspicion(self, now: int, name: str, incarnation: int) -> Iterator[Outgoing]:
+        """Declares a suspect dead if its time is over, or else waits for the new end."""
         member = self.members.get(name)
         suspected = member is not None and member.row.state is State.SUSPECT
         if member is None or not suspected or member.row.incarnation != incarnation:
             return
-        if now < member.until:
-            self._expect(member.row, member.until)
+        if now < member.suspicion_end:
+            self._schedule_expiry(member.row, member.suspicion_end)
         else:
-            self._take(member.row._replace(state=State.DEAD, by=self.me.name), now)
+            self._apply(member.row._replace(state=State.DEAD, reporter=self.me.name), now)
         yield from ()
 
 
-def _part(name: str) -> int:
-    return crc32(name.encode()) % SUMS
+def _partition(name: str) -> int:
+    return crc32(name.encode()) % CHECKSUM_COUNT
 
 
-def _forgotten(member: Member, now: int, after: int) -> bool:
-    return member.row.state > State.SUSPECT and now - member.since > after
+def _can_forget(member: Member, now: int, after: int) -> bool:
+    return member.row.state > State.SUSPECT and now - member.state_since > after
--- a/heronstall/model/mesh.py
+++ b/heronstall/model/mesh.py
@@ -13,8 +13,8 @@
 
 from heronstall.fleet.desk import Desk
 from heronstall.membership.messages import Duty, Message, Row, State, pack, unpack
-from heronstall.membership.relays import AGE_MOST, TELLS, Relaying
-from heronstall.membership.swim import USUAL, Address, Limits, Member, Out, Swim
+from heronstall.membership.relays import MAX_LIST_AGE_US, SERVING_DUTIES, RelayRole
+from heronstall.membership.swim import DEFAULT_LIMITS, Address, Limits, Member, Outgoing, Swim
 from heronstall.model.kernel import VirtualTime
 from heronstall.start.backoff import CallEnd, DiscoveryBackoff, Refusal
 
@@ -30,7 +30,7 @@
         seed: int,
         delay: tuple[int, int] = (200, 2_000),
         loss: float = 0.0,
-        limits: Limits = USUAL,
+        limits: Limits = DEFAULT_LIMITS,
         packed: bool = True,
     ) -> None:
         self.time = VirtualTime()
@@ -67,7 +67,7 @@
         me = Row(State.ALIVE, name, START + self.now // 1000 + self._lives, host, port, zone)
         draw = random.Random(self._draw.getrandbits(64))
         swim = Swim(me, seeds, self.now, draw, self.limits)
-        swim.changed = lambda member, before: self.said(name, member, before)
+        swim.on_change = lambda member, before: self.said(name, member, before)
         self.members[name] = swim
         self._at_address[host, port] = name
         self._wake(name, swim)
@@ -112,7 +112,7 @@
 
     # ------------------------------------------------------------------ the network
 
-    def send(self, name: str, out: list[Out]) -> None:
+    def send(self, name: str, out: list[Outgoing]) -> None:
         """A member's datagrams are on their way."""
         for to, message in out:
             self.sent += 1
@@ -134,7 +134,7 @@
             self._paused[name].append(lambda: self._arrives(name, data, message))
             return
         told = unpack(CLUSTER, data) if self.packed else message
-        self.send(name, swim.heard(told, self.now))
+        self.send(name, swim.handle_message(told, self.now))
 
 
 class Watched(Mesh):
@@ -154,7 +154,7 @@
         self.service: Callable[[str], bool] = lambda name: True
         self.calls: list[tuple[int, str]] = []
         self.news: dict[str, int] = {}
-        self.relaying: dict[str, Relaying] = {}
+        self.relaying: dict[str, RelayRole] = {}
         self.direct: dict[str, int] = {}  # when the list service last told a relay something
         self.fresh: dict[str, int] = {}  # up to when a member knows the list
         self.changed_at: int | None = None  # when the list last changed
@@ -166,7 +166,7 @@
     def start(self, name: str, seeds: list[Address], zone: str = "a", address: Address | None = None) -> Swim:
         """A member begins, with no list."""
         swim = super().start(name, seeds, zone, address)
-        relaying = self.relaying[name] = Relaying(self.now)
+        relaying = self.relaying[name] = RelayRole(self.now)
         self._backoff[name] = DiscoveryBackoff(1, random.Random(self._draw.getrandbits(64)))
         for told in (self.news, self.direct, self.fresh, self._asked, self.knew):
             told.pop(name, None)
@@ -193,7 +193,7 @@
                 self.knew[name] = self.now
                 self.members[name].rev = self.changed_at
 
-    def _look(self, name: str, swim: Swim, relaying: Relaying) -> None:
+    def _look(self, name: str, swim: Swim, relaying: RelayRole) -> None:
         before, now = relaying.duty, self.now
         duty = relaying.decide(now, swim.me, swim.living(), self.direct.get(name))
         if duty is not before:
@@ -202,14 +202,14 @@
                 self.direct.pop(name, None)
                 self._asked.pop(name, None)
         if duty is Duty.RELAY:
-            if relaying.settled(now):
+            if relaying.is_settled(now):
                 self._watch(name)
             return
         for row in relaying.sources(now, swim.me, swim.living())[:1]:
             far = self.relaying.get(row.name) if row.name in self.members else None
-            heard = self.fresh.get(row.name) if far is not None and far.duty in TELLS else None
-            if heard is None or now - heard > AGE_MOST or self.cut(name, row.name):
-                relaying.failed(row.name, now)
+            heard = self.fresh.get(row.name) if far is not None and far.duty in SERVING_DUTIES else None
+            if heard is None or now - heard > MAX_LIST_AGE_US or self.cut(name, row.name):
+                relaying.mark_failed(row.name, now)
                 self.send(name, swim.ask(row.name, now))
             else:
                 self.fresh[name] = max(self.fresh.get(name, 0), heard)
--- a/heronstall/net/peers/followers.py
+++ b/heronstall/net/peers/followers.py
@@ -9,7 +9,7 @@
 
 import h11
 
-from heronstall.membership.relays import BEAT, HOLD
+from heronstall.membership.relays import EMPTY_RELAY_HOLD_US, HEARTBEAT_INTERVAL_US
 from heronstall.net.connection import Connection, Ended
 from heronstall.net.loop import READ, Coroutine, Loop, Task
 
@@ -81,7 +81,7 @@
                 if not self._has_whole_list:
                     line = self._source.list_line(True)
                     self._has_whole_list = line != b"\n"
-                    if not self._has_whole_list and loop.now > started + HOLD:
+                    if not self._has_whole_list and loop.now > started + EMPTY_RELAY_HOLD_US:
                         return  # another relay may have the list already
                 elif len(self._queue) > MAX_QUEUED_MESSAGES:
                     return
@@ -90,7 +90,7 @@
                 self._queue.clear()
                 yield from self._send(h11.Data(data=line))
                 if not self._queue:
-                    yield from self._wait(loop.now + BEAT)
+                    yield from self._wait(loop.now + HEARTBEAT_INTERVAL_US)
         except Ended:
             pass
         finally:
--- a/heronstall/net/peers/knowledge_exchange.py
+++ b/heronstall/net/peers/knowledge_exchange.py
@@ -17,7 +17,7 @@
 from heronstall.knowledge.book import Book
 from heronstall.knowledge.sights import LARGEST, Unreadable, Witness, Word, pack, unpack
 from heronstall.membership.messages import Row
-from heronstall.membership.relays import order
+from heronstall.membership.relays import rendezvous_order
 from heronstall.membership.swim import Swim
 from heronstall.net.connection import Connection, Ended, Ending, connect
 from heronstall.net.dispatcher import Dispatcher
@@ -69,7 +69,9 @@
         """Returns the members to ask: those of the own zone first, each process in an order of its own."""
         me = self._swim.me
         rows = [r for r in self._swim.living() if r.name != me.name and r.name not in self._asked]
-        older = order(me.name, (r for r in rows if r.incarnation < me.incarnation - MIN_AGE_DIFFERENCE_MS))
+        older = rendezvous_order(
+            me.name, (r for r in rows if r.incarnation < me.incarnation - MIN_AGE_DIFFERENCE_MS)
+        )
         return sorted(older, key=lambda r: r.zone != me.zone)
 
     def _ask_members(self) -> Coroutine[None]:
--- a/heronstall/net/peers/service.py
+++ b/heronstall/net/peers/service.py
@@ -20,22 +20,22 @@
 from heronstall import events
 from heronstall.config import Address, Config, ConfigError
 from heronstall.events import say
-from heronstall.membership.messages import Duty, Row, State, Unreadable, pack, unpack
+from heronstall.membership.messages import Duty, Row, State, UnreadableMessage, pack, unpack
 from heronstall.membership.relays import (
-    AGE_MOST,
-    APART,
-    AVOID,
-    BEHIND,
-    BLIND_BEHIND,
-    HOLD,
-    MISLED,
-    MOST_FOLLOWERS,
-    RELAY_BEHIND,
-    TELLS,
-    Relaying,
-    Revisions,
+    AVOID_FAILED_US,
+    AVOID_MISLEADING_US,
+    DIRECT_REQUEST_SPREAD_US,
+    EMPTY_RELAY_HOLD_US,
+    FOLLOWER_LAG_US,
+    MAX_FOLLOWERS,
+    MAX_LIST_AGE_US,
+    RELAY_LAG_US,
+    SERVING_DUTIES,
+    UNANSWERED_RELAY_LAG_US,
+    RelayRole,
+    RevisionFilter,
 )
-from heronstall.membership.swim import Member, Out, Swim
+from heronstall.membership.swim import Member, Outgoing, Swim
 from heronstall.net.connection import Connection, Ended, Ending, listen
 from heronstall.net.dispatcher import Dispatcher
 from heronstall.net.loop import READ, Coroutine, Loop, sleep
@@ -69,7 +69,7 @@
         try:
             udp.bind((host, number))
             udp.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
-            return Sockets(udp, listen((host, number), MOST_FOLLOWERS))
+            return Sockets(udp, listen((host, number), MAX_FOLLOWERS))
         except OSError:
             udp.close()
             if last:
@@ -80,7 +80,7 @@
 class PeerService:
     """One process among its peers: a `Sources` for its server table, and a relay for others."""
 
-    descriptors = MOST_FOLLOWERS + 2
+    descriptors = MAX_FOLLOWERS + 2
 
     def __init__(self, config: Config, settings: PeersFile, loop: Loop) -> None:
         """Raises ConfigError for an unusable address."""
@@ -101,9 +101,9 @@
         me = Row(State.ALIVE, config.name, started_ms, advertised[0], advertised[1], zone)
         seeds = [address for host, port in settings.join for address in ((host, port), (host, port + 1))]
         self.swim = Swim(me, seeds, loop.now, self._random)
-        self.swim.changed = self._on_member_changed
-        self.relaying = Relaying(loop.now)
-        self.revisions = Revisions()
+        self.swim.on_change = self._on_member_changed
+        self.relaying = RelayRole(loop.now)
+        self.revisions = RevisionFilter()
         self._direct_message_at: int | None = None  # the list service's last message to this process
         self._direct_list_at: int | None = None  # its last one with a list or changes
         self._fresh_at: int | None = None  # until when its list is known here, directly or through others
@@ -144,7 +144,7 @@
 
     # ------------------------------------------------------------------ members
 
-    def _send(self, out: list[Out]) -> None:
+    def _send(self, out: list[Outgoing]) -> None:
         for to, message in out:
             try:
                 self._udp.sendto(pack(self._settings.cluster, message), to)
@@ -162,10 +162,10 @@
                     continue
                 try:
                     message = unpack(self._settings.cluster, data)
-                except Unreadable as error:
+                except UnreadableMessage as error:
                     self._count_unreadable(host, str(error))
                     continue
-                self._send(self.swim.heard(message, self._loop.now))
+                self._send(self.swim.handle_message(message, self._loop.now))
             yield self._udp.fileno(), READ, None
 
     def _count_unreadable(self, host: str, reason: str) -> None:
@@ -193,7 +193,7 @@
 
     def _update_role(self) -> None:
         swim, now = self.swim, self._loop.now
-        swim.rev = self.revisions.floor or 0
+        swim.rev = self.revisions.highest or 0
         if swim.replaced:
             if not self._was_replaced:
                 self._was_replaced = True
@@ -201,27 +201,29 @@
                 self._close_followers()
             return
         before = self.relaying.duty
-        swim.blind = not self._list_is_current()
-        if before is Duty.RELAY and self._lags(now, BLIND_BEHIND if swim.blind else RELAY_BEHIND):
+        swim.list_unconfirmed = not self._list_is_current()
+        if before is Duty.RELAY and self._lags(
+            now, UNANSWERED_RELAY_LAG_US if swim.list_unconfirmed else RELAY_LAG_US
+        ):
             self.relaying.give_up(now)
         duty = self.relaying.decide(now, swim.me, swim.living(), self._direct_message_at)
-        swim.blind = not self._list_is_current()
+        swim.list_unconfirmed = not self._list_is_current()
         if duty is not before:
             say(log, events.PEERS_DUTY, duty=duty.name.lower())
             swim.announce(duty)
-            if duty not in TELLS:
+            if duty not in SERVING_DUTIES:
                 self._close_followers()
             if (duty is Duty.RELAY) != (before is Duty.RELAY) or duty is Duty.BRANCH:
                 self._table.again()
         elif self._following is not None:
             source = self._source
-            if source == self._highest_revision_from and self.revisions.made_up(
+            if source == self._highest_revision_from and self.revisions.is_fabricated(
                 now, lambda since, relays: swim.revs(since, relays, source)
             ):
-                say(log, events.PEERS_MISLED, source=source, rev=self.revisions.floor)
-                self.relaying.failed(source, now, MISLED)
+                say(log, events.PEERS_MISLED, source=source, rev=self.revisions.highest)
+                self.relaying.mark_failed(source, now, AVOID_MISLEADING_US)
                 self._table.again()
-            elif self._lags(now, BEHIND):
+            elif self._lags(now, FOLLOWER_LAG_US):
                 self.ended(self._following)
                 self._table.again()
             elif self._table.beyond and self._may_ask_directly():
@@ -231,7 +233,7 @@
 
     def _lags(self, now: int, limit: int) -> bool:
         """Returns whether others have had a newer list than this process for longer than `limit`."""
-        if not self.swim.behind(now):
+        if not self.swim.is_behind(now):
             self._behind_since = None
         elif self._behind_since is None:
             self._behind_since = now
@@ -254,7 +256,9 @@
         """
         now = self._loop.now
         if self._may_ask_at is None:
-            self._may_ask_at = now + delay + self._random.randrange(APART * len(self.swim.living()) + 1)
+            self._may_ask_at = (
+                now + delay + self._random.randrange(DIRECT_REQUEST_SPREAD_US * len(self.swim.living()) + 1)
+            )
         return now >= self._may_ask_at
 
     def _relays(self) -> list[Row]:
@@ -267,26 +271,26 @@
         while True:
             now, swim = self._loop.now, self.swim
             if self.relaying.duty is Duty.RELAY:
-                if self.relaying.settled(now):
+                if self.relaying.is_settled(now):
                     break
                 yield from sleep(now + POLL_INTERVAL_US)
                 continue
-            if not self.relaying.gathering(now, swim.me, swim.living()):
+            if not self.relaying.is_gathering(now, swim.me, swim.living()):
                 relays = self._relays()
                 if relays and not (self._table.beyond and self._may_ask_directly()):
                     self._following = relays[0].host, relays[0].port
                     self._set_source(relays[0].name)
-                    self.revisions.begun()
+                    self.revisions.start_watch()
                     return self._following
                 # There is no relay, or none that can be reached; one may have its list in a moment. A
                 # process that is leaving keeps the list that it has.
-                if self._may_ask_directly(AVOID + HOLD) and not self._leaving:
+                if self._may_ask_directly(AVOID_FAILED_US + EMPTY_RELAY_HOLD_US) and not self._leaving:
                     self._asking_since, self._no_relay_found = now, not relays
                     break
             yield from sleep(now + POLL_INTERVAL_US)
         self._may_ask_at = None
         self._set_source("the list service")
-        self.revisions.begun()
+        self.revisions.start_watch()
         return None
 
     def _set_source(self, source: str) -> None:
@@ -303,7 +307,7 @@
         self._following = None
         for row in self.swim.living():
             if (row.host, row.port) == relay:
-                self.relaying.failed(row.name, self._loop.now)
+                self.relaying.mark_failed(row.name, self._loop.now)
                 self._send(self.swim.ask(row.name, self._loop.now))
 
     def news(self, message: Any, rev: int, relay: Address | None) -> list[Any]:
@@ -313,16 +317,16 @@
             self._direct_message_at = self._fresh_at = now
             self._direct_list_at = self._direct_list_at if message is None else now
             if message is None:
-                accepted = self.revisions.caught_up(now)
+                accepted = self.revisions.release(now)
             else:
-                accepted = self.revisions.told(rev, message, now, now)
+                accepted = self.revisions.accept(rev, message, now, now)
         else:
             age = max(0, int(message["age_ms"])) * 1000
-            if age > AGE_MOST:
+            if age > MAX_LIST_AGE_US:
                 raise Ended(Ending.FAILED, f"the list there is {age / 1e6:.1f} s old")
-            before = self.revisions.floor
-            accepted = self.revisions.told(rev, message, now - age, now)
-            if self.revisions.floor != before:
+            before = self.revisions.highest
+            accepted = self.revisions.accept(rev, message, now - age, now)
+            if self.revisions.highest != before:
                 self._highest_revision_from = self._source
             self._fresh_at = max(self._fresh_at or 0, now - age)
             self._may_ask_at = None if not self._table.beyond else self._may_ask_at
@@ -355,8 +359,8 @@
         """Returns whether a relay's list came from the list service since it became a relay."""
         if self.relaying.duty is not Duty.RELAY:
             return True
-        received = self._direct_list_at is not None and self._direct_list_at > self.relaying.since
-        return received and not self.revisions.holding
+        received = self._direct_list_at is not None and self._direct_list_at > self.relaying.duty_since
+        return received and not self.revisions.is_holding_back
 
     def _accept(self) -> Coroutine[None]:
         while True:
@@ -369,7 +373,7 @@
                 yield from sleep(self._loop.now + POLL_INTERVAL_US)
                 continue
             sock.setblocking(False)
-            if len(self._followers) >= MOST_FOLLOWERS or self._leaving:
+            if len(self._followers) >= MAX_FOLLOWERS or self._leaving:
                 sock.close()  # tells the follower to ask another process
                 continue
             follower = Follower(self._loop, sock, self)
@@ -378,7 +382,7 @@
 
     def serves_list(self) -> bool:
         """Returns whether others may take the list from this process."""
-        return self.relaying.duty in TELLS and not self._leaving
+        return self.relaying.duty in SERVING_DUTIES and not self._leaving
 
     def knowledge(self) -> bytes:
         """Returns what this process has observed of the servers."""
--- a/tests/talks.py
+++ b/tests/talks.py
@@ -391,7 +391,7 @@
     Whom a follower asks is drawn by names: a relay of a given name may be nobody's choice.
     """
     from heronstall.membership.messages import Duty
-    from heronstall.membership.relays import order
+    from heronstall.membership.relays import rendezvous_order
 
     def row(name: str) -> Row:
         return Row(State.ALIVE, name, 0, "", 0, "a", Duty.RELAY)
@@ -399,7 +399,7 @@
     def least(name: str) -> int:
         mine = row(name)
         return min(
-            sum(order(one, [mine, row(other)])[0] is mine for one in members if one != other)
+            sum(rendezvous_order(one, [mine, row(other)])[0] is mine for one in members if one != other)
             for other in members
         )
 
@@ -422,7 +422,7 @@
         """The relay that is left when others are struck, once everybody knows of it."""
         from random import Random
 
-        from heronstall.membership.messages import Duty, Unreadable, unpack
+        from heronstall.membership.messages import Duty, UnreadableMessage, unpack
         from heronstall.membership.swim import Swim
 
         self = cls(talk, rev)
@@ -447,8 +447,8 @@
                     sock.sendto(pack("", message), to)
 
         def heard() -> None:
-            with contextlib.suppress(OSError, Unreadable):
-                send(swim.heard(unpack("", sock.recv(2048)), now()))
+            with contextlib.suppress(OSError, UnreadableMessage):
+                send(swim.handle_message(unpack("", sock.recv(2048)), now()))
 
         async def turns() -> None:
             while True:
--- a/tests/versions.py
+++ b/tests/versions.py
@@ -195,7 +195,7 @@
     """Adds unknown fields to each datagram, to its rows and to the list."""
     import ujson
 
-    from heronstall.membership.messages import LARGEST, Message
+    from heronstall.membership.messages import MAX_DATAGRAM_BYTES, Message
     from heronstall.membership.messages import pack as original_pack
     from heronstall.net.peers import service
 
@@ -208,7 +208,7 @@
         for row in fields[9]:
             row.append("later")
         encoded = ujson.dumps(fields, escape_forward_slashes=False).encode()
-        return bytes(encoded) if len(encoded) <= LARGEST else original_pack(cluster, message)
+        return bytes(encoded) if len(encoded) <= MAX_DATAGRAM_BYTES else original_pack(cluster, message)
 
     def line_with_unknown_field(self: service.PeerService, whole: bool) -> bytes:
         original = original_line(self, whole)
