--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -83,7 +83,8 @@
     parser.add_argument("--workers", type=int, default=3)
     args = parser.parse_args()
     print(
-        f"SWIM's mean to the first suspicion: {1.58 * DEFAULT_LIMITS.period / SECOND:.2f} s of {DEFAULT_LIMITS}"
+        f"SWIM's mean to the first suspicion: {1.58 * DEFAULT_LIMITS.period / SECOND:.2f} s "
+        f"of {DEFAULT_LIMITS}"
     )
     with ProcessPoolExecutor(args.workers) as pool:
         jobs = [pool.submit(measure, n, args.minutes, args.loss, args.kills, args.seed) for n in args.members]
--- a/heronstall/membership/__init__.py
+++ b/heronstall/membership/__init__.py
@@ -1,4 +1,4 @@
-"""The membership of a fleet's dispatchers, where an installation lets them communicate. Nothing here does I/O.
+"""Membership of a fleet's dispatchers, where an installation lets them communicate. Nothing does I/O.
 
 `messages` defines the datagrams, `swim` decides which members are alive, and `relays` decides which members
 pass the server list on to others. `heronstall.net.peers.service` is the transport.
--- a/heronstall/membership/relays.py
+++ b/heronstall/membership/relays.py
@@ -5,11 +5,11 @@
 take the list from them and pass it on: the branches. So the load on the list service depends on the number of
 zones and not on the size of the fleet, and no member is more than two steps away from it.
 
-Both are the first members in an order that all members compute alike (rendezvous hashing: Thaler, Ravishankar,
-"Using Name-Based Mappings to Increase Hit Rates", 1998). A member that has taken a duty on keeps it: otherwise
-each new member that is earlier in the order would ask the list service, too. A relay that receives nothing
-from the list service gives the duty up for a while. So while the service is unreachable to all, the members
-take turns in asking, at a bounded rate.
+Both are the first members in an order that all members compute alike (rendezvous hashing: Thaler,
+Ravishankar, "Using Name-Based Mappings to Increase Hit Rates", 1998). A member that has taken a duty on keeps
+it: otherwise each new member that is earlier in the order would ask the list service, too. A relay that
+receives nothing from the list service gives the duty up for a while. So while the service is unreachable to
+all, the members take turns in asking, at a bounded rate.
 """
 
 from __future__ import annotations
@@ -246,10 +246,8 @@
     def is_fabricated(self, now: int, revisions: Callable[[int, bool], list[int]]) -> bool:
         """Returns whether, some time after its arrival, the other relays do not know the highest revision.
 
-        Where no other relay reports one, the members decide: at least three, of which fewer than half know it.
-
-        `revisions(since, relays_only)` returns the revisions of the members that have reported one since a
-        time. This guards against a relay that reports a revision of its own making, after which true messages
+        Where no other relay reports one, the members decide: at least three, fewer than half of which know
+        it. `revisions(since, relays_only)` returns the revisions that members have reported since a time. This guards against a relay that reports a revision of its own making, after which true messages
         would not count for a while. Relays take precedence over the other members, which may all have been
         misled.
         """
--- a/heronstall/membership/swim.py
+++ b/heronstall/membership/swim.py
@@ -103,8 +103,8 @@
 
     `me` is this member's own row. Its incarnation has to be higher than that of any earlier process of its
     name; the start time in milliseconds will do. `seeds` are asked for their table at first, and again while
-    no member is known. The methods return the messages to be sent, and `due` is the time at which `turn` is to
-    be called next. `on_change` is called after each change of a member, with the member and its state before.
+    no member is known. The methods return the messages to be sent, and `due` is the time of the next call of
+    `turn`. `on_change` is called after each change of a member, with the member and its state before.
     """
 
     def __init__(
@@ -223,7 +223,7 @@
         return Outgoing(to, message._replace(rows=chosen))
 
     def _updates_for(self, to: Address) -> tuple[Row, ...]:
-        """Returns the updates sent least often so far, as many as fit; those about the recipient come first."""
+        """Returns the updates sent least often, as many as fit; those about the recipient come first."""
         if not self._updates:
             return ()
         max_times = math.ceil(self.limits.gossip_factor * self._log_scale())
@@ -415,7 +415,7 @@
             self._apply(row, now, message.kind != "page")
         out = list(self._answer(message, now))
         if known is not None and sender.rank < known.row.rank and known.address != back:
-            # An earlier process of this name: nothing is sent to its address any more, so it is informed here.
+            # An earlier process of this name: nothing else is sent to its address, so it is informed here.
             out.append(self._message(back, "gossip", rows=(known.row,)))
         return out
 
@@ -443,7 +443,7 @@
                 yield from self._request_page(now, back, message.next_row, PULL_ATTEMPTS)
 
     def _page(self, request: Message, to: Address) -> Outgoing:
-        """Returns a page of the table. It includes dead members, which a member that was away may not know of."""
+        """Returns a page of the table, with dead members, since a member that was away may not know them."""
         rows = [self.me, *(self.members[name].row for name in sorted(self.members))]
         first_row = request.first_row if request.first_row < len(rows) else 0
         chosen = rows_that_fit(rows[first_row : first_row + MAX_PAGE_ROWS])
