--- a/heronstall/membership/relays.py
+++ b/heronstall/membership/relays.py
@@ -247,9 +247,9 @@
         """Returns whether, some time after its arrival, the other relays do not know the highest revision.
 
         Where no other relay reports one, the members decide: at least three, fewer than half of which know
-        it. `revisions(since, relays_only)` returns the revisions that members have reported since a time. This guards against a relay that reports a revision of its own making, after which true messages
-        would not count for a while. Relays take precedence over the other members, which may all have been
-        misled.
+        it. `revisions(since, relays_only)` returns the revisions that members have reported since a time.
+        This guards against a relay that reports a revision of its own making, after which true messages would
+        not count for a while. Relays take precedence over the other members, which may all have been misled.
         """
         if self.highest is None or now - self._raised_at < UNCONFIRMED_REVISION_US:
             return False
