--- a/benchmarks/fuzz.py
+++ b/benchmarks/fuzz.py
@@ -23,7 +23,7 @@
 
 with atheris.instrument_imports(include=["heronstall"]):
     from heronstall.config import configuration
-    from heronstall.knowledge import sights
+    from heronstall.knowledge import observations
     from heronstall.membership import messages
     from heronstall.net.connection import Ended
     from heronstall.net.loop import Loop
@@ -104,7 +104,12 @@
 
 
 def _sight() -> Decoder:
-    return Decoder((sights.Unreadable,), sights.unpack, None, (sights.pack(sights.Word("n0", (1, 2), ())),))
+    return Decoder(
+        (observations.Unreadable,),
+        observations.unpack,
+        None,
+        (observations.pack(observations.Word("n0", (1, 2), ())),),
+    )
 
 
 def _state() -> Decoder:
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -27,8 +27,8 @@
 
 from heronstall.cli.common import read_scenario
 from heronstall.fleet.spec import SECOND, Scenario, Trouble
-from heronstall.knowledge.book import Book
-from heronstall.knowledge.sights import Witness, Word, pack, unpack
+from heronstall.knowledge.observations import Witness, Word, pack, unpack
+from heronstall.knowledge.store import Book
 from heronstall.lab.nodes import Nodes
 from heronstall.lab.peered import PeeredNodes
 from heronstall.lab.run import Run as LabRun
--- a/heronstall/knowledge/book.py
+++ b/heronstall/knowledge/store.py
@@ -12,7 +12,7 @@
 from typing import NamedTuple
 
 from heronstall import interface as i
-from heronstall.knowledge.sights import OLDEST, Sight, Word
+from heronstall.knowledge.observations import OLDEST, Sight, Word
 
 SHUN = 1_000_000  # a server that others cannot use is left out at first, until an attempt of one's own
 LOST = 2  # attempts in a row that others lost there
--- a/heronstall/net/peers/knowledge_exchange.py
+++ b/heronstall/net/peers/knowledge_exchange.py
@@ -14,8 +14,8 @@
 from heronstall import events
 from heronstall.config import Address
 from heronstall.events import say
-from heronstall.knowledge.book import Book
-from heronstall.knowledge.sights import LARGEST, Unreadable, Witness, Word, pack, unpack
+from heronstall.knowledge.observations import LARGEST, Unreadable, Witness, Word, pack, unpack
+from heronstall.knowledge.store import Book
 from heronstall.membership.messages import Row
 from heronstall.membership.relays import rendezvous_order
 from heronstall.membership.swim import Swim
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -12,8 +12,8 @@
 
 from heronstall import interface as i
 from heronstall.decide import Balancer
-from heronstall.knowledge.book import LOST, SHUN, Book
-from heronstall.knowledge.sights import LOST_FOR, OLDEST, Sight, Unreadable, Witness, Word, pack, unpack
+from heronstall.knowledge.observations import LOST_FOR, OLDEST, Sight, Unreadable, Witness, Word, pack, unpack
+from heronstall.knowledge.store import LOST, SHUN, Book
 
 SECOND = 1_000_000
 FREE = i.Report(util=0.2, inflight=1.0, free_slots=4.0)
