--- a/benchmarks/fuzz.py
+++ b/benchmarks/fuzz.py
@@ -105,10 +105,10 @@
 
 def _sight() -> Decoder:
     return Decoder(
-        (observations.Unreadable,),
+        (observations.UnreadableMessage,),
         observations.unpack,
         None,
-        (observations.pack(observations.Word("n0", (1, 2), ())),),
+        (observations.pack(observations.Message("n0", (1, 2), ())),),
     )
 
 
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -27,8 +27,8 @@
 
 from heronstall.cli.common import read_scenario
 from heronstall.fleet.spec import SECOND, Scenario, Trouble
-from heronstall.knowledge.observations import Witness, Word, pack, unpack
-from heronstall.knowledge.store import Book
+from heronstall.knowledge.observations import Message, ServerObserver, pack, unpack
+from heronstall.knowledge.store import ObservationStore
 from heronstall.lab.nodes import Nodes
 from heronstall.lab.peered import PeeredNodes
 from heronstall.lab.run import Run as LabRun
@@ -83,26 +83,26 @@
         super().__init__(made, seed)
         self._since: dict[int, int] = {}
         for node in self.nodes:
-            node.observer = Witness()
+            node.observer = ServerObserver()
 
     def _started(self, node: int) -> None:
-        self.nodes[node].observer = Witness()
+        self.nodes[node].observer = ServerObserver()
         super()._started(node)
         self._since[node] = self.time.now
         self.time.at(self.time.now + ASKED, lambda: self._learn(node))
 
     def _learn(self, number: int) -> None:
-        node, book, now = self.nodes[number], Book(), self.time.now
+        node, store, now = self.nodes[number], ObservationStore(), self.time.now
         elders = [
             n for n in self.nodes if n.up and self._since.get(n.number, 0) < self._since[number] - 2 * SECOND
         ]
         elders.sort(key=lambda n: (n.zone != node.zone, (n.number * 7919 + number * 104729) % 1009))
         for elder in elders[:ELDERS]:
             servers = [(s.number, s.uid, s.boot_ms) for s in elder.table.listed()]
-            word = Word(f"n{elder.number}", (1, 1), tuple(elder.observer.sights(now, servers)))
-            book.merge(unpack(pack(word)), now)
+            message = Message(f"n{elder.number}", (1, 1), tuple(elder.observer.observations(now, servers)))
+            store.merge(unpack(pack(message)), now)
         numbers = {(s.uid, s.boot_ms): s.number for s in node.table.listed()}
-        for event in book.hearsay(now, lambda uid, boot_ms: numbers.get((uid, boot_ms))):
+        for event in store.hearsay(now, lambda uid, boot_ms: numbers.get((uid, boot_ms))):
             node.dispatcher.post(event)
 
 
--- a/heronstall/knowledge/__init__.py
+++ b/heronstall/knowledge/__init__.py
@@ -1,6 +1,6 @@
-"""What dispatchers have seen of the servers, told to one that begins: free of I/O and of clocks.
+"""Observations of the servers that a dispatcher gives to one that starts. Nothing does I/O or reads a clock.
 
-`sights` is what one process has seen itself and the form in which it is told; `book` holds the words of
-several side by side and weighs them. Only what was seen first-hand is told on. docs/peers.md is the page
-on it.
+`observations` records what one process has observed itself and defines the message with it. `store` merges
+the messages of several processes. Only first-hand observations are passed on. docs/peers.md describes the
+exchange.
 """
--- a/heronstall/knowledge/observations.py
+++ b/heronstall/knowledge/observations.py
@@ -1,10 +1,10 @@
-"""What a process has seen itself of the servers, and the form in which it is told to another.
+"""Records what a process observes of the servers, and encodes it for another process.
 
     {"format": "heronstall.knowledge", "v": 1, "node": ..., "life": ..., "number": ...,
-     "sights": [[uid, boot_ms, age_ms, free, busy, util, lost], ...]}
+     "sights": [[uid, boot_ms, age_ms, free_slots, inflight, util, lost_attempts], ...]}
 
-`life` is the telling process's incarnation, `number` grows with each word of it; figures that are not known
-are null. What stands after the known fields is from a later version and passed over.
+`life` is the sender's incarnation, and `number` grows with each of its messages. Unknown figures are null.
+Elements after the known fields come from a later version and are ignored.
 """
 
 from __future__ import annotations
@@ -18,142 +18,161 @@
 from heronstall import interface as i
 
 FORMAT, VERSION = "heronstall.knowledge", 1
-LARGEST = 1 << 20  # bytes
-MOST = 4096  # servers of one word
-TEXT = 256  # characters of a server's uid
-OLDEST = 10_000_000  # an older sight is worth nothing: reports fade by half in four seconds
-LOST_FOR = 5_000_000  # what failed longer ago says nothing of now
-ABSURD = 1e9
-NEVER = -(10**15)  # before any clock
-FAILED = frozenset({"no_connection", "reset", "error"})
+MAX_MESSAGE_BYTES = 1 << 20
+MAX_OBSERVATIONS = 4096  # in one message
+MAX_UID_LENGTH = 256  # characters
+MAX_OBSERVATION_AGE_US = 10_000_000  # older ones are worthless: reports lose half their weight in 4 s
+MAX_FAILURE_AGE_US = 5_000_000  # older failures say nothing about the present
+MAX_FIGURE = 1e9  # no real load figure is greater
+NEVER = -(10**15)  # before any time of the clock
+FAILED_STATUSES = frozenset({"no_connection", "reset", "error"})
 
 
-class Sight(NamedTuple):
-    """Of one process of a server. `age` in microseconds, of the last report or the last failure."""
+class Observation(NamedTuple):
+    """What is known of one process of a server. `age` is in microseconds, of the last report or failure."""
 
     uid: str
     boot_ms: int
     age: int
-    free: float | None = None
-    busy: float | None = None
+    free_slots: float | None = None
+    inflight: float | None = None
     util: float | None = None
-    lost: int = 0  # attempts that found no connection, broke or failed, since one was served
+    lost_attempts: int = 0  # that could not connect, broke off or failed, since the last one that was served
 
 
-class Word(NamedTuple):
-    """All that one process has to say; of two of one process the one with the higher stamp is the newer."""
+class Message(NamedTuple):
+    """All observations of one process. Of two messages of a process the higher stamp is the newer."""
 
     node: str
     stamp: tuple[int, int]
-    sights: tuple[Sight, ...]
+    observations: tuple[Observation, ...]
 
 
-class Unreadable(ValueError):
-    """Not a word of ours; the message says why."""
+class UnreadableMessage(ValueError):
+    """The data is not a message of this format; the text gives the reason."""
 
 
-class _Seen:
-    __slots__ = ("report", "reported_at", "lost", "lost_at")
+class _ServerRecord:
+    __slots__ = ("report", "reported_at", "lost_attempts", "lost_at")
 
     def __init__(self) -> None:
         self.report: i.Report | None = None
         self.reported_at = self.lost_at = NEVER
-        self.lost = 0
+        self.lost_attempts = 0
 
 
-class Witness:
-    """Sees what the decisions are told, and keeps what it says of each server: an observer of the dispatcher.
+class ServerObserver:
+    """An observer of the dispatcher that records the reports and failures of each server.
 
-    Hearsay passes by it, so that nothing heard is ever told on as seen.
+    It ignores hearsay, so that nothing second-hand is passed on as an observation.
     """
 
     def __init__(self) -> None:
-        self._seen: dict[int, _Seen] = {}
+        self._records: dict[int, _ServerRecord] = {}
 
-    def observe(self, now: int, told: Sequence[i.Event], said: Sequence[i.Action]) -> None:
-        """One turn of the decisions."""
-        for event in told:
+    def observe(self, now: int, events: Sequence[i.Event], actions: Sequence[i.Action]) -> None:
+        """Records one turn of the decisions."""
+        for event in events:
             if isinstance(event, (i.Outcome, i.ProbeResult)):
-                self._note(now, event)
+                self._record(now, event)
 
-    def _note(self, now: int, event: i.Outcome | i.ProbeResult) -> None:
-        seen = self._seen.get(event.worker)
-        if seen is None:
-            seen = self._seen[event.worker] = _Seen()
+    def _record(self, now: int, event: i.Outcome | i.ProbeResult) -> None:
+        record = self._records.get(event.worker)
+        if record is None:
+            record = self._records[event.worker] = _ServerRecord()
         if event.report is not None:
-            seen.report, seen.reported_at = event.report, now
-        good = event.ok if isinstance(event, i.ProbeResult) else event.status == "ok"
-        if good:
-            seen.lost = 0
-        elif isinstance(event, i.Outcome) and event.status in FAILED:
-            seen.lost, seen.lost_at = seen.lost + 1, now
-
-    def sights(self, now: int, processes: Iterable[tuple[int, str, int]]) -> list[Sight]:
-        """Of these servers (number, uid, boot_ms), what is fresh enough to be worth telling."""
-        made = []
+            record.report, record.reported_at = event.report, now
+        succeeded = event.ok if isinstance(event, i.ProbeResult) else event.status == "ok"
+        if succeeded:
+            record.lost_attempts = 0
+        elif isinstance(event, i.Outcome) and event.status in FAILED_STATUSES:
+            record.lost_attempts, record.lost_at = record.lost_attempts + 1, now
+
+    def observations(self, now: int, processes: Iterable[tuple[int, str, int]]) -> list[Observation]:
+        """Returns the observations of these servers (number, uid, boot_ms) that are fresh enough to send."""
+        observations = []
         for number, uid, boot_ms in processes:
-            seen = self._seen.get(number)
-            if seen is None:
+            record = self._records.get(number)
+            if record is None:
                 continue
-            lost = seen.lost if now - seen.lost_at <= LOST_FOR else 0
-            at = max(seen.reported_at, seen.lost_at) if lost else seen.reported_at
-            if now - at <= OLDEST:
-                r = seen.report if seen.report is not None and seen.reported_at == at else i.Report()
-                made.append(Sight(uid, boot_ms, now - at, r.free_slots, r.inflight, r.util, lost))
-        return made
+            lost_attempts = record.lost_attempts if now - record.lost_at <= MAX_FAILURE_AGE_US else 0
+            at = max(record.reported_at, record.lost_at) if lost_attempts else record.reported_at
+            if now - at <= MAX_OBSERVATION_AGE_US:
+                r = record.report if record.report is not None and record.reported_at == at else i.Report()
+                observations.append(
+                    Observation(uid, boot_ms, now - at, r.free_slots, r.inflight, r.util, lost_attempts)
+                )
+        return observations
 
     def forget(self, number: int) -> None:
-        """The server has moved or started anew: what was seen is of a process that is gone."""
-        self._seen.pop(number, None)
-
-
-def pack(word: Word) -> bytes:
-    """A word as it is sent."""
-    rows = [[s.uid, s.boot_ms, s.age // 1000, s.free, s.busy, s.util, s.lost] for s in word.sights[:MOST]]
-    told = {"format": FORMAT, "v": VERSION, "node": word.node, "life": word.stamp[0], "number": word.stamp[1]}
-    return bytes(ujson.dumps({**told, "sights": rows}, escape_forward_slashes=False).encode())
-
-
-def unpack(data: bytes) -> Word:
-    """What was sent. Raises Unreadable, of the whole: of half a word nothing counts."""
-    if len(data) > LARGEST:
-        raise Unreadable(f"{len(data)} bytes")
+        """Drops the record of a server that has moved or restarted, since it describes an earlier process."""
+        self._records.pop(number, None)
+
+
+def pack(message: Message) -> bytes:
+    """Encodes a message."""
+    rows = [
+        [o.uid, o.boot_ms, o.age // 1000, o.free_slots, o.inflight, o.util, o.lost_attempts]
+        for o in message.observations[:MAX_OBSERVATIONS]
+    ]
+    header = {
+        "format": FORMAT,
+        "v": VERSION,
+        "node": message.node,
+        "life": message.stamp[0],
+        "number": message.stamp[1],
+    }
+    return bytes(ujson.dumps({**header, "sights": rows}, escape_forward_slashes=False).encode())
+
+
+def unpack(data: bytes) -> Message:
+    """Decodes a message. Raises UnreadableMessage if any part is unreadable: a partial one does not count."""
+    if len(data) > MAX_MESSAGE_BYTES:
+        raise UnreadableMessage(f"the message is too long: {len(data)} bytes")
     try:
-        told = ujson.loads(data)
+        fields = ujson.loads(data)
     except (ValueError, RecursionError):
-        raise Unreadable("cut or not JSON") from None
-    if not isinstance(told, dict) or told.get("format") != FORMAT:
-        raise Unreadable("not of ours")
-    if told.get("v") != VERSION:
-        raise Unreadable(f"version {told.get('v')!r}, {VERSION} is known")
-    rows, node = told.get("sights"), told.get("node")
-    if not isinstance(rows, list) or len(rows) > MOST or not isinstance(node, str):
-        raise Unreadable("fields are missing")
-    stamp = _whole(told.get("life")), _whole(told.get("number"))
-    return Word(node, stamp, tuple(_sight(row) for row in rows))
-
-
-def _sight(row: Any) -> Sight:
+        raise UnreadableMessage("truncated or not JSON") from None
+    if not isinstance(fields, dict) or fields.get("format") != FORMAT:
+        raise UnreadableMessage("another format")
+    if fields.get("v") != VERSION:
+        raise UnreadableMessage(f"version {fields.get('v')!r}, expected {VERSION}")
+    rows, node = fields.get("sights"), fields.get("node")
+    if not isinstance(rows, list) or len(rows) > MAX_OBSERVATIONS or not isinstance(node, str):
+        raise UnreadableMessage("fields are missing")
+    stamp = _integer(fields.get("life")), _integer(fields.get("number"))
+    return Message(node, stamp, tuple(_observation(row) for row in rows))
+
+
+def _observation(row: Any) -> Observation:
     if not isinstance(row, list) or len(row) < 7:
-        raise Unreadable("a row is too short")
-    uid, boot_ms, age_ms, free, busy, util, lost = row[:7]
-    if not isinstance(uid, str) or not uid or len(uid) > TEXT:
-        raise Unreadable("a row without a server")
-    age, lost = _whole(age_ms) * 1000, _whole(lost)
-    return Sight(uid, _whole(boot_ms), age, _figure(free), _figure(busy), _figure(util), lost)
-
-
-def _whole(told: Any) -> int:
-    if isinstance(told, bool) or not isinstance(told, int) or not 0 <= told <= 1 << 53:
-        raise Unreadable(f"{str(told)[:20]!r} where a whole number is wanted")
-    return told
-
-
-def _figure(told: Any) -> float | None:
-    if told is None:
+        raise UnreadableMessage("a row is too short")
+    uid, boot_ms, age_ms, free_slots, inflight, util, lost_attempts = row[:7]
+    if not isinstance(uid, str) or not uid or len(uid) > MAX_UID_LENGTH:
+        raise UnreadableMessage("a row has no valid server uid")
+    age, lost_attempts = _integer(age_ms) * 1000, _integer(lost_attempts)
+    return Observation(
+        uid,
+        _integer(boot_ms),
+        age,
+        _figure(free_slots),
+        _figure(inflight),
+        _figure(util),
+        lost_attempts,
+    )
+
+
+def _integer(value: Any) -> int:
+    if isinstance(value, bool) or not isinstance(value, int) or not 0 <= value <= 1 << 53:
+        raise UnreadableMessage(f"expected an integer of at least 0, got {str(value)[:20]!r}")
+    return value
+
+
+def _figure(value: Any) -> float | None:
+    if value is None:
         return None
-    if isinstance(told, bool) or not isinstance(told, (int, float)) or not math.isfinite(told):
-        raise Unreadable(f"{str(told)[:20]!r} where a figure is wanted")
-    if not 0 <= told <= ABSURD:
-        raise Unreadable(f"{told!r} is absurd")
-    return float(told)
+    if isinstance(value, bool) or not isinstance(value, (int, float)) or not math.isfinite(value):
+        raise UnreadableMessage(f"expected a number, got {str(value)[:20]!r}")
+    if not 0 <= value <= MAX_FIGURE:
+        raise UnreadableMessage(f"{value!r} is out of range")
+    return float(value)
--- a/heronstall/knowledge/store.py
+++ b/heronstall/knowledge/store.py
@@ -1,9 +1,10 @@
-"""What several processes have said of the servers, side by side, and what of it a newcomer is told.
+"""Merges the observations of several processes and derives what a new process is told.
 
-Each process's latest word stands for itself: merging takes the later of two words of one process, so that it
-is commutative, associative and idempotent (a map of last-writer registers, each with one writer: Shapiro,
-Preguiça, Baquero, Zawirski, "Conflict-free Replicated Data Types", 2011). Who is told by several takes the
-more careful view: of the reports the lower middle one, of failures what more than one has met.
+Only the latest message of each process counts. Of two messages of one process a merge keeps the later, so it
+is commutative, associative and idempotent (a map of last-writer-wins registers with one writer each: Shapiro,
+Preguiça, Baquero, Zawirski, "Conflict-free Replicated Data Types", 2011). Where messages disagree, the result
+is the more cautious one: the lower median of the load reports, and only failures that more than one process
+has met.
 """
 
 from __future__ import annotations
@@ -12,58 +13,69 @@
 from typing import NamedTuple
 
 from heronstall import interface as i
-from heronstall.knowledge.observations import OLDEST, Sight, Word
+from heronstall.knowledge.observations import MAX_OBSERVATION_AGE_US, Message, Observation
 
-SHUN = 1_000_000  # a server that others cannot use is left out at first, until an attempt of one's own
-LOST = 2  # attempts in a row that others lost there
-SHUN_SHARE = 0.4  # of the servers, at the most: a trouble of all, or a lie, is to leave out none
+SHUN_TIME_US = 1_000_000  # a server that others cannot use is avoided for so long, or until an own attempt
+SHUN_LOST_ATTEMPTS = 2  # in a row at another process, from which on its message speaks against a server
+MAX_SHUNNED_SHARE = 0.4  # of the servers; above it none is avoided, since all have trouble or a message lies
 
 
-class Heard(NamedTuple):
-    """A word, and the moment here from which the ages in it count: that of asking, so that the way counts
-    twice rather than not at all."""
+class ReceivedMessage(NamedTuple):
+    """A message and the local time from which the ages in it count.
 
-    word: Word
-    at: int
+    This is the time of the request, so the travel time counts twice rather than not at all.
+    """
 
+    message: Message
+    requested_at: int
 
-class Book:
-    """The latest words."""
+
+class ObservationStore:
+    """The latest message of each process."""
 
     def __init__(self) -> None:
-        self.words: dict[str, Heard] = {}
-
-    def merge(self, word: Word, at: int) -> None:
-        """A word has come, new, old or once more."""
-        held = self.words.get(word.node)
-        if held is None or word.stamp > held.word.stamp:
-            self.words[word.node] = Heard(word, at)
-
-    def hearsay(self, now: int, number: Callable[[str, int], int | None]) -> list[i.Hearsay]:
-        """What the decisions are to be told; `number` of a server's process, None for one that is not known
-        here: hearsay names none."""
-        found: dict[int, list[Sight]] = {}
-        for heard in self.words.values():
-            for sight in heard.word.sights:
-                known = number(sight.uid, sight.boot_ms)
-                age = now - heard.at + sight.age
-                if known is not None and 0 <= age <= OLDEST:
-                    found.setdefault(known, []).append(sight._replace(age=age))
-        shunned = {worker for worker, sights in found.items() if self._shunned(sights)}
-        if len(shunned) > SHUN_SHARE * len(found):
+        self.messages: dict[str, ReceivedMessage] = {}
+
+    def merge(self, message: Message, requested_at: int) -> None:
+        """Adds a message, which may be new, outdated or a duplicate."""
+        latest = self.messages.get(message.node)
+        if latest is None or message.stamp > latest.message.stamp:
+            self.messages[message.node] = ReceivedMessage(message, requested_at)
+
+    def hearsay(self, now: int, find_number: Callable[[str, int], int | None]) -> list[i.Hearsay]:
+        """Returns the events for the decisions, one for each server.
+
+        `find_number(uid, boot_ms)` returns the number of a server's process. It returns None for a process
+        that is not known here, which gets no event.
+        """
+        by_server: dict[int, list[Observation]] = {}
+        for received in self.messages.values():
+            for observation in received.message.observations:
+                number = find_number(observation.uid, observation.boot_ms)
+                age = now - received.requested_at + observation.age
+                if number is not None and 0 <= age <= MAX_OBSERVATION_AGE_US:
+                    by_server.setdefault(number, []).append(observation._replace(age=age))
+        shunned = {worker for worker, observations in by_server.items() if self._is_shunned(observations)}
+        if len(shunned) > MAX_SHUNNED_SHARE * len(by_server):
             shunned.clear()
-        return [_told(worker, sights, worker in shunned) for worker, sights in sorted(found.items())]
+        return [
+            _combine(worker, observations, worker in shunned)
+            for worker, observations in sorted(by_server.items())
+        ]
+
+    def _is_shunned(self, observations: list[Observation]) -> bool:
+        """Returns whether most observations, and at least two, speak against a server.
 
-    def _shunned(self, sights: list[Sight]) -> bool:
-        """Whether they speak against it: more than one, unless only one has told us anything."""
-        against = sum(sight.lost >= LOST for sight in sights)
-        return against >= min(2, len(self.words)) and 2 * against > len(sights)
+        A single one is enough where only one process has sent a message.
+        """
+        against = sum(observation.lost_attempts >= SHUN_LOST_ATTEMPTS for observation in observations)
+        return against >= min(2, len(self.messages)) and 2 * against > len(observations)
 
 
-def _told(worker: int, sights: list[Sight], shunned: bool) -> i.Hearsay:
-    reports = sorted((s.free, s.age, s) for s in sights if s.free is not None)
+def _combine(worker: int, observations: list[Observation], shunned: bool) -> i.Hearsay:
+    reports = sorted((o.free_slots, o.age, o) for o in observations if o.free_slots is not None)
     if not reports:
-        return i.Hearsay(worker, min(s.age for s in sights), None, SHUN if shunned else 0)
-    _, age, sight = reports[(len(reports) - 1) // 2]
-    report = i.Report(util=sight.util, inflight=sight.busy, free_slots=sight.free)
-    return i.Hearsay(worker, age, report, SHUN if shunned else 0)
+        return i.Hearsay(worker, min(o.age for o in observations), None, SHUN_TIME_US if shunned else 0)
+    _, age, observation = reports[(len(reports) - 1) // 2]
+    report = i.Report(util=observation.util, inflight=observation.inflight, free_slots=observation.free_slots)
+    return i.Hearsay(worker, age, report, SHUN_TIME_US if shunned else 0)
--- a/heronstall/net/peers/knowledge_exchange.py
+++ b/heronstall/net/peers/knowledge_exchange.py
@@ -14,8 +14,15 @@
 from heronstall import events
 from heronstall.config import Address
 from heronstall.events import say
-from heronstall.knowledge.observations import LARGEST, Unreadable, Witness, Word, pack, unpack
-from heronstall.knowledge.store import Book
+from heronstall.knowledge.observations import (
+    MAX_MESSAGE_BYTES,
+    Message,
+    ServerObserver,
+    UnreadableMessage,
+    pack,
+    unpack,
+)
+from heronstall.knowledge.store import ObservationStore
 from heronstall.membership.messages import Row
 from heronstall.membership.relays import rendezvous_order
 from heronstall.membership.swim import Swim
@@ -39,19 +46,19 @@
     def __init__(self, ask_others: bool, loop: Loop, host: str) -> None:
         self._ask_others, self._loop, self._host = ask_others, loop, host
         self._started_at = loop.now
-        self._witness = Witness()
+        self._observer = ServerObserver()
         self._answer_count = 0  # numbers this process's answers
-        self._book = Book()
+        self._store = ObservationStore()
         self._asked: set[str] = set()
 
     def start(self, swim: Swim, table: ServerTable, dispatcher: Dispatcher) -> None:
         """Records observations from now on, and asks others for theirs."""
         self._swim, self._table, self._dispatcher = swim, table, dispatcher
-        dispatcher.observers.append(self._witness)
+        dispatcher.observers.append(self._observer)
         previous_callback = table.moved
 
         def on_moved(server: BackendServer) -> None:
-            self._witness.forget(server.number)
+            self._observer.forget(server.number)
             previous_callback(server)
 
         table.moved = on_moved
@@ -62,8 +69,8 @@
         """Returns what this process has observed itself, encoded."""
         self._answer_count += 1
         servers = [(s.number, s.uid, s.boot_ms) for s in self._table.listed()]
-        sights = self._witness.sights(self._loop.now, servers)
-        return pack(Word(me.name, (me.incarnation, self._answer_count), tuple(sights)))
+        observations = self._observer.observations(self._loop.now, servers)
+        return pack(Message(me.name, (me.incarnation, self._answer_count), tuple(observations)))
 
     def _candidates(self) -> list[Row]:
         """Returns the members to ask: those of the own zone first, each process in an order of its own."""
@@ -75,35 +82,38 @@
         return sorted(older, key=lambda r: r.zone != me.zone)
 
     def _ask_members(self) -> Coroutine[None]:
-        while len(self._book.words) < WANTED_ANSWERS and self._loop.now - self._started_at < ASKING_PERIOD_US:
-            for row in self._candidates()[: WANTED_ANSWERS - len(self._book.words)]:
+        while (
+            len(self._store.messages) < WANTED_ANSWERS
+            and self._loop.now - self._started_at < ASKING_PERIOD_US
+        ):
+            for row in self._candidates()[: WANTED_ANSWERS - len(self._store.messages)]:
                 self._asked.add(row.name)
                 try:
                     answer = yield from self._ask((row.host, row.port))
-                except (Ended, Unreadable) as error:
+                except (Ended, UnreadableMessage) as error:
                     say(log, events.KNOWLEDGE_IGNORED, peer=row.name, reason=str(error))
                     continue
-                if answer.sights and answer.node == row.name:
+                if answer.observations and answer.node == row.name:
                     self._post_events()
             yield from sleep(self._loop.now + RETRY_DELAY_US)
 
     def _post_events(self) -> None:
         """Posts the combined answers received so far to the decisions; more may follow."""
         numbers = {(s.uid, s.boot_ms): s.number for s in self._table.listed()}
-        hearsay = self._book.hearsay(self._loop.now, lambda uid, boot_ms: numbers.get((uid, boot_ms)))
+        hearsay = self._store.hearsay(self._loop.now, lambda uid, boot_ms: numbers.get((uid, boot_ms)))
         for event in hearsay:
             self._dispatcher.post(event)
         shunned = sum(event.shun > 0 for event in hearsay)
         say(
             log,
             events.KNOWLEDGE_HEARD,
-            peers=len(self._book.words),
+            peers=len(self._store.messages),
             servers=len(hearsay),
             shunned=shunned,
         )
 
-    def _ask(self, address: Address) -> Coroutine[Word]:
-        """Fetches and merges one process's answer. Raises Ended, Unreadable."""
+    def _ask(self, address: Address) -> Coroutine[Message]:
+        """Fetches and merges one process's answer. Raises Ended, UnreadableMessage."""
         asked_at, deadline = self._loop.now, self._loop.now + ANSWER_TIMEOUT_US
         connection = yield from connect(self._loop, address, deadline, self._host)
         try:
@@ -113,7 +123,7 @@
             answer = unpack((yield from _read_body(connection, deadline)))
         finally:
             connection.close()
-        self._book.merge(answer, asked_at)
+        self._store.merge(answer, asked_at)
         return answer
 
 
@@ -123,8 +133,8 @@
         event = yield from connection.event(deadline)
         if isinstance(event, h11.Data):
             body += event.data
-            if len(body) > LARGEST:
-                raise Unreadable(f"over {LARGEST} bytes")
+            if len(body) > MAX_MESSAGE_BYTES:
+                raise UnreadableMessage(f"over {MAX_MESSAGE_BYTES} bytes")
         elif isinstance(event, h11.EndOfMessage):
             return bytes(body)
         elif not isinstance(event, h11.Response) or event.status_code != 200:
