--- a/tests/tier/test_prefill_planning.py
+++ b/tests/tier/test_prefill_planning.py
@@ -15,7 +15,7 @@
     PlacedPrompt,
     PromptPlacer,
 )
-from heronstall.distribution.view import View
+from heronstall.distribution.view import ControlStateView
 from heronstall.placement.prefill import (
     CACHE_LIFETIME_S,
     MAX_COMPARED_WORKERS,
@@ -25,7 +25,7 @@
     Prompt,
     affinity,
 )
-from heronstall.sessions.loads import WorkerLoad, pack
+from heronstall.sessions.loads import WorkerLoad, pack_loads
 from heronstall.sessions.table import Sessions
 from heronstall.transport.frames import Kind, Status
 from heronstall.transport.links import LOST, Reply
@@ -151,7 +151,7 @@
 
     def test_loads_reported_by_dispatchers_count(self) -> None:
         for edge in ("e1", "e2"):
-            loads = pack([WorkerLoad("w1", 3, 2)])
+            loads = pack_loads([WorkerLoad("w1", 3, 2)])
             self.sessions.renew(10.0, Session(name=edge, machine_class="edge", loads=loads))
         reply = self.plans.answer(PlaceRequest("lm", "p", 9000, 100), self.workers)
         self.assertEqual(PlaceReply().parse(reply.body).worker, "w2")
@@ -183,10 +183,10 @@
 
     def setUp(self) -> None:
         self.now = 100.0
-        self.view = View()
-        self.view.control = ("c1", "c2", "c3")
+        self.view = ControlStateView()
+        self.view.control_addresses = ("c1", "c2", "c3")
         reply = Reply(Status.OK, bytes(PlaceReply("w7", 16_200)))
-        self.links = FakeLinks(dict.fromkeys(self.view.control, reply))
+        self.links = FakeLinks(dict.fromkeys(self.view.control_addresses, reply))
         self.placer = PromptPlacer(self.links, self.view, lambda: self.now)  # type: ignore[arg-type]
 
     async def test_the_request_and_its_reply(self) -> None:
@@ -215,7 +215,7 @@
                 self.assertIsNone(await self.placer.place("lm", self.PREFIX, 16_200))
                 self.assertIsNotNone(await self.placer.place("lm", self.PREFIX, 16_200))
                 self.assertNotEqual(self.links.asked[-1][0], first)
-        self.links.replies = dict.fromkeys(self.view.control, LOST)
+        self.links.replies = dict.fromkeys(self.view.control_addresses, LOST)
         self.now += NODE_RETRY_DELAY_S
         asked = len(self.links.asked)
         for _ in range(10):
@@ -223,7 +223,7 @@
         self.assertEqual(len(self.links.asked) - asked, 3, "each node once, then none for a while")
 
     async def test_without_control_nodes_there_is_no_placement(self) -> None:
-        self.view.control = ()
+        self.view.control_addresses = ()
         self.assertIsNone(await self.placer.place("lm", self.PREFIX, 16_200))
 
     async def test_a_long_segment_name_is_truncated(self) -> None:
