--- a/heronstall/membership/messages.py
+++ b/heronstall/membership/messages.py
@@ -46,7 +46,7 @@
 
 
 class Row(NamedTuple):
-    """One statement about a member: its state, address and duty. `reporter` is who suspects it."""
+    """One statement about a member: its state, address and duty. `reporter` suspects it."""
 
     state: State
     name: str
--- a/heronstall/membership/swim.py
+++ b/heronstall/membership/swim.py
@@ -77,7 +77,7 @@
     state_since: int  # when its state was learned
     suspicion_end: int = 0
     suspicion_start: int = 0
-    reporters: set[str] = field(default_factory=set)  # who suspects it
+    reporters: set[str] = field(default_factory=set)  # names of the members that suspect it
     rev: int = 0  # revision of its server list, as it last reported itself
     heard_at: int = 0  # when that report arrived
 
@@ -299,7 +299,7 @@
         yield self._message(member.address, "ping", seq, about=member.row.name)
 
     def _next_member(self) -> Member | None:
-        """Returns each member in turn, shuffled anew in each round, so the time to a probe is bounded."""
+        """Returns each member in turn, shuffled in each round, so the time to a probe is bounded."""
         while True:
             while self._round:
                 member = self.members.get(self._round.pop())
--- a/heronstall/takeover/messages.py
+++ b/heronstall/takeover/messages.py
@@ -41,7 +41,7 @@
     answer: str = ""  # of an ended job: served, refused, failed or unusable
     body: str = ""
     digest: str = ""  # of the job, to detect that a key is used for two different jobs
-    register_id: str = ""  # who created the register and when; tells apart registers that reuse a key
+    register_id: str = ""  # its creator and creation; tells apart registers that use one key in turn
 
     @property
     def rank(self) -> tuple[int, int]:
--- a/heronstall/takeover/witness.py
+++ b/heronstall/takeover/witness.py
@@ -23,7 +23,7 @@
         self.promised = 0
         self.state: State | None = None
         self.job: Job | None = None
-        self.expires_at = expires_at  # nobody asks for the register from then on
+        self.expires_at = expires_at  # no process asks for the register from then on
         self.received_at = received_at  # when the job arrived here, to compute its time left
         self.size = 0
 
@@ -32,7 +32,7 @@
     """All registers of one process. Times are microseconds of one clock."""
 
     def __init__(self, started_at: int, max_lifetime: int, max_bytes: int) -> None:
-        """`max_lifetime`: the longest time from a job's arrival until nobody asks for it any more."""
+        """`max_lifetime`: the longest time from a job's arrival until no process asks for it any more."""
         self._mature_at, self._max_lifetime, self._max_bytes = (
             started_at + max_lifetime,
             max_lifetime,
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -152,7 +152,7 @@
     at = mesh.now
     mesh.kill("n1")
     mesh.run(at + 6 * SECOND)
-    assert {who for _, _, who in deaths} == {"n1"}
+    assert {dead for _, _, dead in deaths} == {"n1"}
     assert all("n1" not in [r.name for r in member.living()] for member in mesh.members.values())
 
 
@@ -169,7 +169,7 @@
     at = mesh.now
     mesh.pause("n4", 10 * SECOND)
     mesh.run(at + 10 * SECOND + 1)
-    assert {who for _, _, who in deaths} == {"n4"}
+    assert {dead for _, _, dead in deaths} == {"n4"}
     deaths.clear()
     mesh.run(at + 13 * SECOND)
     assert [row for row in deaths if row[1] == "n4"] == []
