--- a/heronstall/__main__.py
+++ b/heronstall/__main__.py
@@ -19,7 +19,7 @@
 from heronstall.net.backend import HttpBackend, Pool
 from heronstall.net.dispatcher import Dispatcher
 from heronstall.net.frontend import Frontend
-from heronstall.net.loop import READ, Coroutine, Loop, clock
+from heronstall.net.loop import READ, Coroutine, Loop, monotonic_us
 from heronstall.net.server_table import ServerTable
 from heronstall.net.shutdown import GracefulShutdown
 from heronstall.operator import (
@@ -61,7 +61,7 @@
         snapshot: SnapshotFile | None = None,
         takeover: TakeoverFile | None = None,
     ) -> None:
-        offset = time.time_ns() // 1000 - clock()
+        offset = time.time_ns() // 1000 - monotonic_us()
         born = loop.now
         self.config, self.dispatcher = config, Dispatcher(config, loop)
         self._loop, self._offset = loop, offset
@@ -133,11 +133,11 @@
         logging.getLogger("heronstall").addHandler(Alarms(detail))
 
         def look(due: int) -> None:
-            now = clock()
+            now = monotonic_us()
             detail.delayed(max(0, now - due))
             loop.at(now + LOOK, lambda: look(now + LOOK))
 
-        look(clock())
+        look(monotonic_us())
         return detail
 
     def _leave(self) -> None:
--- a/heronstall/net/frontend.py
+++ b/heronstall/net/frontend.py
@@ -20,7 +20,7 @@
 from heronstall.net.client_request import BadRequest, RequestCheck, check_framing, job_of
 from heronstall.net.connection import BODY_LIMIT, Connection, Ended, Ending, listen, shut_writing
 from heronstall.net.dispatcher import Answer, Dispatcher
-from heronstall.net.loop import LEFT, READ, Coroutine, Loop, Task, sleep
+from heronstall.net.loop import READ, REMOTE_CLOSED, Coroutine, Loop, Task, sleep
 from heronstall.net.shutdown import GracefulShutdown, Stage
 
 BACKLOG = 1024
@@ -365,7 +365,7 @@
             last = min(last, shutdown.signalled_at + self._last)
         got: Any = 0
         try:
-            got = yield connection.sock.fileno(), LEFT, last
+            got = yield connection.sock.fileno(), REMOTE_CLOSED, last
         finally:
             if not isinstance(got, Answer):
                 self._dispatcher.client_gone(session)
--- a/heronstall/net/loop.py
+++ b/heronstall/net/loop.py
@@ -1,8 +1,8 @@
-"""epoll, generators as coroutines, and timers. Knows nothing of any protocol.
+"""A single-threaded event loop: epoll, generators as coroutines, and timers. Independent of any protocol.
 
-A coroutine yields `(fd, mask, until)` to wait for readiness and is resumed with the events that came, or
-with 0 once `until` has passed. `fd` -1 waits for no descriptor, `until` None for no moment; `Task.wake`
-resumes it with a value.
+A coroutine yields `(fd, mask, until)` to wait until the descriptor is ready. It is resumed with the epoll
+events, or with 0 once `until` has passed. With `fd` -1 it waits for no descriptor, with `until` None it has
+no time limit; `Task.wake` resumes it with a value.
 """
 
 from __future__ import annotations
@@ -24,27 +24,27 @@
 Coroutine = Generator[Wait, Any, R]
 
 READ, WRITE = select.EPOLLIN | select.EPOLLRDHUP, select.EPOLLOUT
-LEFT = select.EPOLLRDHUP  # only the far end's going away; errors and hang-ups are always told
-BATCH = 256
+REMOTE_CLOSED = select.EPOLLRDHUP  # only the remote end's close; epoll always reports errors and hang-ups too
+MAX_EVENTS_PER_POLL = 256
 log = logging.getLogger("heronstall.loop")
 
 
-def clock() -> int:
-    """The one clock: monotonic microseconds."""
+def monotonic_us() -> int:
+    """Returns the monotonic time in microseconds. All times in the process come from this clock."""
     return time.monotonic_ns() // 1000
 
 
 class Timer:
-    """A call that is due at a moment, unless cancelled."""
+    """A callback scheduled for a time; it can be cancelled."""
 
-    __slots__ = ("call",)
+    __slots__ = ("callback",)
 
-    def __init__(self, call: Callable[[], None]) -> None:
-        self.call: Callable[[], None] | None = call
+    def __init__(self, callback: Callable[[], None]) -> None:
+        self.callback: Callable[[], None] | None = callback
 
     def cancel(self) -> None:
-        """The call will not be made."""
-        self.call = None
+        """Cancels the callback."""
+        self.callback = None
 
 
 class Task:
@@ -59,19 +59,19 @@
         self.done = self._running = False
 
     def wake(self, value: object) -> None:
-        """Resume the coroutine with a value in place of what it waits for."""
+        """Resumes the coroutine with a value, instead of the event that it waits for."""
         self._stop_waiting()
         self._loop.soon(lambda: self.step(value))
 
     def kill(self) -> None:
-        """End the coroutine where it waits; its `finally` clauses run."""
+        """Ends the coroutine at the point where it waits; its `finally` clauses run."""
         if not self.done and not self._running:
             self.done = True
             self._stop_waiting()
             self._coroutine.close()
 
     def step(self, value: object) -> None:
-        """Run up to the next wait. An unexpected error ends this coroutine alone, with a traceback."""
+        """Runs the coroutine up to its next wait. An unexpected error is logged and ends this task only."""
         if self.done:
             return
         self._stop_waiting()
@@ -93,15 +93,17 @@
             self._running = False
 
     def _arm(self, fd: int, mask: int) -> None:
+        """Registers the wait with epoll."""
         try:
             self._loop.arm(fd, mask, self)
-        except OSError:  # the kernel has no such descriptor, or no room: this coroutine alone cannot go on
+        except OSError:  # unknown descriptor, or no memory in the kernel: only this coroutine cannot continue
             say(log, events.UNEXPECTED, where=self.name)
             self.done = True
             self._stop_waiting()
             self._loop.soon(self._coroutine.close)
 
     def _stop_waiting(self) -> None:
+        """Cancels the timer and the wait for a descriptor."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -111,110 +113,110 @@
 
 
 class Loop:
-    """One thread's epoll. `now` is the time of the batch in hand, in microseconds."""
+    """The event loop of one thread. `now` is the time, in microseconds, at which the current turn began."""
 
     def __init__(self) -> None:
         self._epoll = select.epoll()
-        self._known: set[int] = set()
-        self._waiting: dict[int, Task] = {}
-        self._soon: deque[Callable[[], None]] = deque()
+        self._registered: set[int] = set()  # descriptors that epoll knows
+        self._waiting_tasks: dict[int, Task] = {}  # by descriptor
+        self._ready: deque[Callable[[], None]] = deque()
         self._timers: list[tuple[int, int, Timer]] = []
-        self._closing: list[socket.socket] = []
-        self._tie = 0
+        self._pending_close: list[socket.socket] = []
+        self._timer_sequence = 0  # orders timers of the same time by their creation
         self._stopped = False
-        self.now = clock()
+        self.now = monotonic_us()
 
     def spawn(self, coroutine: Coroutine[None], name: str) -> Task:
-        """Start a coroutine, once the events in hand are seen to."""
+        """Starts a coroutine after the events of the current turn have been handled."""
         task = Task(self, coroutine, name)
         self.soon(lambda: task.step(None))
         return task
 
-    def soon(self, call: Callable[[], None]) -> None:
-        """Make a call once the events in hand are seen to, before the next wait."""
-        self._soon.append(call)
+    def soon(self, callback: Callable[[], None]) -> None:
+        """Schedules a callback after the events of the current turn, before the next wait."""
+        self._ready.append(callback)
 
-    def at(self, when: int, call: Callable[[], None]) -> Timer:
-        """Make a call at a moment or just after it."""
-        self._tie += 1
-        timer = Timer(call)
-        heapq.heappush(self._timers, (when, self._tie, timer))
+    def at(self, when: int, callback: Callable[[], None]) -> Timer:
+        """Schedules a callback for a time; it runs then or shortly after."""
+        self._timer_sequence += 1
+        timer = Timer(callback)
+        heapq.heappush(self._timers, (when, self._timer_sequence, timer))
         return timer
 
     def arm(self, fd: int, mask: int, task: Task) -> None:
-        """Resume the task at the next of these events. One shot: nothing repeats while nobody waits."""
+        """Resumes the task at the next of these events, once; events do not repeat while no task waits."""
         mask |= select.EPOLLONESHOT
-        if fd in self._known:
+        if fd in self._registered:
             self._epoll.modify(fd, mask)
         else:
             self._epoll.register(fd, mask)
-            self._known.add(fd)
-        self._waiting[fd] = task
+            self._registered.add(fd)
+        self._waiting_tasks[fd] = task
 
     def disarm(self, fd: int, task: Task) -> None:
-        """The task waits for this descriptor no more."""
-        if self._waiting.get(fd) is task:
-            del self._waiting[fd]
+        """Ends the task's wait for this descriptor."""
+        if self._waiting_tasks.get(fd) is task:
+            del self._waiting_tasks[fd]
 
     def close(self, sock: socket.socket) -> None:
-        """Close a socket at the end of the batch.
+        """Closes a socket at the end of the turn.
 
-        Guards against descriptor reuse inside a batch: were it closed at once, a socket opened meanwhile
-        could get its number and then be handed an event that epoll had reported for the old one.
+        Guards against descriptor reuse within a turn: if the socket were closed at once, one opened meanwhile
+        could get the same descriptor and receive an event that epoll had reported for the closed one.
         """
         fd = sock.fileno()
         if fd < 0:
             return
-        if fd in self._known:
-            self._known.discard(fd)
-            self._waiting.pop(fd, None)
+        if fd in self._registered:
+            self._registered.discard(fd)
+            self._waiting_tasks.pop(fd, None)
             self._epoll.unregister(fd)
-        self._closing.append(sock)
+        self._pending_close.append(sock)
 
     def stop(self) -> None:
-        """Return from `run` after the batch in hand."""
+        """Makes `run` return after the current turn."""
         self._stopped = True
 
     def run(self) -> None:
-        """Serve until stopped."""
+        """Runs until stopped."""
         while not self._stopped:
             self.turn()
         self._epoll.close()
 
-    def turn(self, longest: float = 60.0) -> None:
-        """Wait for one batch of events and see to it."""
-        wait = longest
-        while self._timers and self._timers[0][2].call is None:
+    def turn(self, max_wait_s: float = 60.0) -> None:
+        """Waits for one batch of events and handles it."""
+        wait = max_wait_s
+        while self._timers and self._timers[0][2].callback is None:
             heapq.heappop(self._timers)
         if self._timers:
-            wait = min(wait, max(0.0, (self._timers[0][0] - clock()) / 1e6))
-        batch = self._epoll.poll(0 if self._soon else wait, BATCH)
-        self.now = clock()
+            wait = min(wait, max(0.0, (self._timers[0][0] - monotonic_us()) / 1e6))
+        batch = self._epoll.poll(0 if self._ready else wait, MAX_EVENTS_PER_POLL)
+        self.now = monotonic_us()
         for fd, mask in batch:
-            task = self._waiting.pop(fd, None)
+            task = self._waiting_tasks.pop(fd, None)
             if task is not None:
                 task.step(mask)
-        self._close_all()  # before anything is opened: what is about to close holds a descriptor still
+        self._close_pending()  # before anything is opened: sockets about to be closed still hold descriptors
         while self._timers and self._timers[0][0] <= self.now:
-            call = heapq.heappop(self._timers)[2].call
-            if call is not None:
-                self._call(call)
-        while self._soon:
-            self._call(self._soon.popleft())
-        self._close_all()
-
-    def _close_all(self) -> None:
-        for sock in self._closing:
+            callback = heapq.heappop(self._timers)[2].callback
+            if callback is not None:
+                self._run_callback(callback)
+        while self._ready:
+            self._run_callback(self._ready.popleft())
+        self._close_pending()
+
+    def _close_pending(self) -> None:
+        for sock in self._pending_close:
             sock.close()
-        self._closing.clear()
+        self._pending_close.clear()
 
-    def _call(self, call: Callable[[], None]) -> None:
+    def _run_callback(self, callback: Callable[[], None]) -> None:
         try:
-            call()
-        except Exception:  # one wrong call must not stop the serving of everything else
-            say(log, events.UNEXPECTED, where="a call of the loop")
+            callback()
+        except Exception:  # a failing callback must not stop the rest of the service
+            say(log, events.UNEXPECTED, where="a callback of the event loop")
 
 
 def sleep(until: int) -> Coroutine[None]:
-    """Wait for a moment."""
+    """Waits until a time."""
     yield -1, 0, until
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -151,7 +151,7 @@
 
     def test_an_attempt_is_told_off_before_the_next_one_is_written_within_one_batch(self) -> None:
         self.warm()
-        with mock.patch.object(self.loop, "_close_all", lambda: None):  # the batch never comes to its end
+        with mock.patch.object(self.loop, "_close_pending", lambda: None):  # the batch never comes to its end
             self.ask("keyed", wait="0.8")
             first = self.dispatched()
             second = self.dispatched()  # after the first one's time-out
@@ -296,9 +296,10 @@
             self.spin(lambda: self.front._unproven)
             time.sleep(0.1)  # its time is over before its bytes are looked at
             client.sock.send(b"POST /api HTTP/1.1\r\n")
-            waiting, self.loop._waiting = self.loop._waiting, {}  # and its event comes a batch later
+            # The loop sees the event of these bytes one turn after the timeout.
+            waiting, self.loop._waiting_tasks = self.loop._waiting_tasks, {}
             self.loop.turn(0.0)
-            self.loop._waiting = waiting
+            self.loop._waiting_tasks = waiting
             self.rest(0.05)
         self.assertIn(client.sock.recv(10), (b"", b"HTTP/1.1 4"))
 
