--- a/benchmarks/fuzz.py
+++ b/benchmarks/fuzz.py
@@ -25,7 +25,7 @@
     from heronstall.config import configuration
     from heronstall.knowledge import sights
     from heronstall.membership import messages
-    from heronstall.net.connection import Ended
+    from heronstall.net.connection import ConnectionEnded
     from heronstall.net.loop import Loop
     from heronstall.net.server_table import ServerTable
     from heronstall.ops import handover
@@ -126,7 +126,7 @@
 
     row = {"uid": "s-1", "endpoint": "10.0.0.1:80", "state": "SERVING", "boot_ms": 7, "capacity_hint": 2.0}
     whole = {"rev": 3, "all": True, "targets": [{**row, "az": "a", "model": "m", "pod_group": 1}]}
-    return Decoder((Ended,), read, None, (ujson.dumps(whole).encode(),))
+    return Decoder((ConnectionEnded,), read, None, (ujson.dumps(whole).encode(),))
 
 
 DECODERS = {
--- a/heronstall/net/backend.py
+++ b/heronstall/net/backend.py
@@ -13,7 +13,15 @@
 from heronstall import interface as i
 from heronstall.config import Address, Config
 from heronstall.events import say
-from heronstall.net.connection import BODY_LIMIT, Connection, Ended, Ending, Lines, connect, shut_writing
+from heronstall.net.connection import (
+    MAX_BODY_BYTES,
+    Connection,
+    ConnectionEnded,
+    Ending,
+    LineSplitter,
+    connect,
+    shutdown_write,
+)
 from heronstall.net.dispatcher import Dispatcher, Session
 from heronstall.net.loop import Coroutine, Loop, Task
 from heronstall.net.server_table import BackendServer
@@ -28,7 +36,7 @@
 # that comes some milliseconds late: one that refuses bears no id and would be taken for the answer to it.
 SETTLE_TIME = 20_000
 OFF_MARGIN = 50_000  # a first byte leaves clearly before the drain grace is over
-LINE = 2 * BODY_LIMIT  # a result and what is round it
+LINE = 2 * MAX_BODY_BYTES  # a result and what is round it
 log = logging.getLogger("heronstall.backend")
 
 
@@ -86,25 +94,25 @@
         self._idle.clear()
 
     def take(self, server: BackendServer, until: int) -> Coroutine[Connection]:
-        """A connection to write a first byte on, now. Raises Ended if there is none."""
+        """A connection to write a first byte on, now. Raises ConnectionEnded if there is none."""
         connection = self._reuse(server)
         if connection is None:
             connection = yield from self._fresh(server, until)
         try:
             self.still(server)
-        except Ended:
+        except ConnectionEnded:
             self.close(connection)
             raise
         return connection
 
     def still(self, server: BackendServer) -> None:
-        """Raise Ended where nothing may be written to a server any more.
+        """Raises ConnectionEnded where nothing may be written to a server any more.
 
         Guards against a connect, or a wait, that is over only after its server has long been told off.
         """
         off = server.off_since
         if off is not None and self._loop.now >= off + self._drain_grace - OFF_MARGIN:
-            raise Ended(Ending.WITHDRAWN)
+            raise ConnectionEnded(Ending.WITHDRAWN)
 
     def _reuse(self, server: BackendServer) -> Connection | None:
         idle = self._idle.get(server.number, [])
@@ -114,7 +122,7 @@
             connection = idle[at]
             if connection.idle_since <= settled:
                 del idle[at]
-                if self._loop.now - connection.idle_since < self._keep and connection.fresh():
+                if self._loop.now - connection.idle_since < self._keep and connection.is_quiet():
                     return connection
                 self.close(connection)
             at -= 1
@@ -123,7 +131,7 @@
     def _fresh(self, server: BackendServer, until: int) -> Coroutine[Connection]:
         if len(self._open) + self._connecting >= self._limit and not self._close_idlest():
             say(log, events.NO_DESCRIPTOR, server=server.uid)
-            raise Ended(Ending.WITHDRAWN)
+            raise ConnectionEnded(Ending.WITHDRAWN)
         origin = (server.endpoint, server.boot_ms)
         self._connecting += 1
         self.connects += 1
@@ -131,9 +139,9 @@
             connection = yield from connect(
                 self._loop, server.endpoint, min(until, self._loop.now + self._connect_time)
             )
-        except Ended as ended:
+        except ConnectionEnded as ended:
             late = ended.ending is Ending.REFUSED and self._loop.now >= until
-            raise Ended(Ending.UNSENT_IN_TIME) if late else ended from None
+            raise ConnectionEnded(Ending.UNSENT_IN_TIME) if late else ended from None
         finally:
             self._connecting -= 1
         self._open[connection] = origin
@@ -160,7 +168,7 @@
         on second copies: what follows from this end may be written to another server within the same batch.
         """
         self._open.pop(connection, None)
-        shut_writing(connection.sock)
+        shutdown_write(connection.sock)
         connection.close()
 
     def first_word(self, connection: Connection, until: int) -> Coroutine[h11.Response]:
@@ -168,7 +176,7 @@
         written = self._loop.now
         try:
             return (yield from _response(connection, until))
-        except Ended as ended:
+        except ConnectionEnded as ended:
             if ended.ending is Ending.BROKEN and self._loop.now - written < STALE_TIME:
                 self._broke(written - connection.idle_since)
             raise
@@ -201,7 +209,7 @@
         for number, row in list(self._idle.items()):
             kept = []
             for connection in row:
-                if self._loop.now - connection.idle_since < self._keep and connection.fresh():
+                if self._loop.now - connection.idle_since < self._keep and connection.is_quiet():
                     kept.append(connection)
                 else:
                     self.close(connection)
@@ -249,10 +257,10 @@
                 try:
                     report = read_report(self.slots, ujson.loads(body))
                 except ValueError:
-                    raise Ended(Ending.MALFORMED, f"load report not JSON: {body[:80]!r}") from None
+                    raise ConnectionEnded(Ending.MALFORMED, f"load report not JSON: {body[:80]!r}") from None
             self.pool.give(server, connection)
             connection = None
-        except Ended as ended:
+        except ConnectionEnded as ended:
             ok = False
             if ended.ending is Ending.MALFORMED:
                 say(log, events.MALFORMED_PROBE, server=server.uid, reason=str(ended))
@@ -322,7 +330,7 @@
             yield from _rest(connection, self._loop.now + AFTERWARDS)
             pool.give(self._server, connection)
             connection = None
-        except Ended as ended:
+        except ConnectionEnded as ended:
             ending = ended.ending
             if ending is Ending.MALFORMED:
                 say(log, events.MALFORMED_ANSWER, server=self._server.uid, reason=str(ended))
@@ -334,9 +342,9 @@
         self._end(ending)
 
     def _check_still_wanted(self) -> None:
-        """Raise Ended where this attempt may not begin any more."""
+        """Raises ConnectionEnded where this attempt may not begin any more."""
         if not self._backend.dispatcher.may_begin(self._session):
-            raise Ended(Ending.WITHDRAWN, "its client has left, or its time to begin is over")
+            raise ConnectionEnded(Ending.WITHDRAWN, "its client has left, or its time to begin is over")
 
     def _request(self, connection: Connection) -> bytes:
         job: Job = self._session.job
@@ -356,7 +364,7 @@
             try:
                 self._report = read_report(self._backend.slots, ujson.loads(told))
             except ValueError:
-                raise Ended(Ending.MALFORMED, f"Srv-Load not JSON: {told[:80]!r}") from None
+                raise ConnectionEnded(Ending.MALFORMED, f"Srv-Load not JSON: {told[:80]!r}") from None
         if response.status_code in (503, 504) and headers.get(b"srv-declined") == b"1":
             return Ending.RETURNED
         if 400 <= response.status_code < 500 and response.status_code not in (408, 429):
@@ -370,11 +378,11 @@
             return Ending.UNUSABLE
         if response.status_code != 200:
             return Ending.FAILED
-        lines = Lines(LINE)
+        lines = LineSplitter(LINE)
         while True:
-            event = yield from connection.event(self._until)
+            event = yield from connection.next_event(self._until)
             if not isinstance(event, h11.Data):
-                raise Ended(Ending.BROKEN, "the answer ended before its last line")
+                raise ConnectionEnded(Ending.BROKEN, "the answer ended before its last line")
             for line in lines.feed(bytes(event.data)):
                 ending = self._line(line)
                 if ending is not None:
@@ -386,12 +394,14 @@
             told = ujson.loads(line)
             state, whose = told["state"], told["id"]
         except (ValueError, TypeError, KeyError):
-            raise Ended(Ending.MALFORMED, f"not a job's line: {line[:80]!r}") from None
+            raise ConnectionEnded(Ending.MALFORMED, f"not a job's line: {line[:80]!r}") from None
         if not isinstance(state, str):
-            raise Ended(Ending.MALFORMED, f"a state that is no text: {line[:80]!r}")
+            raise ConnectionEnded(Ending.MALFORMED, f"a state that is no text: {line[:80]!r}")
         # Guards against handing a client what was made for another request.
         if whose != self._session.job.id:
-            raise Ended(Ending.MALFORMED, f"a line about {whose!r} in answer to {self._session.job.id!r}")
+            raise ConnectionEnded(
+                Ending.MALFORMED, f"a line about {whose!r} in answer to {self._session.job.id!r}"
+            )
         dispatcher = self._backend.dispatcher
         if state == "started":
             dispatcher.note(self._session, self._server, self._index, None)
@@ -406,11 +416,11 @@
         if state == "done":
             result = told.get("result")
             if result is None:
-                raise Ended(Ending.MALFORMED, "done without a result")
+                raise ConnectionEnded(Ending.MALFORMED, "done without a result")
             try:
                 self._result = (result if isinstance(result, str) else ujson.dumps(result)).encode()
             except (ValueError, OverflowError):  # half a surrogate pair, or a figure beyond JSON
-                raise Ended(Ending.MALFORMED, f"a result that is no text: {line[:80]!r}") from None
+                raise ConnectionEnded(Ending.MALFORMED, f"a result that is no text: {line[:80]!r}") from None
             return Ending.SERVED
         return LAST_WORDS.get(state)  # a state that we do not know is passed over
 
@@ -425,23 +435,23 @@
 
 def _response(connection: Connection, until: int) -> Coroutine[h11.Response]:
     while True:
-        event = yield from connection.event(until)
+        event = yield from connection.next_event(until)
         if isinstance(event, h11.Response):
             return event
         if not isinstance(event, h11.InformationalResponse):
-            raise Ended(Ending.BROKEN, "closed before an answer")
+            raise ConnectionEnded(Ending.BROKEN, "closed before an answer")
 
 
 def _rest(connection: Connection, until: int) -> Coroutine[bytes]:
     """The message up to its end."""
     body = bytearray()
     while True:
-        event = yield from connection.event(until)
+        event = yield from connection.next_event(until)
         if isinstance(event, h11.Data):
             body += event.data
-            if len(body) > BODY_LIMIT:
-                raise Ended(Ending.MALFORMED, "a body over 64 KiB")
+            if len(body) > MAX_BODY_BYTES:
+                raise ConnectionEnded(Ending.MALFORMED, "a body over 64 KiB")
         elif isinstance(event, h11.EndOfMessage):
             return bytes(body)
         else:
-            raise Ended(Ending.BROKEN, "closed inside an answer")
+            raise ConnectionEnded(Ending.BROKEN, "closed inside an answer")
--- a/heronstall/net/client_request.py
+++ b/heronstall/net/client_request.py
@@ -9,7 +9,7 @@
 from heronstall import interface as i
 from heronstall.config import Config
 from heronstall.net.backend import Job
-from heronstall.net.connection import BODY_LIMIT
+from heronstall.net.connection import MAX_BODY_BYTES
 
 PATH, HEALTH = b"/api", b"/healthz"
 LENGTH_DIGITS = 9  # of a Content-Length at the most
@@ -101,7 +101,7 @@
     encoded = any(name == b"transfer-encoding" for name, _ in request.headers)
     if len(lengths) + encoded > 1 or any(b"," in length for length in lengths):
         raise BadRequest(400, "more than one way to tell the body's length")
-    if lengths and (len(lengths[0].strip()) > LENGTH_DIGITS or int(lengths[0]) > BODY_LIMIT):
+    if lengths and (len(lengths[0].strip()) > LENGTH_DIGITS or int(lengths[0]) > MAX_BODY_BYTES):
         raise BadRequest(413, "body over 64 KiB")
 
 
--- a/heronstall/net/dispatcher.py
+++ b/heronstall/net/dispatcher.py
@@ -16,7 +16,7 @@
 from heronstall.config import Config
 from heronstall.decide import Balancer
 from heronstall.events import say
-from heronstall.net.connection import OUTCOME, Ending
+from heronstall.net.connection import STATUS_BY_ENDING, Ending
 from heronstall.net.loop import Coroutine, Task
 from heronstall.net.server_table import BackendServer
 from heronstall.ops.figures import Fate, Figures
@@ -113,7 +113,7 @@
         """An attempt is about to be made."""
 
     def may_write(self, session: Session, task: Task | None, until: int) -> Coroutine[None]:
-        """Wait until its first byte may be written. Raises Ended where it may not."""
+        """Wait until its first byte may be written. Raises ConnectionEnded where it may not."""
 
     def ended(self, session: Session, ending: Ending) -> None:
         """An attempt has ended."""
@@ -270,7 +270,7 @@
         """The one end of a dispatch: it becomes one Outcome, and a result goes straight to the client."""
         self._counts[f"ending.{ending.name.lower()}"] += 1
         session.open = None
-        if session.anchor == index and OUTCOME[ending] in i.PROVES_NOT_RUN:
+        if session.anchor == index and STATUS_BY_ENDING[ending] in i.PROVES_NOT_RUN:
             session.anchor = None
         if self.guard is not None:
             self.guard.ended(session, ending)
@@ -280,7 +280,9 @@
             # Guards healthy servers: what the client sent is at fault, and no other server could use it.
             self._answer(session.number, Answer("unusable"))
         self.post(
-            i.Outcome(session.number, server.number, index, session.over, OUTCOME[ending], latency, report)
+            i.Outcome(
+                session.number, server.number, index, session.over, STATUS_BY_ENDING[ending], latency, report
+            )
         )
         self._forget(session)
 
--- a/heronstall/net/door.py
+++ b/heronstall/net/door.py
@@ -8,7 +8,7 @@
 from heronstall import events
 from heronstall.config import Address
 from heronstall.events import say
-from heronstall.net.connection import Ended, Ending, Stream, listen
+from heronstall.net.connection import ConnectionEnded, Ending, Stream, listen
 from heronstall.net.loop import READ, Coroutine, Loop, Task, sleep
 from heronstall.net.operations import Operations, Reply
 
@@ -83,7 +83,7 @@
                 call = line.decode("ascii", "backslashreplace").strip()
                 say(log, events.CALL, call=call[:LINE], reply=reply.strip())
             yield from caller.write(reply.encode(), self._loop.now + REPLY_TIME)
-        except Ended:
+        except ConnectionEnded:
             pass  # nobody is left to tell
         finally:
             self._ended(caller)
@@ -96,16 +96,16 @@
                 got = caller.buffer.fill(caller.sock)
             except BlockingIOError:
                 if not (yield caller.sock.fileno(), READ, until):
-                    return caller.buffer.rest()
+                    return caller.buffer.take_all()
             except OSError as error:
-                raise Ended(Ending.BROKEN, str(error)) from None
+                raise ConnectionEnded(Ending.BROKEN, str(error)) from None
             else:
-                line = caller.buffer.line()
+                line = caller.buffer.take_line()
                 if line is not None:
                     return line
                 if not got:  # some tools end their sending in place of the line
-                    return caller.buffer.rest() or None
-        return caller.buffer.rest()[:LINE]
+                    return caller.buffer.take_all() or None
+        return caller.buffer.take_all()[:LINE]
 
     def reply(self, line: bytes) -> str:
         """What is said to a call."""
--- a/heronstall/net/frontend.py
+++ b/heronstall/net/frontend.py
@@ -18,7 +18,14 @@
 from heronstall.events import say
 from heronstall.net.backend import Job
 from heronstall.net.client_request import BadRequest, RequestCheck, check_framing, job_of
-from heronstall.net.connection import BODY_LIMIT, Connection, Ended, Ending, listen, shut_writing
+from heronstall.net.connection import (
+    MAX_BODY_BYTES,
+    Connection,
+    ConnectionEnded,
+    Ending,
+    listen,
+    shutdown_write,
+)
 from heronstall.net.dispatcher import Answer, Dispatcher
 from heronstall.net.loop import READ, REMOTE_CLOSED, Coroutine, Loop, Task, sleep
 from heronstall.net.shutdown import GracefulShutdown, Stage
@@ -91,7 +98,7 @@
         self._finished: Callable[[], None] = loop.stop
         self._pass_on: Callable[[socket.socket, bool], bool] | None = None  # while clients go to an heir
         # Shared: should no process hand its listener over, a replacement can still listen beside it.
-        self._listener = listener or listen(config.listen, BACKLOG, shared=config.operator is not None)
+        self._listener = listener or listen(config.listen, BACKLOG, reuse_port=config.operator is not None)
         self._listener.setblocking(False)
         self._accepting = loop.spawn(self._accept(), "accept")
 
@@ -133,7 +140,7 @@
         """Hold so many connections at the most; `both`: two processes have the room for bodies together."""
         self._limit = limit
         room = (self._config.memory - 2 * OWN_MEMORY) // 2 if both else self._config.memory - OWN_MEMORY
-        self._room = max(2 * BODY_LIMIT, room // BODIES_PART)
+        self._room = max(2 * MAX_BODY_BYTES, room // BODIES_PART)
 
     def adopt(self, sock: socket.socket, proven: bool = False) -> None:
         """Serve a client's connection, new, or between requests and from the process before."""
@@ -205,7 +212,7 @@
             return True
         for row in (self._unproven, self._idle):
             for connection in list(islice(row, CANDIDATES)):
-                if connection.fresh():  # else a request is there already, or the client's own close
+                if connection.is_quiet():  # else a request is there already, or the client's own close
                     self._clients[connection].kill()
                     return True
         return False
@@ -216,7 +223,7 @@
         It ends as one whose time is over, so that a request which crosses the end is read and thrown away:
         its client hands it in anew.
         """
-        if _between(connection) and connection.fresh():
+        if _between(connection) and connection.is_quiet():
             self._clients[connection].wake(0)
 
     def _close_idle(self) -> None:
@@ -249,8 +256,8 @@
         until = self._loop.now + REQUEST_TIME  # for one that has yet to prove itself, mute or not
         try:
             while True:
-                connection.spend(PARSING)
-                yield from connection.pace()
+                connection.charge(PARSING)
+                yield from connection.throttle()
                 if not len(connection.buffer) and not parser.trailing_data[0]:
                     if self._hand(connection, proven):
                         return
@@ -259,7 +266,7 @@
                     connection.idle_since = self._loop.now
                     # Once closing, a connection that comes to rest only now was passed over by `_close_up`.
                     may_rest = proven and not self._closing
-                    yield from connection.more(self._loop.now + IDLE_TIME if may_rest else until)
+                    yield from connection.receive(self._loop.now + IDLE_TIME if may_rest else until)
                     row.pop(connection, None)
                 if proven:
                     until = self._loop.now + REQUEST_TIME
@@ -280,7 +287,7 @@
                     yield from self._linger(connection)
                     return
                 parser.start_next_cycle()
-        except Ended as ended:
+        except ConnectionEnded as ended:
             if ended.ending is Ending.TIMED_OUT:  # between requests
                 yield from self._linger(connection)
             # Otherwise the client has gone: nobody is left to tell.
@@ -295,10 +302,10 @@
         body, size = bytearray(), 0
         try:
             while True:
-                event = yield from connection.event(until)
+                event = yield from connection.next_event(until)
                 if isinstance(event, h11.Request):
                     request = event
-                    check_framing(connection.head, event)
+                    check_framing(connection.raw_head, event)
                     try:
                         arrival = self._requests.arrival(event)
                     except BadRequest as bad:
@@ -310,7 +317,7 @@
                         yield from connection.write(connection.parser.send(go_on) or b"", until)
                 elif isinstance(event, h11.Data):
                     size += len(event.data)
-                    if size > BODY_LIMIT:
+                    if size > MAX_BODY_BYTES:
                         raise BadRequest(413, "body over 64 KiB")
                     # What is wrong with a head is said after its body, so that the connection can stay:
                     # one that asks wrongly again at once is cheaper so than with a new one each time.
@@ -323,7 +330,7 @@
                     return request, arrival, bytes(body)
                 else:
                     return None
-        except Ended as ended:
+        except ConnectionEnded as ended:
             if ended.ending is Ending.MALFORMED:
                 raise BadRequest(400, f"malformed HTTP: {ended}") from None
             if ended.ending is Ending.TIMED_OUT:
@@ -357,7 +364,7 @@
         job = self._job(request, body)
         task = self._clients[connection]
         session = self._dispatcher.submit(arrival, job, task.wake)
-        session.client_left = connection.far_end_left
+        session.client_left = connection.remote_closed
         last = session.deadline + self._config.settings.answer_grace
         shutdown = self._shutdown
         late = shutdown.stage is Stage.STOPPING and self._loop.now - shutdown.signalled_at >= LATE
@@ -372,7 +379,7 @@
         if isinstance(got, Answer):
             yield from self._give(connection, got)
         elif got:
-            raise Ended(Ending.CLOSED)
+            raise ConnectionEnded(Ending.CLOSED)
         else:
             if late:
                 say(log, events.LATE_IN_DRAIN, request=job.id)
@@ -416,7 +423,7 @@
     ) -> Coroutine[None]:
         parser = connection.parser
         if parser.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
-            raise Ended(Ending.CLOSED)
+            raise ConnectionEnded(Ending.CLOSED)
         headers = [*headers, (b"Content-Length", b"%d" % len(body))]
         if self._parts(connection) or parser.their_state not in (h11.DONE, h11.MUST_CLOSE, h11.CLOSED):
             headers.append((b"Connection", b"close"))
@@ -433,14 +440,14 @@
         if not shutdown.closing_connections or self._pass_on is not None:
             return False
         due = shutdown.stage is Stage.STOPPING and self._loop.now - shutdown.signalled_at >= self._last
-        return due or (not connection.parser.trailing_data[0] and connection.fresh())
+        return due or (not connection.parser.trailing_data[0] and connection.is_quiet())
 
     def _linger(self, connection: Connection) -> Coroutine[None]:
         """Read on for a moment after a last answer.
 
         Guards against a reset that overtakes the answer: closing with bytes unread would send one.
         """
-        shut_writing(connection.sock)
+        shutdown_write(connection.sock)
         for row in (self._unproven, self._idle):
             row.pop(connection, None)
         self._lingering[connection] = None
@@ -455,8 +462,8 @@
             else:
                 if not got:
                     return
-                connection.spend(got // 4)  # to throw bytes away is less work than to read them
-                yield from connection.pace()
+                connection.charge(got // 4)  # to throw bytes away is less work than to read them
+                yield from connection.throttle()
 
 
 def _between(connection: Connection) -> bool:
--- a/heronstall/net/json_stream.py
+++ b/heronstall/net/json_stream.py
@@ -7,7 +7,7 @@
 
 import ujson
 
-from heronstall.net.connection import Ended, Ending, Lines
+from heronstall.net.connection import ConnectionEnded, Ending, LineSplitter
 
 # What moves the depth of nesting, and the strings in which it does not: no string spans two lines.
 _TOKEN = re.compile(rb'"(?:[^"\\]|\\.)*"|[\[{]|[\]}]')
@@ -18,7 +18,7 @@
 
     def __init__(self, limit: int) -> None:
         self._limit = limit  # bytes of one object
-        self._lines = Lines(limit, blanks=True)
+        self._lines = LineSplitter(limit, keep_blank=True)
         self._held: list[bytes] = []  # lines of an object that has begun
         self._depth = 0
         self._size = 0
@@ -29,7 +29,7 @@
         return bool(self._held)
 
     def feed(self, data: bytes) -> list[Any]:
-        """The objects that are whole now. Raises Ended MALFORMED for what cannot become one."""
+        """The objects that are whole now. Raises ConnectionEnded MALFORMED for what cannot become one."""
         found = []
         for line in self._lines.feed(data):
             if not self._held:
@@ -61,4 +61,4 @@
         try:
             return ujson.loads(text)
         except ValueError:
-            raise Ended(Ending.MALFORMED, f"not JSON: {text[:80]!r}") from None
+            raise ConnectionEnded(Ending.MALFORMED, f"not JSON: {text[:80]!r}") from None
--- a/heronstall/net/peers/followers.py
+++ b/heronstall/net/peers/followers.py
@@ -10,7 +10,7 @@
 import h11
 
 from heronstall.membership.relays import BEAT, HOLD
-from heronstall.net.connection import Connection, Ended
+from heronstall.net.connection import Connection, ConnectionEnded
 from heronstall.net.loop import READ, Coroutine, Loop, Task
 
 QUEUE = 64  # messages that a follower may be behind
@@ -64,7 +64,7 @@
         connection, loop = self._connection, self._loop
         begun = loop.now
         try:
-            request = yield from connection.event(loop.now + REQUEST_TIME)
+            request = yield from connection.next_event(loop.now + REQUEST_TIME)
             if not isinstance(request, h11.Request):
                 return
             if request.target.startswith(KNOWLEDGE):
@@ -91,7 +91,7 @@
                 yield from self._send(h11.Data(data=line))
                 if not self._waiting:
                     yield from self._pause(loop.now + BEAT)
-        except Ended:
+        except ConnectionEnded:
             pass
         finally:
             gone(self)
--- a/heronstall/net/peers/hub.py
+++ b/heronstall/net/peers/hub.py
@@ -35,7 +35,7 @@
     Revisions,
 )
 from heronstall.membership.swim import Member, Out, Swim
-from heronstall.net.connection import Connection, Ended, Ending, listen
+from heronstall.net.connection import Connection, ConnectionEnded, Ending, listen
 from heronstall.net.dispatcher import Dispatcher
 from heronstall.net.loop import READ, Coroutine, Loop, sleep
 from heronstall.net.peers.followers import Follower
@@ -300,7 +300,7 @@
                 self._send(self.swim.ask(row.name, self._loop.now))
 
     def news(self, message: Any, rev: int, relay: Address | None) -> list[Any]:
-        """What of a message counts now. Raises Ended for a relay's list that is too old."""
+        """What of a message counts now. Raises ConnectionEnded for a relay's list that is too old."""
         now = self._loop.now
         if relay is None:
             self._direct_at = self._fresh_at = now
@@ -312,7 +312,7 @@
         else:
             age = max(0, int(message["age_ms"])) * 1000
             if age > AGE_MOST:
-                raise Ended(Ending.FAILED, f"the list there is {age / 1e6:.1f} s old")
+                raise ConnectionEnded(Ending.FAILED, f"the list there is {age / 1e6:.1f} s old")
             before = self.revisions.floor
             told = self.revisions.told(rev, message, now - age, now)
             if self.revisions.floor != before:
--- a/heronstall/net/peers/learning.py
+++ b/heronstall/net/peers/learning.py
@@ -18,7 +18,7 @@
 from heronstall.membership.messages import Row
 from heronstall.membership.relays import order
 from heronstall.membership.swim import Swim
-from heronstall.net.connection import Connection, Ended, Ending, connect
+from heronstall.net.connection import Connection, ConnectionEnded, Ending, connect
 from heronstall.net.dispatcher import Dispatcher
 from heronstall.net.loop import Coroutine, Loop, sleep
 from heronstall.net.peers.followers import KNOWLEDGE
@@ -77,7 +77,7 @@
                 self._asked.add(row.name)
                 try:
                     word = yield from self._ask((row.host, row.port))
-                except (Ended, Unreadable) as error:
+                except (ConnectionEnded, Unreadable) as error:
                     say(log, events.KNOWLEDGE_IGNORED, peer=row.name, reason=str(error))
                     continue
                 if word.sights and word.node == row.name:
@@ -94,7 +94,7 @@
         say(log, events.KNOWLEDGE_HEARD, peers=len(self._book.words), servers=len(told), shunned=shunned)
 
     def _ask(self, to: Address) -> Coroutine[Word]:
-        """One process's word, merged. Raises Ended, Unreadable."""
+        """One process's word, merged. Raises ConnectionEnded, Unreadable."""
         asked, until = self._loop.now, self._loop.now + ASK_TIME
         connection = yield from connect(self._loop, to, until, self._host)
         try:
@@ -111,7 +111,7 @@
 def _body(connection: Connection, until: int) -> Coroutine[bytes]:
     body = bytearray()
     while True:
-        event = yield from connection.event(until)
+        event = yield from connection.next_event(until)
         if isinstance(event, h11.Data):
             body += event.data
             if len(body) > LARGEST:
@@ -119,4 +119,4 @@
         elif isinstance(event, h11.EndOfMessage):
             return bytes(body)
         elif not isinstance(event, h11.Response) or event.status_code != 200:
-            raise Ended(Ending.BROKEN, "no answer")
+            raise ConnectionEnded(Ending.BROKEN, "no answer")
--- a/heronstall/net/server_table.py
+++ b/heronstall/net/server_table.py
@@ -14,7 +14,7 @@
 from heronstall import interface as i
 from heronstall.config import Address, Config, ConfigError, address
 from heronstall.events import say
-from heronstall.net.connection import Connection, Ended, Ending, connect
+from heronstall.net.connection import Connection, ConnectionEnded, Ending, connect
 from heronstall.net.json_stream import JsonStream
 from heronstall.net.loop import Coroutine, Loop, Task, sleep
 from heronstall.ops.bans import Bans
@@ -180,7 +180,7 @@
             if known is not None and rev is None:
                 try:
                     rev = self.take(known, persisted=True)
-                except Ended as ended:
+                except ConnectionEnded as ended:
                     say(log, events.KNOWN_IGNORED, reason=str(ended))
         self._begin(_Watch(self._config.discovery, rev))
 
@@ -290,7 +290,7 @@
                     yield from self._ask(watch, connection, relay)
                 host, port = relay or watch.discovery
                 yield from self._listen(watch, connection, relay)
-            except Ended as ended:
+            except ConnectionEnded as ended:
                 say(log, events.WATCH_ENDED, host=host, port=port, rev=watch.rev, reason=str(ended))
                 if connection is not None and relay is None and _unanswered(connection, ended):
                     connection = self._leave_open(watch, connection)
@@ -328,8 +328,8 @@
         try:
             event = h11.InformationalResponse(status_code=100, headers=[])
             while isinstance(event, h11.InformationalResponse):
-                event = yield from connection.event(self._loop.now + LATE)
-        except Ended:
+                event = yield from connection.next_event(self._loop.now + LATE)
+        except ConnectionEnded:
             event = None  # the calls after it say what is to be said
         watch.late = None
         if watch is self._watch and isinstance(event, h11.Response) and event.status_code == 200:
@@ -361,16 +361,16 @@
         stream = JsonStream(TABLE_LINE)
         while True:
             try:
-                event = yield from connection.event(self._loop.now + patience)
-            except Ended as ended:
+                event = yield from connection.next_event(self._loop.now + patience)
+            except ConnectionEnded as ended:
                 if stream.inside and ended.ending is Ending.TIMED_OUT:
-                    raise Ended(Ending.MALFORMED, "the list was cut") from None
+                    raise ConnectionEnded(Ending.MALFORMED, "the list was cut") from None
                 raise
             patience = silence
             if isinstance(event, h11.Response):
                 if event.status_code != 200:
                     watch.retry_after = _retry_after(event)
-                    raise Ended(Ending.FAILED, f"discovery answered {event.status_code}")
+                    raise ConnectionEnded(Ending.FAILED, f"discovery answered {event.status_code}")
                 self._no_late(watch)
             elif isinstance(event, h11.Data):
                 if self.sources is not None and relay is None:
@@ -378,10 +378,10 @@
                 for message in stream.feed(bytes(event.data)):
                     self._hear(watch, message, relay)
             elif isinstance(event, (h11.EndOfMessage, h11.ConnectionClosed)):
-                raise Ended(Ending.CLOSED)
+                raise ConnectionEnded(Ending.CLOSED)
 
     def _hear(self, watch: _Watch, message: Any, relay: Address | None) -> None:
-        """A message has come, or a sign of life. Raises Ended for a malformed one."""
+        """A message has come, or a sign of life. Raises ConnectionEnded for a malformed one."""
         if self.sources is None:
             watch.rev = watch.after = self.take(message, newest=watch.newest)
             watch.newest = max(watch.rev, watch.newest or 0)
@@ -390,7 +390,7 @@
                 rev = 0 if message is None else int(message["rev"])
                 counting = self.sources.news(message, rev, relay)
             except (KeyError, TypeError, ValueError, OverflowError) as error:
-                raise Ended(Ending.MALFORMED, f"malformed server list: {error!r}") from None
+                raise ConnectionEnded(Ending.MALFORMED, f"malformed server list: {error!r}") from None
             if not counting:
                 return
             for one in counting:
@@ -412,7 +412,7 @@
     def take(
         self, message: Any, persisted: bool = False, relayed: bool = False, newest: int | None = None
     ) -> int:
-        """One list; its revision. Raises Ended for a malformed one, of which nothing counts.
+        """One list; its revision. Raises ConnectionEnded for a malformed one, of which nothing counts.
 
         `relayed`: it was told to another dispatcher. An endpoint is told to each for itself, so that of a
         server not known here is of no use, unless the operator's file says that they are the same.
@@ -423,7 +423,7 @@
             rev, whole = int(message["rev"]), bool(message["all"])
             rows = [self._row(told) for told in message["targets"]]
         except (KeyError, TypeError, ValueError, AttributeError, OverflowError, ConfigError) as error:
-            raise Ended(Ending.MALFORMED, f"malformed server list: {error!r}") from None
+            raise ConnectionEnded(Ending.MALFORMED, f"malformed server list: {error!r}") from None
         if whole:
             self.beyond.clear()
         if relayed and not self.same_endpoints:
@@ -520,7 +520,7 @@
         return _Row(row, uid, endpoint, boot_ms, state, entry)
 
 
-def _unanswered(connection: Connection, ended: Ended) -> bool:
+def _unanswered(connection: Connection, ended: ConnectionEnded) -> bool:
     """Whether a call was made, and nothing has come to it yet."""
     return ended.ending is Ending.TIMED_OUT and connection.parser.their_state is h11.SEND_RESPONSE
 
--- a/heronstall/net/takeover/guard.py
+++ b/heronstall/net/takeover/guard.py
@@ -20,7 +20,7 @@
 from heronstall.config import Config
 from heronstall.events import say
 from heronstall.net.backend import Job
-from heronstall.net.connection import OUTCOME, Ended, Ending
+from heronstall.net.connection import STATUS_BY_ENDING, ConnectionEnded, Ending
 from heronstall.net.dispatcher import Answer, Dispatcher, Session
 from heronstall.net.loop import Coroutine, Loop, Task
 from heronstall.net.server_table import BackendServer
@@ -184,17 +184,17 @@
             self._say(held.holder.put(Phase.WRITING, server=server.uid, attempt=index), held.holder)
 
     def may_write(self, session: Session, task: Task | None, until: int) -> Coroutine[None]:
-        """Wait until a majority knows that an attempt begins. Raises Ended where it may not."""
+        """Wait until a majority knows that an attempt begins. Raises ConnectionEnded where it may not."""
         held = self._by_session.get(session.number)
         if held is None:
             if session.over:
-                raise Ended(Ending.WITHDRAWN, "it was answered meanwhile")
+                raise ConnectionEnded(Ending.WITHDRAWN, "it was answered meanwhile")
             return
         holder = held.holder
         alone_at = self._loop.now + self._wait
         while True:
             if held.lent or session.over or holder.verdict in ("known", "lost"):
-                raise Ended(Ending.WITHDRAWN, "somebody else has the job")
+                raise ConnectionEnded(Ending.WITHDRAWN, "somebody else has the job")
             if holder.verdict == "go":
                 return
             repeatable = self._config.settings.classes[session.cls].effect != "unsafe"
@@ -206,7 +206,7 @@
                 self._lend(held)
                 continue
             if self._loop.now >= until:
-                raise Ended(Ending.UNSENT_IN_TIME)
+                raise ConnectionEnded(Ending.UNSENT_IN_TIME)
             held.task = task
             yield -1, 0, min(until, alone_at) if self._loop.now < alone_at else until
             held.task = None
@@ -216,7 +216,7 @@
         held = self._by_session.get(session.number)
         if held is None or held.lent or session.over or held.holder.verdict in ("known", "lost"):
             return
-        if OUTCOME[ending] in i.PROVES_NOT_RUN:
+        if STATUS_BY_ENDING[ending] in i.PROVES_NOT_RUN:
             phase = Phase.CONFIRMED if held.holder.confirmed else Phase.HELD
             self._say(held.holder.put(phase, server="", attempt=0), held.holder)
 
--- a/heronstall/net/takeover/links.py
+++ b/heronstall/net/takeover/links.py
@@ -19,7 +19,7 @@
 from heronstall.events import say
 from heronstall.membership.messages import State as MemberState
 from heronstall.membership.swim import Swim
-from heronstall.net.connection import Connection, Ended, Lines, connect
+from heronstall.net.connection import Connection, ConnectionEnded, LineSplitter, connect
 from heronstall.net.loop import READ, Coroutine, Loop, Task, sleep
 from heronstall.net.takeover.guard import Guard
 from heronstall.takeover.words import LARGEST, Unreadable, Word, pack, unpack
@@ -77,7 +77,7 @@
                     )
                     yield from connection.write(data, until)
                     yield from self._hear(connection)
-                except Ended:
+                except ConnectionEnded:
                     pass
                 finally:
                     self.up = False
@@ -90,11 +90,11 @@
             yield from sleep(self._loop.now + self._draw.randrange(*AGAIN))
 
     def _hear(self, connection: Connection) -> Coroutine[None]:
-        lines, sender = Lines(LARGEST), self._loop.spawn(self._write(connection), "takeover's words")
+        lines, sender = LineSplitter(LARGEST), self._loop.spawn(self._write(connection), "takeover's words")
         self._sender, self.up = sender, True
         try:
             while True:
-                event = yield from connection.event(None)
+                event = yield from connection.next_event(None)
                 if isinstance(event, h11.Data):
                     for line in lines.feed(bytes(event.data)):
                         self._links.heard(self._name, line)
@@ -117,7 +117,7 @@
                 yield from connection.write(
                     connection.parser.send(h11.Data(data=data)) or b"", loop.now + WRITE_TIME
                 )
-            except Ended:
+            except ConnectionEnded:
                 connection.close()
                 return
 
@@ -163,14 +163,14 @@
             say(log, events.TAKEOVER_UNREADABLE, peer=name, reason=str(error))
 
     def serve(self, connection: Connection) -> Coroutine[None]:
-        """Answer an owner's words until its connection ends. Raises Ended."""
-        loop, lines, who = self.loop, Lines(LARGEST), ("", 0)
+        """Answer an owner's words until its connection ends. Raises ConnectionEnded."""
+        loop, lines, who = self.loop, LineSplitter(LARGEST), ("", 0)
         headers = [("Transfer-Encoding", "chunked")]
         response = connection.parser.send(h11.Response(status_code=200, headers=headers)) or b""
         yield from connection.write(response, loop.now + WRITE_TIME)
         try:
             while True:
-                event = yield from connection.event(None)
+                event = yield from connection.next_event(None)
                 if not isinstance(event, h11.Data):
                     return
                 said = []
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -277,15 +277,15 @@
     def test_a_request_that_crosses_the_close_of_a_resting_connection_meets_no_reset(self) -> None:
         client = self.client()
         self.spin(lambda: self.front._unproven)
-        fresh = Connection.fresh
+        is_quiet = Connection.is_quiet
 
         def crossed(resting: Connection) -> bool:
-            free = fresh(resting)
+            free = is_quiet(resting)
             with contextlib.suppress(OSError):
                 client.sock.send(b"POST /api HTTP/1.1\r\n")  # after the look, before the close
             return free
 
-        with mock.patch.object(Connection, "fresh", crossed):
+        with mock.patch.object(Connection, "is_quiet", crossed):
             self.front._close_up()
         self.rest(0.05)
         self.assertEqual(client.sock.recv(10), b"")  # not a reset
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -30,7 +30,7 @@
 from heronstall.decide import Balancer
 from heronstall.net import server_table
 from heronstall.net.backend import SETTLE_TIME, Pool, read_report
-from heronstall.net.connection import Buffer, Connection, Ended, Ending, Lines
+from heronstall.net.connection import Buffer, Connection, ConnectionEnded, Ending, LineSplitter
 from heronstall.net.dispatcher import Dispatcher
 from heronstall.net.frontend import Frontend
 from heronstall.net.loop import READ, Coroutine, Loop
@@ -610,7 +610,7 @@
             def run() -> Coroutine[None]:
                 try:
                     taken.append((yield from pool.take(server, self.loop.now + 1_000_000)))
-                except Ended as ended:
+                except ConnectionEnded as ended:
                     taken.append(ended.ending)
 
             self.loop.spawn(run(), "take")
@@ -652,7 +652,7 @@
                 far.sock.close()
 
             def run() -> Coroutine[None]:
-                with contextlib.suppress(Ended):
+                with contextlib.suppress(ConnectionEnded):
                     yield from pool.first_word(connection, self.loop.now + 30_000)
                 done.append(True)
 
@@ -989,10 +989,10 @@
         far.close()
 
     def test_an_endless_line_ends_its_connection(self) -> None:
-        lines = Lines(10)
+        lines = LineSplitter(10)
         self.assertEqual(lines.feed(b"ab\n\ncd"), [b"ab"])
         self.assertEqual(lines.feed(b"ef\n"), [b"cdef"])
-        with self.assertRaises(Ended):
+        with self.assertRaises(ConnectionEnded):
             lines.feed(b"x" * 11)
 
     def test_reports_go_by_the_names_that_the_settings_give_and_by_those_on_the_sockets(self) -> None:
