--- a/heronstall/__main__.py
+++ b/heronstall/__main__.py
@@ -141,7 +141,7 @@
         return detail
 
     def _leave(self) -> None:
-        self.shutdown.begin()
+        self.shutdown.stop()
         if self.peers is not None:
             self.peers.leave()
         if self.daily is not None:
--- a/heronstall/net/frontend.py
+++ b/heronstall/net/frontend.py
@@ -78,7 +78,7 @@
         self._config, self._loop, self._dispatcher = config, loop, dispatcher
         self._requests = RequestCheck(config)
         self._ready, self._shutdown = ready, shutdown
-        shutdown.close_idle, shutdown.close_up = self._close_idle, self._close_up
+        shutdown.close_idle, shutdown.close_all = self._close_idle, self._close_up
         self._clients: dict[Connection, Task] = {}
         # In the order in which they are given up when room is wanted, each the longest waiting first: those
         # that are answered and only to be closed; those that have never brought a request that can be used,
--- a/heronstall/net/json_stream.py
+++ b/heronstall/net/json_stream.py
@@ -1,4 +1,4 @@
-"""JSON objects out of a stream: one a line as a rule, or spread over several lines where indented."""
+"""Reads JSON objects from a stream: usually one per line, or spread over several lines if indented."""
 
 from __future__ import annotations
 
@@ -9,45 +9,46 @@
 
 from heronstall.net.connection import ConnectionEnded, Ending, LineSplitter
 
-# What moves the depth of nesting, and the strings in which it does not: no string spans two lines.
+# Matches brackets, which change the nesting depth, and strings, inside which brackets do not count. A JSON
+# string never spans two lines.
 _TOKEN = re.compile(rb'"(?:[^"\\]|\\.)*"|[\[{]|[\]}]')
 
 
 class JsonStream:
-    """Splits a stream into objects."""
+    """Splits a stream into JSON objects."""
 
     def __init__(self, limit: int) -> None:
         self._limit = limit  # bytes of one object
         self._lines = LineSplitter(limit, keep_blank=True)
-        self._held: list[bytes] = []  # lines of an object that has begun
+        self._object_lines: list[bytes] = []  # of an object that is not complete
         self._depth = 0
         self._size = 0
 
     @property
-    def inside(self) -> bool:
-        """Whether an object has begun and is not whole."""
-        return bool(self._held)
+    def in_object(self) -> bool:
+        """Whether an object has begun and is not complete."""
+        return bool(self._object_lines)
 
     def feed(self, data: bytes) -> list[Any]:
-        """The objects that are whole now. Raises ConnectionEnded MALFORMED for what cannot become one."""
-        found = []
+        """Returns the objects completed by the data. Raises ConnectionEnded (MALFORMED) for invalid JSON."""
+        objects = []
         for line in self._lines.feed(data):
-            if not self._held:
+            if not self._object_lines:
                 if not line:
                     continue
                 try:
-                    found.append(ujson.loads(line))
+                    objects.append(ujson.loads(line))
                     continue
                 except ValueError:
-                    pass  # nonsense, or the first line of an indented one
-            message = self._more(line)
-            if message is not None:
-                found.append(message)
-        return found
+                    pass  # invalid, or the first line of an indented object
+            completed = self._add_line(line)
+            if completed is not None:
+                objects.append(completed)
+        return objects
 
-    def _more(self, line: bytes) -> Any:
-        """Another line of an indented object; the object if that was its last one."""
-        self._held.append(line)
+    def _add_line(self, line: bytes) -> Any:
+        """Adds a line to an indented object; returns the object if it is now complete."""
+        self._object_lines.append(line)
         self._size += len(line)
         for token in _TOKEN.findall(line):
             if token in b"[{":
@@ -56,9 +57,9 @@
                 self._depth -= 1
         if self._depth > 0 and line and self._size <= self._limit:
             return None
-        text = b"\n".join(self._held)
-        self._held, self._depth, self._size = [], 0, 0
+        text = b"\n".join(self._object_lines)
+        self._object_lines, self._depth, self._size = [], 0, 0
         try:
             return ujson.loads(text)
         except ValueError:
-            raise ConnectionEnded(Ending.MALFORMED, f"not JSON: {text[:80]!r}") from None
+            raise ConnectionEnded(Ending.MALFORMED, f"invalid JSON: {text[:80]!r}") from None
--- a/heronstall/net/server_table.py
+++ b/heronstall/net/server_table.py
@@ -363,7 +363,7 @@
             try:
                 event = yield from connection.next_event(self._loop.now + patience)
             except ConnectionEnded as ended:
-                if stream.inside and ended.ending is Ending.TIMED_OUT:
+                if stream.in_object and ended.ending is Ending.TIMED_OUT:
                     raise ConnectionEnded(Ending.MALFORMED, "the list was cut") from None
                 raise
             patience = silence
--- a/heronstall/net/shutdown.py
+++ b/heronstall/net/shutdown.py
@@ -7,69 +7,71 @@
 
 from heronstall.net.loop import Loop, Timer
 
-# By a signal: clients find their way to the others meanwhile; then answers end their connections, and those
-# that idle are closed.
-SIGNAL_TIME = 750_000  # microseconds
-# By a drain: the front asks ten times a second and stops new connections 0.2 s after a no. From then on an
-# answer ends its connection. What idles is closed a while later: the more end with an answer, the fewer
-# closes cross a request. A drained dispatcher holds nothing idle, and no job of the last 2 s, after 4 s.
-DRAIN_TIME, IDLE_TIME = 350_000, 1_400_000  # until answers, and then sweeps, close connections
-SWEEP = 100_000  # between two sweeps
+# After a signal: in this time clients are directed to other dispatchers. After it, answers end their
+# connections, and idle connections are closed.
+SIGNAL_CLOSE_DELAY_US = 750_000
+# After a drain call: the load balancer in front checks health ten times a second and stops new connections
+# 0.2 s after a negative answer. From then on an answer ends its connection. Idle connections are closed a while
+# later: the more connections end with an answer, the fewer closes cross a request. 4 s after the call, a
+# drained dispatcher holds no idle connection and no job accepted in the last 2 s.
+DRAIN_CLOSE_DELAY_US, DRAIN_SWEEP_DELAY_US = 350_000, 1_400_000
+SWEEP_INTERVAL_US = 100_000
 
 
 class Stage(enum.Enum):
-    """How far the shutdown has got."""
+    """The progress of the shutdown. Operators read the values."""
 
     SERVING = "serving"
-    DRAINED = "drained"  # by a call: can be taken back
-    STOPPING = "leaving"  # by a signal: ends when all is answered; operators read the older word
+    DRAINED = "drained"  # by a call, which can be revoked
+    STOPPING = "leaving"  # by a signal: ends once every request is answered
 
 
 class GracefulShutdown:
-    """The state, and the clock that moves it on. The frontend says what closing means."""
+    """The state of the shutdown and its timers. The frontend supplies the callbacks that close connections."""
 
     def __init__(self, loop: Loop) -> None:
         self._loop = loop
         self.stage = Stage.SERVING
-        self.drained = False  # what was said by hand last, whatever signal has come: a successor goes by it
+        # The operator's latest call, whatever signal has arrived since: the successor process continues it.
+        self.drained = False
         self.closing_connections = False  # answers end their connections
         self.signalled_at = 0
         self._timers: list[Timer] = []
-        self.close_idle: Callable[[], None] = lambda: None  # called again and again while drained
-        self.close_up: Callable[[], None] = lambda: None  # called once after a signal
+        self.close_idle: Callable[[], None] = lambda: None  # called repeatedly while drained
+        self.close_all: Callable[[], None] = lambda: None  # called once after a signal
 
     @property
     def unavailable(self) -> bool:
-        """Whether new clients are to go elsewhere."""
+        """Whether new clients should use another dispatcher."""
         return self.stage is not Stage.SERVING
 
     def drain(self) -> None:
-        """A drain is asked for; on the way out already, nothing more comes of it here."""
+        """Starts a drain. Once the process is stopping, the call is only recorded."""
         self.drained = True
         if self.stage is Stage.SERVING:
             self.stage = Stage.DRAINED
-            self._in(DRAIN_TIME, self._close_connections)
-            self._in(IDLE_TIME, self._sweep)
+            self._schedule(DRAIN_CLOSE_DELAY_US, self._close_connections)
+            self._schedule(DRAIN_SWEEP_DELAY_US, self._sweep)
 
     def rejoin(self) -> None:
-        """A drain is taken back. A signal cannot be."""
+        """Ends a drain. A shutdown by signal cannot be revoked."""
         self.drained = False
         if self.stage is Stage.DRAINED:
-            self._stop()
+            self._cancel_timers()
             self.stage, self.closing_connections = Stage.SERVING, False
 
-    def begin(self) -> None:
-        """A signal has come. What a drain had begun goes on."""
+    def stop(self) -> None:
+        """Starts the shutdown after a signal. Connections that a drain already closes continue to be closed."""
         if self.stage is not Stage.STOPPING:
-            self._stop()
+            self._cancel_timers()
             self.stage, self.signalled_at = Stage.STOPPING, self._loop.now
-            self._in(SIGNAL_TIME, self._close_connections)
-            self._in(SIGNAL_TIME, lambda: self.close_up())
+            self._schedule(SIGNAL_CLOSE_DELAY_US, self._close_connections)
+            self._schedule(SIGNAL_CLOSE_DELAY_US, lambda: self.close_all())
 
-    def _in(self, after: int, call: Callable[[], None]) -> None:
-        self._timers.append(self._loop.at(self._loop.now + after, call))
+    def _schedule(self, delay: int, callback: Callable[[], None]) -> None:
+        self._timers.append(self._loop.at(self._loop.now + delay, callback))
 
-    def _stop(self) -> None:
+    def _cancel_timers(self) -> None:
         for timer in self._timers:
             timer.cancel()
         self._timers.clear()
@@ -79,5 +81,5 @@
 
     def _sweep(self) -> None:
         self.close_idle()
-        self._stop()
-        self._in(SWEEP, self._sweep)
+        self._cancel_timers()
+        self._schedule(SWEEP_INTERVAL_US, self._sweep)
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -270,7 +270,7 @@
     def test_a_signal_ends_a_drain_for_good(self) -> None:
         self.front._finished = stopped = mock.Mock()
         self.call("LAMEDUCK")
-        self.program.shutdown.begin()
+        self.program.shutdown.stop()
         self.assertEqual(self.call("REJOIN"), "NO leaving\n")
         self.assertEqual(self.call("LAMEDUCK"), "YES leaving already\n")
         self.assertEqual(self.call("PING"), "NO leaving\n")
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -243,7 +243,7 @@
 
 class OnTheWayOut(Endings):
     def leave(self) -> None:
-        self.program.shutdown.begin()
+        self.program.shutdown.stop()
 
     def test_a_request_that_is_half_read_when_clients_are_closed_is_answered(self) -> None:
         client = self.client()
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -327,7 +327,7 @@
                 self.watch.say(json.dumps(self.table(0, 1, rev=2)))
                 self.rest(0.05)
             else:
-                self.program.shutdown.begin()
+                self.program.shutdown.stop()
 
     def test_a_drain_still_accepts_then_closes_idle_clients_and_finishes_what_was_taken(self) -> None:
         stopped = mock.Mock()
@@ -335,7 +335,7 @@
         idle = self.client()
         taken = self.ask()
         server = self.dispatched()
-        self.program.shutdown.begin()
+        self.program.shutdown.stop()
         self.rest(0.3)
         late = self.client()
         late.sock.sendall(b"GET /healthz HTTP/1.1\r\nHost: o\r\n\r\n")
@@ -374,7 +374,7 @@
         ):
             early = self.ask()
             self.dispatched()
-            self.program.shutdown.begin()
+            self.program.shutdown.stop()
             late = self.ask(name="id-2")
             self.dispatched()
             self.assertEqual(self.status(late), 500)
