--- a/heronstall/__main__.py
+++ b/heronstall/__main__.py
@@ -102,11 +102,11 @@
             guard = begin(config, takeover, loop, self.peers, self.dispatcher)
         handed = self.daily.table if self.daily is not None else None
         if snapshot is not None:
-            from heronstall.net.snapshots import Snapshots
+            from heronstall.net.snapshots import SnapshotStore
 
-            snapshots = Snapshots(config, snapshot, loop, offset)
-            handed = handed or snapshots.start_from()
-            snapshots.begin(table)
+            snapshots = SnapshotStore(config, snapshot, loop, offset)
+            handed = handed or snapshots.load()
+            snapshots.start(table)
         table.start(handed)
         listener = self.daily.listener if self.daily is not None else None
         self.frontend = Frontend(config, loop, self.dispatcher, ready, half, self.shutdown, listener)
--- a/heronstall/net/shutdown.py
+++ b/heronstall/net/shutdown.py
@@ -11,7 +11,7 @@
 # connections, and idle connections are closed.
 SIGNAL_CLOSE_DELAY_US = 750_000
 # After a drain call: the load balancer in front checks health ten times a second and stops new connections
-# 0.2 s after a negative answer. From then on an answer ends its connection. Idle connections are closed a while
+# 0.2 s after a negative answer. From then on an answer ends its connection. Idle connections are closed
 # later: the more connections end with an answer, the fewer closes cross a request. 4 s after the call, a
 # drained dispatcher holds no idle connection and no job accepted in the last 2 s.
 DRAIN_CLOSE_DELAY_US, DRAIN_SWEEP_DELAY_US = 350_000, 1_400_000
@@ -27,7 +27,7 @@
 
 
 class GracefulShutdown:
-    """The state of the shutdown and its timers. The frontend supplies the callbacks that close connections."""
+    """The state of the shutdown and its timers. The frontend supplies callbacks that close connections."""
 
     def __init__(self, loop: Loop) -> None:
         self._loop = loop
@@ -61,7 +61,7 @@
             self.stage, self.closing_connections = Stage.SERVING, False
 
     def stop(self) -> None:
-        """Starts the shutdown after a signal. Connections that a drain already closes continue to be closed."""
+        """Starts the shutdown after a signal. If a drain already closes connections, that continues."""
         if self.stage is not Stage.STOPPING:
             self._cancel_timers()
             self.stage, self.signalled_at = Stage.STOPPING, self._loop.now
--- a/heronstall/net/snapshots.py
+++ b/heronstall/net/snapshots.py
@@ -1,7 +1,7 @@
-"""The snapshot's file: read once at the start, written anew when the list has changed.
+"""Saves the server list in a file: reads it once at the start, and writes it when the list has changed.
 
-Imported only where the operator's file names a folder. A folder that is full, read-only or gone costs a log
-line and nothing else.
+Imported only if the operator's file names a directory. A directory that is full, read-only or missing costs
+a log line and nothing else.
 """
 
 from __future__ import annotations
@@ -20,67 +20,75 @@
 from heronstall.operator import SnapshotFile
 from heronstall.start.snapshot import LARGEST, Unusable, fresher, pack, unpack
 
-LOOK = 2_000_000  # between looks at whether the list has changed
-REWRITE = 600_000_000  # an unchanged one is dated anew so often
-AGAIN = 60_000_000  # after a write that failed
+CHECK_INTERVAL_US = 2_000_000  # between checks whether the list has changed
+REWRITE_INTERVAL_US = 600_000_000  # after which an unchanged list is written again with the current time
+RETRY_DELAY_US = 60_000_000  # after a failed write
 log = logging.getLogger("heronstall.snapshots")
 
 
-class Snapshots:
-    """One process's."""
+class SnapshotStore:
+    """The snapshot file of one process."""
 
-    def __init__(self, config: Config, told: SnapshotFile, loop: Loop, offset: int) -> None:
+    def __init__(self, config: Config, settings: SnapshotFile, loop: Loop, offset: int) -> None:
         self._config, self._loop, self._offset = config, loop, offset
-        self._most_age = round(told.most_h * 3.6e9)
-        safe = "".join(letter if letter.isalnum() else "_" for letter in config.name)
-        self._path = Path(told.dir) / f"heronstall-{safe}.snapshot"
+        self._max_age_us = round(settings.most_h * 3.6e9)
+        safe_name = "".join(letter if letter.isalnum() else "_" for letter in config.name)
+        self._path = Path(settings.dir) / f"heronstall-{safe_name}.snapshot"
         self._discovery = ":".join(map(str, config.discovery))
-        self._written: tuple[int, int] | None = None  # revision, and when it was written
+        self._last_write: tuple[int, int] | None = None  # the revision, and the time of the write
 
-    def start_from(self) -> Any:
-        """The list to start from: the snapshot's or the one we are told, whichever is later."""
+    def load(self) -> Any:
+        """Returns the list to start from: the later one of the snapshot and the list in the configuration."""
         snapshot = None
         try:
             if self._path.stat().st_size > LARGEST:
                 raise Unusable("too large")
             now = self._loop.now + self._offset
             data = self._path.read_bytes()
-            snapshot = unpack(self._config.name, self._discovery, data, now, self._most_age)
+            snapshot = unpack(self._config.name, self._discovery, data, now, self._max_age_us)
         except FileNotFoundError:
             pass
         except (OSError, Unusable) as error:
             say(log, events.SNAPSHOT_IGNORED, path=str(self._path), reason=str(error))
         return fresher(snapshot, self._config.known)
 
-    def begin(self, table: ServerTable) -> None:
-        """Keep the file up to date."""
+    def start(self, table: ServerTable) -> None:
+        """Keeps the file up to date from now on."""
         self._table = table
-        self._loop.at(self._loop.now + LOOK, self._look)
+        self._loop.at(self._loop.now + CHECK_INTERVAL_US, self._check)
 
-    def _look(self) -> None:
-        pause, now = LOOK, self._loop.now
+    def _check(self) -> None:
+        delay, now = CHECK_INTERVAL_US, self._loop.now
         rev = self._table.rev if self._table.heard else None
-        if rev is not None and self._due(rev, now):
+        if rev is not None and self._is_due(rev, now):
             try:
-                told = self._table.whole()
-                self._write(pack(self._config.name, self._discovery, now + self._offset, told))
-                self._written = rev, now
+                server_list = self._table.whole()
+                self._write(pack(self._config.name, self._discovery, now + self._offset, server_list))
+                self._last_write = rev, now
             except OSError as error:
-                pause = AGAIN
+                delay = RETRY_DELAY_US
                 say(log, events.SNAPSHOT_FAILED, path=str(self._path), reason=str(error))
-        self._loop.at(now + pause, self._look)
+        self._loop.at(now + delay, self._check)
 
-    def _due(self, rev: int, now: int) -> bool:
-        return self._written is None or self._written[0] != rev or now - self._written[1] > REWRITE
+    def _is_due(self, rev: int, now: int) -> bool:
+        """Returns whether the file must be written."""
+        return (
+            self._last_write is None
+            or self._last_write[0] != rev
+            or now - self._last_write[1] > REWRITE_INTERVAL_US
+        )
 
     def _write(self, data: bytes) -> None:
-        """Beside it and then in its place, so that it is whole at any moment. Not synced: after a loss of
-        power its sum tells, and the loop never waits for a disk."""
-        aside = self._path.with_name(f"{self._path.name}.{os.getpid()}")
+        """Writes a temporary file and renames it, so that the file is complete at any time.
+
+        The file is not synced, so that the loop never waits for a disk. After a power loss the checksum shows
+        whether it is damaged.
+        """
+        temporary = self._path.with_name(f"{self._path.name}.{os.getpid()}")
         try:
-            aside.write_bytes(data)
-            os.replace(aside, self._path)
+            temporary.write_bytes(data)
+            os.replace(temporary, self._path)
         except OSError:
             with contextlib.suppress(OSError):
-                aside.unlink()
+                temporary.unlink()
             raise
