--- a/heronstall/net/daily.py
+++ b/heronstall/net/daily.py
@@ -12,12 +12,12 @@
 
 from heronstall.config import Address, Config, ConfigError
 from heronstall.net.backend import Pool
-from heronstall.net.book import Book
 from heronstall.net.dispatcher import Dispatcher
 from heronstall.net.door import CALLERS, Door
 from heronstall.net.frontend import Frontend
 from heronstall.net.loop import Loop
 from heronstall.net.operations import Operations
+from heronstall.net.operator_state import Book
 from heronstall.net.server_table import ServerTable
 from heronstall.net.shutdown import GracefulShutdown, Stage
 from heronstall.net.succession import Share, Succession, claim
