--- a/heronstall/net/daily.py
+++ b/heronstall/net/daily.py
@@ -17,7 +17,7 @@
 from heronstall.net.frontend import Frontend
 from heronstall.net.loop import Loop
 from heronstall.net.operations import Operations
-from heronstall.net.operator_state import Book
+from heronstall.net.operator_state import OperatorState
 from heronstall.net.server_table import ServerTable
 from heronstall.net.shutdown import GracefulShutdown, Stage
 from heronstall.net.succession import Share, Succession, claim
@@ -40,7 +40,7 @@
         folder: Path | None,
     ) -> None:
         self._config, self._address, self._loop, self._shutdown = config, address, loop, shutdown
-        self._book = Book(loop, offset, bans, shutdown)
+        self._book = OperatorState(loop, offset, bans, shutdown)
         self._path: Path | None = None
         self._claimed = None
         self._succession: Succession | None = None
@@ -70,7 +70,7 @@
         """
         self._frontend, self._pool, self._half = frontend, pool, half
         if self._path is not None:
-            self._book.follow(table)
+            self._book.watch(table)
             self._succeed(self._path, table, taking)
 
         def begun() -> bool:
@@ -78,7 +78,7 @@
             return taking() if self._succession is None else self._succession.begun
 
         self.operations = operations = Operations(dispatcher, table, self._shutdown, begun)
-        operations.changed = self._book.changed
+        operations.changed = self._book.record_change
         try:
             self.door = Door(self._loop, self._address, operations)
         except OSError as error:
--- a/heronstall/net/operator_state.py
+++ b/heronstall/net/operator_state.py
@@ -1,4 +1,4 @@
-"""What operators have said by hand, kept together by all processes that serve as this dispatcher."""
+"""The state set by operators: bans and the drain, shared by all processes that serve as this dispatcher."""
 
 from __future__ import annotations
 
@@ -13,12 +13,13 @@
 from heronstall.ops.bans import Bans, Word
 from heronstall.ops.handover import Folder, State, Wrong
 
-LOOK = 200_000  # between looks at what the others have heard: a tenth of the least drain grace met so far
+# Between reads of the other processes' files: a tenth of the shortest drain grace of any deployment so far.
+READ_INTERVAL_US = 200_000
 log = logging.getLogger("heronstall.book")
 
 
-class Book:
-    """The bans and the drain, and the files that carry them to other processes, where a folder is told."""
+class OperatorState:
+    """The bans and the drain, and the files that share them with other processes, if a folder is given."""
 
     def __init__(self, loop: Loop, offset: int, bans: Bans, shutdown: GracefulShutdown) -> None:
         self._loop, self._offset, self._bans, self._shutdown = loop, offset, bans, shutdown
@@ -27,38 +28,38 @@
         self._table: ServerTable | None = None
 
     def open(self, folder: Path, node: str) -> None:
-        """Take over what is written there, before anything is sent, and keep to it from now on."""
+        """Reads the state in the folder, before anything is sent, and shares later changes through it."""
         try:
             self._files = Folder(folder, node)
         except OSError as error:
-            self._lost(error)
+            self._disable_files(error)
             return
-        self._look()
-        self._write()
+        self._read_files()
+        self._write_file()
         if self._files is not None:
             self._files.sweep()
 
-    def follow(self, table: ServerTable) -> None:
-        """Tell the table of each ban that another process hears of."""
+    def watch(self, table: ServerTable) -> None:
+        """Reads the files repeatedly from now on and informs the table of bans set at other processes."""
         self._table = table
         if self._files is not None:
-            self._loop.at(self._loop.now + LOOK, self._again)
+            self._loop.at(self._loop.now + READ_INTERVAL_US, self._poll)
 
-    def changed(self) -> None:
-        """An operator has taken a server out or in, or begun or ended the drain."""
+    def record_change(self) -> None:
+        """Records that an operator has changed a ban or the drain."""
         drained = self._shutdown.drained
         if drained != (self._drain is not None and self._drain.out):
             now = self._loop.now + self._offset
-            before = self._drain.at if self._drain else 0
-            self._drain = Word(max(now, before + 1), drained)
-        self._write()
+            previous = self._drain.at if self._drain else 0
+            self._drain = Word(max(now, previous + 1), drained)
+        self._write_file()
 
-    def _again(self) -> None:
-        self._look()
+    def _poll(self) -> None:
+        self._read_files()
         if self._files is not None:
-            self._loop.at(self._loop.now + LOOK, self._again)
+            self._loop.at(self._loop.now + READ_INTERVAL_US, self._poll)
 
-    def _look(self) -> None:
+    def _read_files(self) -> None:
         if self._files is None:
             return
         try:
@@ -66,35 +67,36 @@
                 if isinstance(state, Wrong):
                     say(log, events.HANDOVER_IGNORED, path=state.path, reason=state.reason)
                 else:
-                    self._take(state)
+                    self._apply(state)
         except OSError as error:
-            self._lost(error)
+            self._disable_files(error)
 
-    def _take(self, state: State) -> None:
+    def _apply(self, state: State) -> None:
+        """Adopts what is newer in another process's state."""
         changed = self._bans.merge(state.bans)
         if changed and self._table is not None:
             self._table.banned(changed)
-        # Only a living process's drain is one of this dispatcher's: a start after a stop is a fresh one.
-        word = state.drain
-        newer = word is not None and state.alive and (self._drain is None or word > self._drain)
-        if word is not None and newer:
-            self._drain = word
-            if word.out:
+        # Only the drain of a living process counts: a dispatcher that was stopped starts without a drain.
+        drain = state.drain
+        newer = drain is not None and state.alive and (self._drain is None or drain > self._drain)
+        if drain is not None and newer:
+            self._drain = drain
+            if drain.out:
                 self._shutdown.drain()
             else:
                 self._shutdown.rejoin()
-        # Whoever said it may be gone when the next process comes; that one asks who is left.
+        # The process that recorded the change may be gone when the next one starts and reads this file.
         if (changed or newer) and self._table is not None:
-            self._write()
+            self._write_file()
 
-    def _write(self) -> None:
+    def _write_file(self) -> None:
         if self._files is not None:
             try:
                 self._files.write(State(self._bans.rows(), self._drain))
             except OSError as error:
-                self._lost(error)
+                self._disable_files(error)
 
-    def _lost(self, error: OSError) -> None:
-        """The folder cannot be used: this process serves on with what it knows."""
+    def _disable_files(self, error: OSError) -> None:
+        """Stops using the folder after an error; this process continues with the state that it has."""
         self._files = None
         say(log, events.HANDOVER_LOST, reason=str(error))
