--- a/heronstall/__main__.py
+++ b/heronstall/__main__.py
@@ -84,7 +84,7 @@
         self.dispatcher.backend = HttpBackend(config, loop, self.dispatcher, pool)
 
         def settled() -> bool:
-            return table.heard or loop.now - born > FIRST_LIST
+            return table.answered or loop.now - born > FIRST_LIST
 
         def ready() -> bool:
             return table.any_serving() and settled()
@@ -174,7 +174,7 @@
         for key in fixed_changes(self.config, config):
             say(log, events.RELOAD_FIXED, key=key)
         say(log, events.RELOADED, host=config.discovery[0], port=config.discovery[1])
-        self.table.follow(config.discovery)
+        self.table.switch_discovery(config.discovery)
 
 
 def _catch_signals() -> socket.socket:
--- a/heronstall/net/daily.py
+++ b/heronstall/net/daily.py
@@ -88,7 +88,7 @@
     def _succeed(self, path: Path, table: ServerTable, taking: Callable[[], bool]) -> None:
         config, frontend = self._config, self._frontend
         self._succession = succession = Succession(
-            self._loop, path, config.name, config.listen, frontend.listener, taking, table.whole
+            self._loop, path, config.name, config.listen, frontend.listener, taking, table.full_list
         )
         succession.adopt, succession.know = frontend.adopt, frontend.know
         succession.shared, succession.orphaned = self._share, frontend.take_back
--- a/heronstall/net/operator_state.py
+++ b/heronstall/net/operator_state.py
@@ -75,7 +75,7 @@
         """Adopts what is newer in another process's state."""
         changed = self._bans.merge(state.bans)
         if changed and self._table is not None:
-            self._table.banned(changed)
+            self._table.apply_bans(changed)
         # Only the drain of a living process counts: a dispatcher that was stopped starts without a drain.
         drain = state.drain
         newer = drain is not None and state.alive and (self._drain is None or drain > self._drain)
--- a/heronstall/net/peers/hub.py
+++ b/heronstall/net/peers/hub.py
@@ -75,7 +75,7 @@
 
 
 class Peers:
-    """One process among its peers: a `Sources` for its server table, and a relay for others."""
+    """One process among its peers: a `ListSources` for its server table, and a relay for others."""
 
     descriptors = MOST_FOLLOWERS + 2
 
@@ -208,7 +208,7 @@
             if duty not in TELLS:
                 self._dismiss()
             if (duty is Duty.RELAY) != (before is Duty.RELAY) or duty is Duty.BRANCH:
-                self._table.again()
+                self._table.restart_watch()
         elif self._following is not None:
             source = self._source
             if source == self._raised_by and self.revisions.made_up(
@@ -216,14 +216,14 @@
             ):
                 say(log, events.PEERS_MISLED, source=source, rev=self.revisions.floor)
                 self.relaying.failed(source, now, MISLED)
-                self._table.again()
+                self._table.restart_watch()
             elif self._lags(now, BEHIND):
-                self.ended(self._following)
-                self._table.again()
-            elif self._table.beyond and self._due_for_own():
-                self._table.again()
+                self.relay_ended(self._following)
+                self._table.restart_watch()
+            elif self._table.foreign_entries and self._due_for_own():
+                self._table.restart_watch()
         elif self._own_since is not None and self._had_own(now) and self._sources():
-            self._table.again()
+            self._table.restart_watch()
 
     def _lags(self, now: int, longest: int) -> bool:
         """Whether others have had something for so long that has not come here."""
@@ -254,7 +254,7 @@
         now, swim = self._loop.now, self.swim
         return self.relaying.sources(now, swim.me, swim.living(), swim.ahead(now))
 
-    def next(self) -> Coroutine[Address | None]:
+    def next_source(self) -> Coroutine[Address | None]:
         """Whom the table is to ask: a relay, or None, the list service itself."""
         self._following = self._own_since = None
         while True:
@@ -266,7 +266,7 @@
                 continue
             if not self.relaying.gathering(now, swim.me, swim.living()):
                 sources = self._sources()
-                if sources and not (self._table.beyond and self._due_for_own()):
+                if sources and not (self._table.foreign_entries and self._due_for_own()):
                     self._following = sources[0].host, sources[0].port
                     self._takes_from(sources[0].name)
                     self.revisions.begun()
@@ -287,11 +287,11 @@
             self._source = source
             say(log, events.PEERS_FOLLOWS, source=source)
 
-    def askers(self) -> int:
+    def client_count(self) -> int:
         """Relays, and oneself: the others ask only now and then."""
         return 1 + sum(row.duty is Duty.RELAY for row in self.swim.living() if row.name != self.swim.me.name)
 
-    def ended(self, relay: Address) -> None:
+    def relay_ended(self, relay: Address) -> None:
         """A relay's list has ended: another is asked next, and whether it lives."""
         self._following = None
         for row in self.swim.living():
@@ -299,7 +299,7 @@
                 self.relaying.failed(row.name, self._loop.now)
                 self._send(self.swim.ask(row.name, self._loop.now))
 
-    def news(self, message: Any, rev: int, relay: Address | None) -> list[Any]:
+    def accept(self, message: Any, rev: int, relay: Address | None) -> list[Any]:
         """What of a message counts now. Raises ConnectionEnded for a relay's list that is too old."""
         now = self._loop.now
         if relay is None:
@@ -318,7 +318,7 @@
             if self.revisions.floor != before:
                 self._raised_by = self._source
             self._fresh_at = max(self._fresh_at or 0, now - age)
-            self._own_at = None if not self._table.beyond else self._own_at
+            self._own_at = None if not self._table.foreign_entries else self._own_at
         if self.relaying.duty is (Duty.RELAY if relay is None else Duty.BRANCH):
             for one in told:
                 self._pass_on(one.message)
@@ -340,7 +340,7 @@
         rev = self._table.rev
         if rev is None or self._fresh_at is None or not self._first_hand():
             return b"\n"
-        told = self._table.whole(True) if whole else {"rev": rev, "all": False, "targets": []}
+        told = self._table.full_list(True) if whole else {"rev": rev, "all": False, "targets": []}
         told["age_ms"] = self._age_ms()
         return ujson.dumps(told, escape_forward_slashes=False).encode() + b"\n"
 
--- a/heronstall/net/snapshots.py
+++ b/heronstall/net/snapshots.py
@@ -59,10 +59,10 @@
 
     def _check(self) -> None:
         delay, now = CHECK_INTERVAL_US, self._loop.now
-        rev = self._table.rev if self._table.heard else None
+        rev = self._table.rev if self._table.answered else None
         if rev is not None and self._is_due(rev, now):
             try:
-                server_list = self._table.whole()
+                server_list = self._table.full_list()
                 self._write(pack(self._config.name, self._discovery, now + self._offset, server_list))
                 self._last_write = rev, now
             except OSError as error:
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -46,7 +46,7 @@
 
 class Words(Operated):
     def test_each_call_has_its_reply_and_what_is_no_call_gets_one_no(self) -> None:
-        self.program.table.heard = True
+        self.program.table.answered = True
         for line, reply in (
             ("PING", "YES serving"),
             (b"PING\r\n", "YES serving"),
@@ -201,7 +201,7 @@
     def test_no_list_lifts_a_ban_and_what_comes_back_is_cold(self) -> None:
         table = self.program.table
         told: list[Any] = []
-        table._told = told.append
+        table._post = told.append
         self.call("DETACH s-0")
         (ban,) = told[-1].entries
         self.assertEqual((ban.worker, ban.state), (1, "leaving"))
@@ -216,9 +216,9 @@
         self.call("ATTACH s-0")
         (back,) = told[-1].entries
         self.assertIsNone(server.off_since)
-        self.assertEqual((back.state, back.started_at), ("active", server.back_at))
+        self.assertEqual((back.state, back.started_at), ("active", server.ban_ended_at))
         self.tell(0, 1, rev=6)  # the list says that it started long ago: it may be late
-        self.assertEqual(told[-1].entries[0].started_at, server.back_at)
+        self.assertEqual(told[-1].entries[0].started_at, server.ban_ended_at)
         restarted = self.table(0, 1, rev=7)
         boot = (since + 1_000 + table._offset) // 1000
         restarted["targets"][0]["boot_ms"] = boot
@@ -227,7 +227,7 @@
 
     def test_a_server_that_is_long_gone_was_listed_all_the_same(self) -> None:
         self.tell(1, rev=3)
-        with mock.patch("heronstall.net.server_table.FORGET", -1):
+        with mock.patch("heronstall.net.server_table.FORGET_AFTER_US", -1):
             self.tell(1, rev=4)
         self.assertNotIn(1, self.program.table.by_number)
         self.assertEqual(self.call("DETACH s-0"), "YES detached\n")
@@ -249,7 +249,7 @@
         return self.status(client) == 200
 
     def test_a_drain_says_no_ends_what_idles_and_is_taken_back(self) -> None:
-        self.program.table.heard = True
+        self.program.table.answered = True
         self.assertTrue(self.healthy())
         used = self.ask("unsafe", name="id-0")
         server = self.dispatched()
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -398,7 +398,7 @@
 
     def test_a_cut_list_on_a_watch_that_falls_silent_is_asked_for_again(self) -> None:
         self.watch.sock.sendall(STREAM)
-        with mock.patch.object(server_table, "SILENCE", 100_000):
+        with mock.patch.object(server_table, "WATCH_TIMEOUT_US", 100_000):
             self.watch.say('{"rev": 7, "all": true, "targets": [')
             again = self.accept(self.discovery)
             self.spin(lambda: b"watch=1 " in again.read())
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -115,26 +115,26 @@
 
 
 class RelaysInTurn:
-    """Names relays one after the other, and takes their messages as they come; a `server_table.Sources`."""
+    """Returns relays one after the other and accepts every message; a `server_table.ListSources`."""
 
     host = "127.0.0.1"
 
     def __init__(self, relays: list[socket.socket]) -> None:
         self._left: list[Address] = [relay.getsockname() for relay in relays]
 
-    def next(self) -> Coroutine[Address | None]:
+    def next_source(self) -> Coroutine[Address | None]:
         """The next one, without waiting."""
         yield from ()
         return self._left.pop(0)
 
-    def askers(self) -> int:
+    def client_count(self) -> int:
         """Of the list service."""
         return 1
 
-    def ended(self, relay: Address) -> None:
+    def relay_ended(self, relay: Address) -> None:
         """A relay has been left."""
 
-    def news(self, message: Any, rev: int, relay: Address | None) -> list[Any]:
+    def accept(self, message: Any, rev: int, relay: Address | None) -> list[Any]:
         """All that is told counts."""
         return [] if message is None else [message]
 
@@ -682,11 +682,11 @@
     def test_nothing_is_first_written_to_a_server_long_told_off(self) -> None:
         server = BackendServer(1, "s", self.servers[2].getsockname(), 0)
         _, take = self.pool(server)
-        server.listed_off = self.loop.now  # told just now: the grace lasts
+        server.listed_off_since = self.loop.now  # told just now: the grace lasts
         self.assertIsInstance(take(), Connection)
-        server.listed_off = self.loop.now - 2_000_000
+        server.listed_off_since = self.loop.now - 2_000_000
         self.assertIs(take(), Ending.WITHDRAWN)
-        server.listed_off = None
+        server.listed_off_since = None
         self.assertIsInstance(take(), Connection)
         server.banned_since = self.loop.now - 2_000_000  # out by hand, whatever the list says
         self.assertIs(take(), Ending.WITHDRAWN)
@@ -743,7 +743,7 @@
     def test_a_call_without_an_answer_in_time_is_left_open_beside_the_next_one(self) -> None:
         self.watch.sock.close()
         busy = STREAM.replace(b"200 OK", b"503 busy")
-        with mock.patch("heronstall.net.server_table.SILENCE", 60_000):
+        with mock.patch("heronstall.net.server_table.WATCH_TIMEOUT_US", 60_000):
             slow = self.accept(self.discovery)
             later = self.accept(self.discovery)  # nothing came to the first
             another = self.accept(self.discovery)  # nor to the second, which is not kept, too
@@ -758,7 +758,7 @@
         slow.say(json.dumps(self.table(2, rev=9)))  # it is the watch from here on
         self.spin(lambda: table.rev == 9)
         slow.sock.close()
-        with mock.patch("heronstall.net.server_table.SILENCE", 60_000):
+        with mock.patch("heronstall.net.server_table.WATCH_TIMEOUT_US", 60_000):
             slow, later = self.accept(self.discovery), self.accept(self.discovery)
         slow.sock.sendall(busy)  # of no use, and no reason to give up the other
         self.spin(partial(self.gone, slow))
@@ -773,7 +773,7 @@
         table = self.front._dispatcher.table
         assert isinstance(table, server_table.ServerTable)
         table.sources = RelaysInTurn(relays)
-        table.again()
+        table.restart_watch()
         speaks, silent, tells = relays
         first = self.accept(speaks)
         first.sock.sendall(STREAM)
@@ -828,12 +828,12 @@
             return self.status(client) == 200
 
         self.spin(healthy)
-        self.assertFalse(self.program.table.heard)
+        self.assertFalse(self.program.table.answered)
 
     def test_a_watch_that_misses_a_heartbeat_is_opened_again_where_it_ended(self) -> None:
-        self.assertLess(server_table.SILENCE, 2 * server_table.HEARTBEAT)
-        self.assertGreater(server_table.SILENCE, server_table.HEARTBEAT)
-        with mock.patch("heronstall.net.server_table.SILENCE", 300_000):
+        self.assertLess(server_table.WATCH_TIMEOUT_US, 2 * server_table.HEARTBEAT_US)
+        self.assertGreater(server_table.WATCH_TIMEOUT_US, server_table.HEARTBEAT_US)
+        with mock.patch("heronstall.net.server_table.WATCH_TIMEOUT_US", 300_000):
             self.watch.sock.sendall(STREAM)
             self.watch.say(json.dumps(self.table(0, 1, rev=5)))
             again = self.accept(self.discovery)
@@ -859,7 +859,7 @@
         table = self.program.table
         self.watch.sock.sendall(STREAM)
         self.watch.say(json.dumps(self.table(0, 1, rev=5)))
-        self.spin(lambda: table.heard)
+        self.spin(lambda: table.answered)
         middle, new = listener(), listener()
         new_at = at(new)
         self.reload(discovery=at(middle))
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -77,7 +77,7 @@
     path.write_bytes(pack("n", "127.0.0.1:9", now, listed(7, "s-1", "s-2")))
     one, loop = program(tmp_path, OLD)
     assert sorted(server.uid for server in one.table.listed()) == ["s-1", "s-2"]
-    one.table.heard = True
+    one.table.answered = True
     one.table.take(listed(9, "s-3"))
     assert one.table._watch is not None
     one.table._watch.rev = 9
@@ -92,7 +92,7 @@
     (tmp_path / "heronstall-n.snapshot").write_bytes(b"{")
     one, loop = program(tmp_path, listed(5, "s-9"))
     assert [server.uid for server in one.table.listed()] == ["s-9"] and "ignored" in caplog.text
-    one.table.heard = True
+    one.table.answered = True
     soft, hard = resource.getrlimit(resource.RLIMIT_FSIZE)
     resource.setrlimit(resource.RLIMIT_FSIZE, (0, hard))  # as on a full disk
     try:
