--- a/heronstall/net/client_request.py
+++ b/heronstall/net/client_request.py
@@ -1,4 +1,4 @@
-"""What a client's request asks for, checked. Free of I/O: it sees parsed heads, and raw ones for framing."""
+"""Validates clients' requests. Free of I/O: works on parsed heads, and on raw heads to check the framing."""
 
 from __future__ import annotations
 
@@ -11,53 +11,57 @@
 from heronstall.net.backend import Job
 from heronstall.net.connection import MAX_BODY_BYTES
 
-PATH, HEALTH = b"/api", b"/healthz"
-LENGTH_DIGITS = 9  # of a Content-Length at the most
-# Twice the same of these and two readers may each believe another one: such a request is passed to nobody.
-ONCE = re.compile(rb"(content-length|transfer-encoding|cookie|idempotency-key|expect|req-[a-z-]+)\Z")
-LENGTH = re.compile(rb"^content-length[ \t]*:([^\r\n]*)", re.IGNORECASE | re.MULTILINE)
+JOB_PATH, HEALTH_PATH = b"/api", b"/healthz"
+MAX_LENGTH_DIGITS = 9  # of a Content-Length
+# Headers that must not be repeated: two readers could each use a different value, so that such a request is
+# not forwarded.
+UNIQUE_HEADERS = re.compile(
+    rb"(content-length|transfer-encoding|cookie|idempotency-key|expect|req-[a-z-]+)\Z"
+)
+CONTENT_LENGTH = re.compile(rb"^content-length[ \t]*:([^\r\n]*)", re.IGNORECASE | re.MULTILINE)
 HEAD_END = re.compile(rb"\n\r?\n")
-ID = re.compile(rb"[!-~]{1,128}\Z")
+REQUEST_ID = re.compile(rb"[!-~]{1,128}\Z")
 SECONDS = re.compile(rb"[0-9]{1,7}(\.[0-9]*)?\Z")
-# Framing and hop-by-hop headers are ours to set; everything else passes through.
-OWN = frozenset(
+# Framing and hop-by-hop headers are set by the dispatcher; all others are forwarded unchanged.
+NOT_FORWARDED = frozenset(
     b"connection content-length transfer-encoding keep-alive te trailer upgrade proxy-connection expect"
     b" req-deadline".split()
 )
 
 
 class BadRequest(Exception):
-    """Input that never reaches a backend server."""
+    """An invalid request, which never reaches a backend server."""
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
         self.status = status
 
 
-class RequestCheck:
-    """Reads heads by the classes and tenants that the settings name."""
+class RequestParser:
+    """Parses request heads according to the classes and tenants in the settings."""
 
     def __init__(self, config: Config) -> None:
         self._config = config
 
-    def arrival(self, request: h11.Request) -> i.Arrival | None:
-        """What a head asks for; None for /healthz. Raises BadRequest for one that can't be used."""
+    def parse(self, request: h11.Request) -> i.Arrival | None:
+        """Returns the arrival that a head describes; None for /healthz. Raises BadRequest."""
         path = request.target.partition(b"?")[0]
-        if path == HEALTH:
+        if path == HEALTH_PATH:
             if request.method != b"GET":
                 raise BadRequest(405, "GET only")
             return None
-        if path != PATH:
+        if path != JOB_PATH:
             raise BadRequest(404, "no such path")
         if request.method != b"POST":
             raise BadRequest(405, "POST only")
-        names = [name for name, _ in request.headers if ONCE.match(name)]
+        names = [name for name, _ in request.headers if UNIQUE_HEADERS.match(name)]
         if len(names) > len(set(names)):
-            twice = next(name for name in names if names.count(name) > 1)
-            raise BadRequest(400, f"{twice.decode()}: more than once")
-        return self._arrival(dict(request.headers))
+            repeated = next(name for name in names if names.count(name) > 1)
+            raise BadRequest(400, f"{repeated.decode()}: more than once")
+        return self._parse_headers(dict(request.headers))
 
-    def _arrival(self, headers: dict[bytes, bytes]) -> i.Arrival:
+    def _parse_headers(self, headers: dict[bytes, bytes]) -> i.Arrival:
+        """Returns the arrival that the headers of a job request describe. Raises BadRequest."""
         config = self._config
         cls = config.classes.get(headers.get(b"req-kind", b"").decode("latin-1"))
         if cls is None:
@@ -65,7 +69,7 @@
         deadline = headers.get(b"req-deadline", b"")
         if not SECONDS.match(deadline):
             raise BadRequest(400, "Req-Deadline: seconds are wanted")
-        if not ID.match(headers.get(b"req-id", b"")):
+        if not REQUEST_ID.match(headers.get(b"req-id", b"")):
             raise BadRequest(400, "Req-Id: missing, too long or not plain text")
         if config.settings.classes[cls].effect == "keyed" and not headers.get(b"idempotency-key"):
             raise BadRequest(400, "Idempotency-Key: missing, and the class is keyed")
@@ -73,47 +77,49 @@
         return i.Arrival(
             request=0,
             cls=cls,
-            # No client waits longer than its class allows; the decisions learn from the longest wait.
+            # Limited to the class's deadline, since the decision module learns from the longest wait.
             time_left=min(int(float(deadline) * 1e6), config.settings.classes[cls].deadline),
             tenant=config.tenants.get(headers.get(b"req-owner", b"").decode("latin-1"), -1),
             key=_object_key(headers.get(b"cookie", b"")),
-            work=int(_figure(headers.get(b"req-cost"), 0.0)) or None,
-            slots=_figure(extra.get(b"slots"), 0.0) or 1.0,
-            memory=_figure(extra.get(b"memory"), 0.0),
+            work=int(_optional_number(headers.get(b"req-cost"), 0.0)) or None,
+            slots=_optional_number(extra.get(b"slots"), 0.0) or 1.0,
+            memory=_optional_number(extra.get(b"memory"), 0.0),
             retry=headers.get(b"req-retry") == b"1",
         )
 
 
-def job_of(request: h11.Request, body: bytes) -> Job:
-    """What of a request that was checked is passed on."""
-    name = dict(request.headers)[b"req-id"]
-    passed = [(field, value) for field, value in request.headers.raw_items() if field.lower() not in OWN]
-    return Job(name.decode("latin-1"), request.method, request.target, passed, body)
+def make_job(request: h11.Request, body: bytes) -> Job:
+    """Returns the parts of a validated request that are forwarded."""
+    job_id = dict(request.headers)[b"req-id"]
+    headers = [
+        (name, value) for name, value in request.headers.raw_items() if name.lower() not in NOT_FORWARDED
+    ]
+    return Job(job_id.decode("latin-1"), request.method, request.target, headers, body)
 
 
 def check_framing(head: bytes, request: h11.Request) -> None:
-    """Raise BadRequest unless there is one way only to say where the body ends.
+    """Raises BadRequest if a head specifies the end of the body in more than one way.
 
-    Guards against a request that hides in the body of another: a length beside an encoding, or a second
-    length, lets two readers disagree. h11 takes the encoding, and folds equal lengths into one.
+    Guards against request smuggling: with a length beside a transfer encoding, or with two lengths, two
+    readers may disagree about the end of the body. h11 prefers the encoding and merges equal lengths.
     """
-    lengths = LENGTH.findall(HEAD_END.split(head, 1)[0])
+    lengths = CONTENT_LENGTH.findall(HEAD_END.split(head, 1)[0])
     encoded = any(name == b"transfer-encoding" for name, _ in request.headers)
     if len(lengths) + encoded > 1 or any(b"," in length for length in lengths):
         raise BadRequest(400, "more than one way to tell the body's length")
-    if lengths and (len(lengths[0].strip()) > LENGTH_DIGITS or int(lengths[0]) > MAX_BODY_BYTES):
+    if lengths and (len(lengths[0].strip()) > MAX_LENGTH_DIGITS or int(lengths[0]) > MAX_BODY_BYTES):
         raise BadRequest(413, "body over 64 KiB")
 
 
 def _object_key(cookie: bytes) -> str | None:
-    """The cookie `obj`: what the request is about."""
-    crumbs = (part.strip().partition(b"=") for part in cookie.split(b";"))
-    keys = [value.decode("latin-1") for crumb, _, value in crumbs if crumb == b"obj"]
+    """Returns the cookie `obj`, which names the object of the request."""
+    pairs = (part.strip().partition(b"=") for part in cookie.split(b";"))
+    keys = [value.decode("latin-1") for name, _, value in pairs if name == b"obj"]
     if len(keys) > 1:
         raise BadRequest(400, "Cookie: obj more than once")
     return keys[0] if keys else None
 
 
-def _figure(text: bytes | None, default: float) -> float:
-    """A figure that is only a help: what is not one counts as absent."""
+def _optional_number(text: bytes | None, default: float) -> float:
+    """Parses an optional number; an invalid one counts as absent."""
     return float(text) if text is not None and SECONDS.match(text) else default
--- a/heronstall/net/frontend.py
+++ b/heronstall/net/frontend.py
@@ -17,7 +17,7 @@
 from heronstall.config import Config
 from heronstall.events import say
 from heronstall.net.backend import Job
-from heronstall.net.client_request import BadRequest, RequestCheck, check_framing, job_of
+from heronstall.net.client_request import BadRequest, RequestParser, check_framing, make_job
 from heronstall.net.connection import (
     MAX_BODY_BYTES,
     Connection,
@@ -76,7 +76,7 @@
         listener: socket.socket | None = None,
     ) -> None:
         self._config, self._loop, self._dispatcher = config, loop, dispatcher
-        self._requests = RequestCheck(config)
+        self._requests = RequestParser(config)
         self._ready, self._shutdown = ready, shutdown
         shutdown.close_idle, shutdown.close_all = self._close_idle, self._close_up
         self._clients: dict[Connection, Task] = {}
@@ -307,7 +307,7 @@
                     request = event
                     check_framing(connection.raw_head, event)
                     try:
-                        arrival = self._requests.arrival(event)
+                        arrival = self._requests.parse(event)
                     except BadRequest as bad:
                         wrong = bad
                     if connection.parser.they_are_waiting_for_100_continue:
@@ -393,7 +393,7 @@
 
         Guards the backend servers against a second copy: to them, whatever bears the id is that request.
         """
-        job = job_of(request, body)
+        job = make_job(request, body)
         name = job.id.encode("latin-1")
         if name in self._ids:
             raise BadRequest(400, "Req-Id: another request has it")
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -477,7 +477,7 @@
             server.say("{}")
             self.assertEqual(self.status(client), 500)
         failing = RuntimeError("bug")
-        with mock.patch("heronstall.net.client_request.RequestCheck._arrival", side_effect=failing):
+        with mock.patch("heronstall.net.client_request.RequestParser._parse_headers", side_effect=failing):
             broken = self.ask(name="id-2")
             self.spin(lambda: broken.read() == b"" and broken.closed)
         with mock.patch.object(
