--- a/heronstall/net/backend.py
+++ b/heronstall/net/backend.py
@@ -315,15 +315,15 @@
         connection: Connection | None = None
         ending = Ending.CRASHED
         try:
-            begin_by = min(self._until, dispatcher.begin_by(session))
+            begin_by = min(self._until, dispatcher.latest_start(session))
             connection = yield from pool.take(self._server, begin_by)
             if dispatcher.guard is not None:
-                yield from dispatcher.guard.may_write(session, self._task, begin_by)
+                yield from dispatcher.guard.wait_until_writable(session, self._task, begin_by)
                 pool.still(self._server)
             self._check_still_wanted()
-            dispatcher.begins(session, self._index)
+            dispatcher.record_start(session, self._index)
             yield from connection.write(self._request(connection), self._until)
-            dispatcher.written()
+            dispatcher.record_sent()
             response = yield from pool.first_word(connection, self._until)
             ending = yield from self._answer(connection, response)
             self._end(ending)
@@ -343,7 +343,7 @@
 
     def _check_still_wanted(self) -> None:
         """Raises ConnectionEnded where this attempt may not begin any more."""
-        if not self._backend.dispatcher.may_begin(self._session):
+        if not self._backend.dispatcher.may_start(self._session):
             raise ConnectionEnded(Ending.WITHDRAWN, "its client has left, or its time to begin is over")
 
     def _request(self, connection: Connection) -> bytes:
--- a/heronstall/net/client_request.py
+++ b/heronstall/net/client_request.py
@@ -15,9 +15,7 @@
 MAX_LENGTH_DIGITS = 9  # of a Content-Length
 # Headers that must not be repeated: two readers could each use a different value, so that such a request is
 # not forwarded.
-UNIQUE_HEADERS = re.compile(
-    rb"(content-length|transfer-encoding|cookie|idempotency-key|expect|req-[a-z-]+)\Z"
-)
+UNIQUE_HEADER = re.compile(rb"(content-length|transfer-encoding|cookie|idempotency-key|expect|req-[a-z-]+)\Z")
 CONTENT_LENGTH = re.compile(rb"^content-length[ \t]*:([^\r\n]*)", re.IGNORECASE | re.MULTILINE)
 HEAD_END = re.compile(rb"\n\r?\n")
 REQUEST_ID = re.compile(rb"[!-~]{1,128}\Z")
@@ -54,7 +52,7 @@
             raise BadRequest(404, "no such path")
         if request.method != b"POST":
             raise BadRequest(405, "POST only")
-        names = [name for name, _ in request.headers if UNIQUE_HEADERS.match(name)]
+        names = [name for name, _ in request.headers if UNIQUE_HEADER.match(name)]
         if len(names) > len(set(names)):
             repeated = next(name for name in names if names.count(name) > 1)
             raise BadRequest(400, f"{repeated.decode()}: more than once")
--- a/heronstall/net/dispatcher.py
+++ b/heronstall/net/dispatcher.py
@@ -1,7 +1,7 @@
-"""The host of the decision module: feeds it events, carries out its actions in order, knows no protocol.
+"""The host of the decision module: passes events to it and executes its actions in order.
 
-It decides nothing about whom, when or whether to retry. A second protocol would bring its own frontend and
-backend and pass through the same `Dispatcher`, and so through the same decisions and rules.
+It makes no decision about servers, times or retries and depends on no protocol. A second protocol would have
+its own frontend and backend and use the same `Dispatcher`, hence the same decisions and rules.
 """
 
 from __future__ import annotations
@@ -21,9 +21,9 @@
 from heronstall.net.server_table import BackendServer
 from heronstall.ops.figures import Fate, Figures
 
-REPORT_EVERY = 10_000_000
-# What each kind of answer was to the client. One that has left counts as failed: nobody was served.
-FATE: dict[str, Fate] = {
+LOG_INTERVAL_US = 10_000_000  # between log lines with counts
+# The result counted for each kind of answer. A client that has left counts as failed: it was not served.
+RESULT_BY_ANSWER: dict[str, Fate] = {
     "served": "succeeded",
     "refused": "declined",
     "failed": "aborted",
@@ -34,7 +34,7 @@
 
 
 class Answer(NamedTuple):
-    """The final answer to a session, in no protocol's words. Times are microseconds."""
+    """The final answer to a session, independent of the protocol. Times are in microseconds."""
 
     kind: Literal["served", "refused", "failed", "unusable"]
     body: bytes = b""
@@ -42,91 +42,91 @@
 
 
 class OpenDispatch(Protocol):
-    """A dispatch under way, as its protocol's backend made it."""
+    """A dispatch in progress, created by the protocol's backend."""
 
     def start(self) -> None:
-        """Begin. It ends with one call of `Dispatcher.dispatch_ended`."""
+        """Starts the dispatch, which ends with one call of `Dispatcher.dispatch_ended`."""
 
     def cancel(self) -> None:
-        """Close it now, unless it has ended."""
+        """Cancels the dispatch unless it has ended."""
 
 
 class Backend(Protocol):
-    """What a protocol's backend side offers."""
+    """The interface of a protocol's backend."""
 
     def dispatch(self, session: Session, server: BackendServer, index: int, until: int) -> OpenDispatch:
-        """Prepare one attempt."""
+        """Creates the dispatch of one attempt."""
 
     def probe(self, server: BackendServer) -> None:
-        """Ask for a report; one `ProbeResult` is posted for it."""
+        """Requests a load report; posts one `ProbeResult`."""
 
 
-class Due(Protocol):
-    """A call to come."""
+class ScheduledCall(Protocol):
+    """A scheduled callback."""
 
     def cancel(self) -> None:
-        """Have it not come."""
+        """Cancels the callback."""
 
 
-class Clock(Protocol):
-    """What of a loop the dispatcher uses; `heronstall.model` brings one of virtual time."""
+class Scheduler(Protocol):
+    """The part of an event loop that the dispatcher uses; `heronstall.model` has one with virtual time."""
 
     now: int
 
-    def soon(self, call: Callable[[], None]) -> None:
-        """Make a call once the events in hand are seen to."""
+    def soon(self, callback: Callable[[], None]) -> None:
+        """Schedules a callback after the current events."""
 
-    def at(self, when: int, call: Callable[[], None]) -> Due:
-        """Make a call at a moment or just after it."""
+    def at(self, when: int, callback: Callable[[], None]) -> ScheduledCall:
+        """Schedules a callback for a time; it runs then or shortly after."""
 
 
-class Table(Protocol):
-    """What of the server table the dispatcher uses."""
+class ServerLookup(Protocol):
+    """The part of the server table that the dispatcher uses."""
 
     by_number: dict[int, BackendServer]
 
 
 class Decisions(Protocol):
-    """The decision module, as its host sees it."""
+    """The interface of the decision module."""
 
     def handle(self, now: int, events: Sequence[i.Event]) -> list[i.Action]:
-        """Take the events of one moment and say what to do."""
+        """Handles the events of one turn and returns the actions to execute."""
 
     def avoided(self, now: int) -> list[int]:
-        """The listed servers that are left out at this moment by the decisions' own choice."""
+        """Returns the listed servers that the decision module currently ejects."""
 
 
 class Observer(Protocol):
-    """Whoever wants to see what the decisions are told and what they say."""
+    """Observes the events and actions of the decision module."""
 
-    def observe(self, now: int, told: Sequence[i.Event], said: Sequence[i.Action]) -> None:
-        """One turn of them."""
+    def observe(self, now: int, batch: Sequence[i.Event], actions: Sequence[i.Action]) -> None:
+        """Observes one turn."""
 
 
-class Guard(Protocol):
-    """Who keeps others informed of the jobs in hand, so that they survive this process."""
+class JobGuard(Protocol):
+    """Replicates open jobs to other processes, so that they survive the loss of this one."""
 
-    def taken(self, session: Session) -> None:
-        """A session was made."""
+    def session_created(self, session: Session) -> None:
+        """Called when a session was created."""
 
-    def writing(self, session: Session, server: BackendServer, index: int) -> None:
-        """An attempt is about to be made."""
+    def attempt_starting(self, session: Session, server: BackendServer, index: int) -> None:
+        """Called when an attempt is about to start."""
 
-    def may_write(self, session: Session, task: Task | None, until: int) -> Coroutine[None]:
-        """Wait until its first byte may be written. Raises ConnectionEnded where it may not."""
+    def wait_until_writable(self, session: Session, task: Task | None, until: int) -> Coroutine[None]:
+        """Waits until the attempt's first byte may be written. Raises ConnectionEnded if it may not be."""
 
-    def ended(self, session: Session, ending: Ending) -> None:
-        """An attempt has ended."""
+    def attempt_ended(self, session: Session, ending: Ending) -> None:
+        """Called when an attempt has ended."""
 
-    def answers(self, session: Session, answer: Answer) -> bool:
-        """A session's answer; whether it has to wait, and is given by `settle`."""
+    def defers_answer(self, session: Session, answer: Answer) -> bool:
+        """Returns whether a session's answer must wait; it is then given by `Dispatcher.deliver_answer`."""
 
-    def gone(self, session: Session) -> None:
-        """A session's client has left."""
+    def client_gone(self, session: Session) -> None:
+        """Called when a session's client has left."""
 
 
 class Session:
-    """One request of a client, from its last byte to its one final answer."""
+    """A client's request, from its last byte until its final answer."""
 
     __slots__ = (
         "number",
@@ -137,124 +137,129 @@
         "reply",
         "over",
         "attempts",
-        "open",
-        "lent",
+        "open_dispatch",
+        "handed_off",
         "client_left",
-        "anchor",
-        "anchor_at",
+        "first_possible_run",
+        "first_possible_run_at",
     )
 
     def __init__(
         self, number: int, arrival: i.Arrival, deadline: int, job: Any, reply: Callable[[Answer], None]
     ) -> None:
         self.number, self.cls, self.deadline, self.arrival = number, arrival.cls, deadline, arrival
-        self.job = job  # what the protocol has to pass on; opaque here
+        self.job = job  # what the protocol forwards; opaque here
         self.reply = reply
         self.over = False  # answered, or its client has left
-        self.lent = False  # the decisions are done with it, and its answer comes from elsewhere
+        self.handed_off = False  # the decision module is done with it; the guard supplies the answer
         self.attempts = 0
-        self.open: OpenDispatch | None = None
-        self.client_left: Callable[[], bool] = lambda: False  # asked of the client's connection itself
-        self.anchor: int | None = None  # the first attempt written that is not proved never to have run
-        self.anchor_at = 0  # when its first byte was written
+        self.open_dispatch: OpenDispatch | None = None
+        self.client_left: Callable[[], bool] = lambda: False  # checks the client's connection itself
+        # The first written attempt that is not proved not to have run, and when its first byte was written.
+        self.first_possible_run: int | None = None
+        self.first_possible_run_at = 0
 
 
 class Dispatcher:
-    """Sessions in, dispatches out."""
+    """Turns sessions into dispatches, as the decision module decides."""
 
-    def __init__(self, config: Config, loop: Clock, decisions: Decisions | None = None) -> None:
+    def __init__(self, config: Config, loop: Scheduler, decisions: Decisions | None = None) -> None:
         self._loop = loop
         self._balancer: Decisions = decisions or Balancer(config.settings, config.seed)
         self._sessions: dict[int, Session] = {}
-        self._events: list[i.Event] = []
-        self._timer: Due | None = None
-        self._next = 1
+        self._pending_events: list[i.Event] = []
+        self._timer: ScheduledCall | None = None
+        self._next_number = 1
         self._counts: Counter[str] = Counter()
         self.figures = Figures(config.classes)
-        self.table: Table
+        self.table: ServerLookup
         self.backend: Backend
-        self._windows = [c.repeat_window if c.effect == "keyed" else None for c in config.settings.classes]
-        self._window_margin = 2 * config.settings.tick  # as the decisions keep
-        self.guard: Guard | None = None
-        self.observers: list[Observer] = []  # each sees every turn of the decisions, and changes nothing
-        loop.at(loop.now + REPORT_EVERY, self._report)
+        self._repeat_windows = [
+            c.repeat_window if c.effect == "keyed" else None for c in config.settings.classes
+        ]
+        self._window_margin = 2 * config.settings.tick  # the same margin as in the decision module
+        self.guard: JobGuard | None = None
+        self.observers: list[Observer] = []  # of every turn of the decision module
+        loop.at(loop.now + LOG_INTERVAL_US, self._log_counts)
 
     # ------------------------------------------------------------------ events
 
     def post(self, event: i.Event) -> None:
-        """Tell the module. All events of one batch of the loop reach it together."""
-        if not self._events:
-            self._loop.soon(self._turn)
-        self._events.append(event)
+        """Passes an event to the decision module, together with all others of one turn of the event loop."""
+        if not self._pending_events:
+            self._loop.soon(self._run_decisions)
+        self._pending_events.append(event)
 
     def submit(
         self, arrival: i.Arrival, job: Any, reply: Callable[[Answer], None], guarded: bool = False
     ) -> Session:
-        """A request has come whole; `arrival` lacks only its number. `guarded`: the guard knows of it."""
-        session = Session(self._next, arrival, self._loop.now + arrival.time_left, job, reply)
-        self._next += 1
+        """Creates a session for a complete request; `guarded` if the guard has its job already.
+
+        `arrival` has no request number yet.
+        """
+        session = Session(self._next_number, arrival, self._loop.now + arrival.time_left, job, reply)
+        self._next_number += 1
         self.figures.taken()
         self._sessions[session.number] = session
         self.post(arrival._replace(request=session.number))
         if self.guard is not None and not guarded:
-            self.guard.taken(session)
+            self.guard.session_created(session)
         return session
 
-    def lend(self, session: Session) -> None:
-        """Somebody else has its job: the decisions are done with it, and its client waits for `settle`."""
+    def hand_off(self, session: Session) -> None:
+        """Ends a session for the decision module: its job runs elsewhere. Its client waits for an answer."""
         if not session.over:
-            session.over = session.lent = True
+            session.over = session.handed_off = True
             self.post(i.ClientGone(session.number))
             self._forget(session)
 
-    def settle(self, session: Session, answer: Answer) -> None:
-        """The answer to a session that was lent, or whose answer had to wait."""
-        if session.lent or not session.over:
-            session.lent = False
-            self._over(session, answer.kind)
+    def deliver_answer(self, session: Session, answer: Answer) -> None:
+        """Answers a session that was handed off, or whose answer was deferred."""
+        if session.handed_off or not session.over:
+            session.handed_off = False
+            self._finish(session, answer.kind)
             session.reply(answer)
             self._forget(session)
 
     def client_gone(self, session: Session) -> None:
-        """The client left, or its answer can't be given any more."""
-        if self.guard is not None and (session.lent or not session.over):
-            self.guard.gone(session)
-        if session.lent:
-            session.lent = False
-            self._over(session, "gone")
+        """Ends a session whose client left, or can no longer be answered."""
+        if self.guard is not None and (session.handed_off or not session.over):
+            self.guard.client_gone(session)
+        if session.handed_off:
+            session.handed_off = False
+            self._finish(session, "gone")
         elif not session.over:
-            self._over(session, "gone")
+            self._finish(session, "gone")
             self.post(i.ClientGone(session.number))
             self._forget(session)
 
-    def may_begin(self, session: Session) -> bool:
-        """Whether an attempt's first byte may be written now.
+    def may_start(self, session: Session) -> bool:
+        """Returns whether an attempt's first byte may be written now.
 
-        It was decided on a while ago: since then its client may have left, and the time in which a keyed
-        request may go again may have run out.
+        Since the decision its client may have left, and the repeat window of a keyed request may have ended.
         """
         if not session.over and session.client_left():
             self.client_gone(session)
-        return not session.over and self._loop.now < self.begin_by(session)
+        return not session.over and self._loop.now < self.latest_start(session)
 
-    def begin_by(self, session: Session) -> int:
-        """The moment up to which a first byte may be written."""
-        window = self._windows[session.cls]
-        if session.anchor is None or window is None:
+    def latest_start(self, session: Session) -> int:
+        """Returns the time until which an attempt's first byte may be written."""
+        window = self._repeat_windows[session.cls]
+        if session.first_possible_run is None or window is None:
             return session.deadline
-        return min(session.deadline, session.anchor_at + window - self._window_margin)
+        return min(session.deadline, session.first_possible_run_at + window - self._window_margin)
 
-    def begins(self, session: Session, index: int) -> None:
-        """An attempt's first byte is about to be written."""
-        if session.anchor is None:
-            session.anchor, session.anchor_at = index, self._loop.now
+    def record_start(self, session: Session, index: int) -> None:
+        """Records that an attempt's first byte is about to be written."""
+        if session.first_possible_run is None:
+            session.first_possible_run, session.first_possible_run_at = index, self._loop.now
 
-    def written(self) -> None:
-        """An attempt's last byte has been written: from now on it may have run."""
+    def record_sent(self) -> None:
+        """Counts an attempt whose last byte has been written: from now on it may have run."""
         self.figures.forwarded()
 
     def note(self, session: Session, server: BackendServer, index: int, share: float | None) -> None:
-        """The job has started (no share), or a share of it is done."""
+        """Reports that the job has started (`share` None), or which share of it is done."""
         self.post(i.JobNote(session.number, server.number, index, share))
 
     def dispatch_ended(
@@ -267,17 +272,17 @@
         report: i.Report | None,
         result: bytes,
     ) -> None:
-        """The one end of a dispatch: it becomes one Outcome, and a result goes straight to the client."""
+        """Ends a dispatch: posts one Outcome, and sends a result to the client at once."""
         self._counts[f"ending.{ending.name.lower()}"] += 1
-        session.open = None
-        if session.anchor == index and STATUS_BY_ENDING[ending] in i.PROVES_NOT_RUN:
-            session.anchor = None
+        session.open_dispatch = None
+        if session.first_possible_run == index and STATUS_BY_ENDING[ending] in i.PROVES_NOT_RUN:
+            session.first_possible_run = None
         if self.guard is not None:
-            self.guard.ended(session, ending)
+            self.guard.attempt_ended(session, ending)
         if ending is Ending.SERVED:
             self._answer(session.number, Answer("served", result))
         elif ending is Ending.UNUSABLE:
-            # Guards healthy servers: what the client sent is at fault, and no other server could use it.
+            # Guards healthy servers: the client's request is at fault, and no other server could use it.
             self._answer(session.number, Answer("unusable"))
         self.post(
             i.Outcome(
@@ -287,34 +292,39 @@
         self._forget(session)
 
     def avoided(self) -> list[int]:
-        """The numbers of the servers that the decisions leave out now by their own choice."""
+        """Returns the numbers of the servers that the decision module currently ejects."""
         return self._balancer.avoided(self._loop.now)
 
     # ------------------------------------------------------------------ actions
 
-    def _turn(self) -> None:
-        batch, self._events = self._events, []
+    def _run_decisions(self) -> None:
+        """Passes the pending events to the decision module and executes its actions."""
+        batch, self._pending_events = self._pending_events, []
         self._counts["turns"] += 1
         actions = self._balancer.handle(self._loop.now, batch)
         for action in actions:
             try:
-                self._carry_out(action)
-            except Exception:  # guards the actions behind it: each belongs to some other session
-                say(log, events.UNEXPECTED, where=f"carrying out {action}")
+                self._execute(action)
+            except Exception:  # guards the other actions, which belong to other sessions
+                say(log, events.UNEXPECTED, where=f"executing {action}")
         for observer in tuple(self.observers) if self.observers else ():
             try:
                 observer.observe(self._loop.now, batch, actions)
-            except Exception:  # guards serving against whoever only watches it
-                say(log, events.UNEXPECTED, where="an observer: it is told no more")
+            except Exception:  # guards the service against a failing observer
+                say(log, events.UNEXPECTED, where="an observer, which is removed")
                 self.observers.remove(observer)
 
-    def _carry_out(self, action: i.Action) -> None:
+    def _execute(self, action: i.Action) -> None:
         if isinstance(action, i.Send):
             self._send(action)
         elif isinstance(action, i.Cancel):
             session = self._sessions.get(action.request)
-            if session is not None and session.open is not None and action.attempt == session.attempts - 1:
-                session.open.cancel()
+            if (
+                session is not None
+                and session.open_dispatch is not None
+                and action.attempt == session.attempts - 1
+            ):
+                session.open_dispatch.cancel()
         elif isinstance(action, i.Refuse):
             self._answer(action.request, Answer("refused", retry_after=action.retry_after))
         elif isinstance(action, i.Fail):
@@ -330,7 +340,7 @@
                 self.backend.probe(server)
         elif isinstance(action, i.Log):
             say(log, events.DECISIONS, text=action.text)
-        # Subscribe: the watch is always on.
+        # Subscribe needs no action: the watch is always open.
 
     def _send(self, action: i.Send) -> None:
         session = self._sessions.get(action.request)
@@ -340,41 +350,42 @@
             return
         index = session.attempts
         session.attempts += 1
-        if session.over or server is None or session.open is not None:
-            # Guards the rules against a wrong decision: no copy beside another, none after the final answer.
+        if session.over or server is None or session.open_dispatch is not None:
+            # Guards against a wrong decision: no attempt beside an open one, none after the final answer.
             say(log, events.NOT_MADE, dispatch=index, session=session.number)
             self.post(i.Outcome(session.number, action.worker, index, session.over, "not_sent"))
             return
         until = session.deadline
         if action.timeout:
             until = min(until, self._loop.now + action.timeout)
-        session.open = dispatch = self.backend.dispatch(session, server, index, until)
+        session.open_dispatch = dispatch = self.backend.dispatch(session, server, index, until)
         if self.guard is not None:
-            self.guard.writing(session, server, index)
+            self.guard.attempt_starting(session, server, index)
         dispatch.start()
 
     def _answer(self, number: int, answer: Answer) -> None:
         session = self._sessions.get(number)
         if session is not None and not session.over:
-            if self.guard is not None and self.guard.answers(session, answer):
+            if self.guard is not None and self.guard.defers_answer(session, answer):
                 return
-            self._over(session, answer.kind)
+            self._finish(session, answer.kind)
             session.reply(answer)
             self._forget(session)
 
-    def _over(self, session: Session, kind: str) -> None:
-        """The one place where a session ends for its client, whatever ends it."""
+    def _finish(self, session: Session, kind: str) -> None:
+        """Ends a session for its client and counts the result. Every session ends here."""
         session.over = True
         self._counts[f"answer.{kind}"] += 1
-        self.figures.ended(session.cls, FATE[kind])
+        self.figures.ended(session.cls, RESULT_BY_ANSWER[kind])
 
     def _forget(self, session: Session) -> None:
-        if session.over and session.open is None:
+        """Removes a session that has ended and has no open dispatch."""
+        if session.over and session.open_dispatch is None:
             self._sessions.pop(session.number, None)
 
-    def _report(self) -> None:
+    def _log_counts(self) -> None:
         if self._counts:
-            told = " ".join(f"{name}={count}" for name, count in sorted(self._counts.items()))
-            say(log, events.COUNTS, open=len(self._sessions), counts=told)
+            counts = " ".join(f"{name}={count}" for name, count in sorted(self._counts.items()))
+            say(log, events.COUNTS, open=len(self._sessions), counts=counts)
             self._counts.clear()
-        self._loop.at(self._loop.now + REPORT_EVERY, self._report)
+        self._loop.at(self._loop.now + LOG_INTERVAL_US, self._log_counts)
--- a/heronstall/net/takeover/guard.py
+++ b/heronstall/net/takeover/guard.py
@@ -106,7 +106,7 @@
 
     # ------------------------------------------------------------------ own jobs
 
-    def taken(self, session: Session) -> None:
+    def session_created(self, session: Session) -> None:
         """A session was made. Its first word is said when the decisions have had their turn."""
         job: Job = session.job
         identity = _identity(job, self._told.header)
@@ -152,7 +152,7 @@
             return False
         kind, body = (state.answer, state.body) if state.phase is Phase.ENDED else ("failed", "")
         held = Held(session, Holder(key, (), self._name, self._life, 0, state.digest, None))
-        self._dispatcher.lend(session)
+        self._dispatcher.hand_off(session)
         self._loop.soon(lambda: self._give(held, kind, body))
         return True
 
@@ -170,20 +170,20 @@
         self.counts["returned"] += 1
         first = self._held[key]
         if first.holder.state.digest != digest:
-            self._loop.soon(lambda: self._dispatcher.settle(session, Answer("unusable")))
+            self._loop.soon(lambda: self._dispatcher.deliver_answer(session, Answer("unusable")))
             return
-        self._dispatcher.lend(session)
+        self._dispatcher.hand_off(session)
         waiting = Held(session, first.holder)
         waiting.lent = True
         self._by_session[session.number] = waiting
 
-    def writing(self, session: Session, server: BackendServer, index: int) -> None:
+    def attempt_starting(self, session: Session, server: BackendServer, index: int) -> None:
         """An attempt is about to be made."""
         held = self._by_session.get(session.number)
         if held is not None and not held.lent:
             self._say(held.holder.put(Phase.WRITING, server=server.uid, attempt=index), held.holder)
 
-    def may_write(self, session: Session, task: Task | None, until: int) -> Coroutine[None]:
+    def wait_until_writable(self, session: Session, task: Task | None, until: int) -> Coroutine[None]:
         """Wait until a majority knows that an attempt begins. Raises ConnectionEnded where it may not."""
         held = self._by_session.get(session.number)
         if held is None:
@@ -211,7 +211,7 @@
             yield -1, 0, min(until, alone_at) if self._loop.now < alone_at else until
             held.task = None
 
-    def ended(self, session: Session, ending: Ending) -> None:
+    def attempt_ended(self, session: Session, ending: Ending) -> None:
         """An attempt has: one that certainly has not run leaves the job as if it had never been made."""
         held = self._by_session.get(session.number)
         if held is None or held.lent or session.over or held.holder.verdict in ("known", "lost"):
@@ -220,7 +220,7 @@
             phase = Phase.CONFIRMED if held.holder.confirmed else Phase.HELD
             self._say(held.holder.put(phase, server="", attempt=0), held.holder)
 
-    def answers(self, session: Session, answer: Answer) -> bool:
+    def defers_answer(self, session: Session, answer: Answer) -> bool:
         """A session's answer: whether it has to wait. A refusal says that nothing was done, and is given once
         nobody else can do it any more; every other answer goes at once."""
         held = self._by_session.get(session.number)
@@ -241,7 +241,7 @@
         self._close(held, kind, body)
         return False
 
-    def gone(self, session: Session) -> None:
+    def client_gone(self, session: Session) -> None:
         """Its client has left."""
         held = self._by_session.get(session.number)
         if held is not None and not held.lent:
@@ -274,7 +274,7 @@
             held.refusal = None
             self.counts["unsure"] += 1
             self._end_joined(held, "failed", "")
-            self._dispatcher.settle(held.session, Answer("failed"))
+            self._dispatcher.deliver_answer(held.session, Answer("failed"))
 
     # ------------------------------------------------------------------ words
 
@@ -319,7 +319,7 @@
         if verdict == "go" and held.refusal is not None:
             answer, held.refusal = held.refusal, None
             self._end_joined(held, "refused", "")
-            self._dispatcher.settle(held.session, answer)
+            self._dispatcher.deliver_answer(held.session, answer)
         elif verdict in ("known", "lost") and held.refusal is not None:
             self._unsure(held)
         elif verdict in ("known", "lost") and not held.lent:
@@ -337,9 +337,9 @@
             del self._held[holder.key]
         if holder.verdict == "known" and other is not None and other.digest != holder.state.digest:
             self._drop(held)
-            self._dispatcher.settle(held.session, Answer("unusable"))
+            self._dispatcher.deliver_answer(held.session, Answer("unusable"))
             return
-        self._dispatcher.lend(held.session)
+        self._dispatcher.hand_off(held.session)
         if other is not None and other.phase is Phase.ENDED:
             self._give(held, other.answer, other.body)
 
@@ -347,7 +347,9 @@
         """A lent session's end."""
         self._drop(held)
         answers: dict[str, Any] = {"served": "served", "refused": "refused", "unusable": "unusable"}
-        self._dispatcher.settle(held.session, Answer(answers.get(kind, "failed"), body.encode("latin-1")))
+        self._dispatcher.deliver_answer(
+            held.session, Answer(answers.get(kind, "failed"), body.encode("latin-1"))
+        )
 
     def _look(self) -> None:
         """Ask how the jobs of lent sessions go; give up those whose time is over."""
@@ -438,7 +440,7 @@
         self._guards(session, holder)
         if back is not None:
             back.lent, back.holder = True, holder
-            self._dispatcher.lend(back.session)
+            self._dispatcher.hand_off(back.session)
             back.wake()
         say(log, events.TAKEN_OVER, owner=latest.owner, job=passed.id)
 
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -11,7 +11,7 @@
 
 from heronstall.__main__ import Program as Dispatching
 from heronstall.config import ConfigError, configuration
-from heronstall.net.dispatcher import FATE
+from heronstall.net.dispatcher import RESULT_BY_ANSWER
 from heronstall.net.door import CALLERS, LINE
 from heronstall.net.loop import Loop
 from heronstall.net.takeover.guard import Guard
@@ -117,7 +117,7 @@
             self.story()
 
     def test_a_planted_miscount_of_those_who_leave_is_seen(self) -> None:
-        with mock.patch.dict(FATE, {"gone": "succeeded"}), self.assertRaises(AssertionError):
+        with mock.patch.dict(RESULT_BY_ANSWER, {"gone": "succeeded"}), self.assertRaises(AssertionError):
             self.story()
 
     def test_detail_is_off_until_asked_for_and_then_tells_what_clients_saw(self) -> None:
