--- a/heronstall/__main__.py
+++ b/heronstall/__main__.py
@@ -16,7 +16,7 @@
 from heronstall import events
 from heronstall.config import Config, ConfigError, fixed_changes, load, reload
 from heronstall.events import say
-from heronstall.net.backend import HttpBackend, Pool
+from heronstall.net.backend import ConnectionPool, HttpBackend
 from heronstall.net.dispatcher import Dispatcher
 from heronstall.net.frontend import Frontend
 from heronstall.net.loop import READ, Coroutine, Loop, monotonic_us
@@ -77,10 +77,10 @@
 
             self.peers = Peers(config, told, loop)
         half = self._half()
-        pool = Pool(loop, config, half)
+        pool = ConnectionPool(loop, config, half)
         self.table = table = ServerTable(config, loop, offset, self.dispatcher.post, bans)
         self.dispatcher.table = table
-        table.moved = pool.forget
+        table.moved = pool.drop_idle
         self.dispatcher.backend = HttpBackend(config, loop, self.dispatcher, pool)
 
         def settled() -> bool:
--- a/heronstall/net/backend.py
+++ b/heronstall/net/backend.py
@@ -1,4 +1,4 @@
-"""The backend servers' side: the connection pool, dispatches and probes, in HTTP."""
+"""The HTTP backend: the pool of connections to backend servers, dispatches and probes."""
 
 from __future__ import annotations
 
@@ -26,22 +26,23 @@
 from heronstall.net.loop import Coroutine, Loop, Task
 from heronstall.net.server_table import BackendServer
 
-SWEEP = 250_000
-AFTERWARDS = 1_000_000  # for the end of a message whose last line has come
-SHORTEST_KEEP = 50_000  # a connection used again sooner that breaks says nothing of idling
-STALE_TIME = 100_000  # a connection that was dead already breaks within so long of a request
-KEEP_AGAIN = 30_000_000
+# All times are in microseconds.
+SWEEP = 250_000  # between checks of idle connections
+RESPONSE_END_TIMEOUT_US = 1_000_000  # until the end of a response whose last line has arrived
+SHORTEST_KEEP = 50_000  # a break after a shorter idle time says nothing about the server's idle timeout
+STALE_TIME = 100_000  # a connection that was already dead breaks within this time after a request
+KEEP_AGAIN = 30_000_000  # without a break, before the usable idle time is doubled
 PROBE_TIME, PROBES_AT_ONCE = 500_000, 64
-# From an answer's end to the next request on its connection. Guards that request against a second answer
-# that comes some milliseconds late: one that refuses bears no id and would be taken for the answer to it.
-SETTLE_TIME = 20_000
-OFF_MARGIN = 50_000  # a first byte leaves clearly before the drain grace is over
-LINE = 2 * MAX_BODY_BYTES  # a result and what is round it
+# From the end of a response to the next request on its connection. Guards that request against a second
+# response that arrives some milliseconds late: a rejection has no id and would be taken as its response.
+REUSE_DELAY_US = 20_000
+OFF_MARGIN = 50_000  # a first byte is written at least this long before the drain grace ends
+MAX_LINE_BYTES = 2 * MAX_BODY_BYTES  # of a line with a result and its other fields
 log = logging.getLogger("heronstall.backend")
 
 
 class Job(NamedTuple):
-    """What passes through unchanged from a client's request to a backend server."""
+    """The parts of a client's request that are forwarded unchanged to a backend server."""
 
     id: str
     method: bytes
@@ -50,86 +51,88 @@
     body: bytes
 
 
-def read_report(slots: dict[str, int], told: Any) -> i.Report | None:
-    """A load report by the names that the settings give; missing or absurd figures make it none at all."""
-    if not isinstance(told, dict):
+def read_report(positions: dict[str, int], values: Any) -> i.Report | None:
+    """Parses a load report by the names in the settings; None if it has no known or an invalid value."""
+    if not isinstance(values, dict):
         return None
     row: list[float | None] = [None] * len(i.Report._fields)
-    for name, place in slots.items():
-        figure = told.get(name)
-        if figure is None:
+    for name, position in positions.items():
+        value = values.get(name)
+        if value is None:
             continue
-        if isinstance(figure, bool) or not isinstance(figure, (int, float)) or not 0.0 <= figure < 1e12:
+        if isinstance(value, bool) or not isinstance(value, (int, float)) or not 0.0 <= value < 1e12:
             return None
-        row[place] = float(figure)
+        row[position] = float(value)
     return None if row.count(None) == len(row) else i.Report(*row)
 
 
-class Pool:
-    """Connections to backend servers: those idle are kept for reuse, for less than the far end keeps them."""
+class ConnectionPool:
+    """Connections to backend servers. Keeps idle ones for reuse, for less time than the servers do."""
 
     def __init__(self, loop: Loop, config: Config, limit: int) -> None:
         self._loop, self._limit = loop, limit
-        self._connect_time = config.connect_timeout
+        self._connect_timeout = config.connect_timeout
         self._drain_grace = config.drain_grace
         # A request written to a connection that its server is closing ends as a reset, and a job that must
-        # not run twice is then lost: so ours go a fifth of the time earlier.
-        self._longest = self._keep = config.keepalive * 4 // 5
-        self._broke_at = 0
+        # not run twice is then lost. So the pool closes idle connections after four fifths of that time.
+        self._max_idle_time = self._idle_time = config.keepalive * 4 // 5
+        self._idle_break_at = 0
         self._idle: dict[int, list[Connection]] = {}
-        self._open: dict[Connection, tuple[Address, int]] = {}
+        self._origins: dict[Connection, tuple[Address, int]] = {}
         self._connecting = 0
-        self.connects = 0  # connections asked for since the start
+        self.connects = 0  # connections attempted since the start
         loop.at(loop.now + SWEEP, self._sweep)
 
-    def limit(self, limit: int) -> None:
-        """Hold so many connections at the most from now on; those beyond it go as they are given back."""
+    def set_limit(self, limit: int) -> None:
+        """Sets the maximum number of connections; those beyond it are closed when they are released."""
         self._limit = limit
 
-    def rest(self) -> None:
-        """Close all that idle: this process leaves, and another one needs the room."""
+    def close_idle(self) -> None:
+        """Closes all idle connections: this process is leaving, and its successor needs the descriptors."""
         for row in self._idle.values():
             for connection in row:
                 self.close(connection)
         self._idle.clear()
 
-    def take(self, server: BackendServer, until: int) -> Coroutine[Connection]:
-        """A connection to write a first byte on, now. Raises ConnectionEnded if there is none."""
+    def acquire(self, server: BackendServer, until: int) -> Coroutine[Connection]:
+        """Returns a connection for a request to be written now. Raises ConnectionEnded if there is none."""
         connection = self._reuse(server)
         if connection is None:
-            connection = yield from self._fresh(server, until)
+            connection = yield from self._open(server, until)
         try:
-            self.still(server)
+            self.check_writable(server)
         except ConnectionEnded:
             self.close(connection)
             raise
         return connection
 
-    def still(self, server: BackendServer) -> None:
-        """Raises ConnectionEnded where nothing may be written to a server any more.
+    def check_writable(self, server: BackendServer) -> None:
+        """Raises ConnectionEnded if no request may be written to a server any more.
 
-        Guards against a connect, or a wait, that is over only after its server has long been told off.
+        Guards against a connect, or a wait, that ends when the server's drain grace is already over.
         """
-        off = server.off_since
-        if off is not None and self._loop.now >= off + self._drain_grace - OFF_MARGIN:
+        off_since = server.off_since
+        if off_since is not None and self._loop.now >= off_since + self._drain_grace - OFF_MARGIN:
             raise ConnectionEnded(Ending.WITHDRAWN)
 
     def _reuse(self, server: BackendServer) -> Connection | None:
+        """Returns an idle connection, the one used last first; None if there is none."""
         idle = self._idle.get(server.number, [])
-        settled = self._loop.now - SETTLE_TIME
-        at = len(idle) - 1
-        while at >= 0:  # from the one used last, past those that have only just been given back
-            connection = idle[at]
-            if connection.idle_since <= settled:
-                del idle[at]
-                if self._loop.now - connection.idle_since < self._keep and connection.is_quiet():
+        released_before = self._loop.now - REUSE_DELAY_US
+        index = len(idle) - 1
+        while index >= 0:  # connections released only just now are skipped
+            connection = idle[index]
+            if connection.idle_since <= released_before:
+                del idle[index]
+                if self._loop.now - connection.idle_since < self._idle_time and connection.is_quiet():
                     return connection
                 self.close(connection)
-            at -= 1
+            index -= 1
         return None
 
-    def _fresh(self, server: BackendServer, until: int) -> Coroutine[Connection]:
-        if len(self._open) + self._connecting >= self._limit and not self._close_idlest():
+    def _open(self, server: BackendServer, until: int) -> Coroutine[Connection]:
+        """Opens a new connection. Raises ConnectionEnded."""
+        if len(self._origins) + self._connecting >= self._limit and not self._close_longest_idle():
             say(log, events.NO_DESCRIPTOR, server=server.uid)
             raise ConnectionEnded(Ending.WITHDRAWN)
         origin = (server.endpoint, server.boot_ms)
@@ -137,24 +140,24 @@
         self.connects += 1
         try:
             connection = yield from connect(
-                self._loop, server.endpoint, min(until, self._loop.now + self._connect_time)
+                self._loop, server.endpoint, min(until, self._loop.now + self._connect_timeout)
             )
         except ConnectionEnded as ended:
-            late = ended.ending is Ending.REFUSED and self._loop.now >= until
-            raise ConnectionEnded(Ending.UNSENT_IN_TIME) if late else ended from None
+            timed_out = ended.ending is Ending.REFUSED and self._loop.now >= until
+            raise ConnectionEnded(Ending.UNSENT_IN_TIME) if timed_out else ended from None
         finally:
             self._connecting -= 1
-        self._open[connection] = origin
+        self._origins[connection] = origin
         return connection
 
-    def give(self, server: BackendServer, connection: Connection) -> None:
-        """Keep a connection whose exchange is over, if it can serve again."""
+    def release(self, server: BackendServer, connection: Connection) -> None:
+        """Keeps a connection whose exchange has ended for reuse, or closes it if it cannot be reused."""
         parser = connection.parser
-        whole = parser.our_state is h11.DONE and parser.their_state is h11.DONE
-        # Guards the next request against bytes behind this answer: they would be read as the answer to it.
-        whole = whole and not parser.trailing_data[0] and not len(connection.buffer)
-        full = len(self._open) > self._limit
-        if full or not whole or self._open.get(connection) != (server.endpoint, server.boot_ms):
+        clean = parser.our_state is h11.DONE and parser.their_state is h11.DONE
+        # Guards the next request against bytes after this response, which would be read as its response.
+        clean = clean and not parser.trailing_data[0] and not len(connection.buffer)
+        over_limit = len(self._origins) > self._limit
+        if over_limit or not clean or self._origins.get(connection) != (server.endpoint, server.boot_ms):
             self.close(connection)
             return
         parser.start_next_cycle()
@@ -162,117 +165,125 @@
         self._idle.setdefault(server.number, []).append(connection)
 
     def close(self, connection: Connection) -> None:
-        """Close a connection that was taken.
+        """Closes a connection.
 
-        The far end is told at once, though the descriptor is held to the end of the batch. Guards the rule
-        on second copies: what follows from this end may be written to another server within the same batch.
+        The remote end learns it at once, though the descriptor is closed at the end of the turn. Guards the
+        rule against concurrent attempts: the next attempt may be written to another server in the same turn.
         """
-        self._open.pop(connection, None)
+        self._origins.pop(connection, None)
         shutdown_write(connection.sock)
         connection.close()
 
-    def first_word(self, connection: Connection, until: int) -> Coroutine[h11.Response]:
-        """The answer's head, to a request just written; what a break before it tells of idling is learned."""
+    def read_response(self, connection: Connection, until: int) -> Coroutine[h11.Response]:
+        """Returns the response head for a request just written. Learns from breaks of idle connections."""
         written = self._loop.now
         try:
-            return (yield from _response(connection, until))
+            return (yield from _read_response(connection, until))
         except ConnectionEnded as ended:
             if ended.ending is Ending.BROKEN and self._loop.now - written < STALE_TIME:
-                self._broke(written - connection.idle_since)
+                self._record_idle_break(written - connection.idle_since)
             raise
 
-    def _broke(self, idle: int) -> None:
-        """A connection that had idled so long broke at once when it was used again.
+    def _record_idle_break(self, idle: int) -> None:
+        """Records that a connection broke at once when it was used after an idle time.
 
-        Guards against far ends, or what stands between, that drop idle connections sooner than the settings
-        say, and without a word: a job that must not run twice is lost with each. From now on none is used
-        that has idled nearly as long; while none breaks, the time is doubled again now and then.
+        Guards against servers, or network devices, that drop idle connections sooner than the settings say
+        and without notice: each costs a job that must not run twice. From now on no connection is used
+        after three quarters of this idle time. While none breaks, the limit is doubled from time to time.
         """
         if idle >= SHORTEST_KEEP:
-            self._keep = max(SHORTEST_KEEP, min(self._keep, idle * 3 // 4))
-            self._broke_at = self._loop.now
+            self._idle_time = max(SHORTEST_KEEP, min(self._idle_time, idle * 3 // 4))
+            self._idle_break_at = self._loop.now
 
-    def forget(self, server: BackendServer) -> None:
-        """The server has moved or restarted: its idle connections lead nowhere."""
+    def drop_idle(self, server: BackendServer) -> None:
+        """Closes the idle connections of a server that has moved or restarted."""
         for connection in self._idle.pop(server.number, []):
             self.close(connection)
 
-    def _close_idlest(self) -> bool:
-        held = [(row[0].idle_since, number) for number, row in self._idle.items() if row]
-        if held:
-            self.close(self._idle[min(held)[1]].pop(0))
-        return bool(held)
+    def _close_longest_idle(self) -> bool:
+        """Closes the connection that has been idle longest; returns whether there was one."""
+        oldest = [(row[0].idle_since, number) for number, row in self._idle.items() if row]
+        if oldest:
+            self.close(self._idle[min(oldest)[1]].pop(0))
+        return bool(oldest)
 
     def _sweep(self) -> None:
-        if self._keep < self._longest and self._loop.now - self._broke_at > KEEP_AGAIN:
-            self._keep, self._broke_at = min(2 * self._keep, self._longest), self._loop.now
+        """Closes idle connections that are too old or broken, and raises the usable idle time again."""
+        if self._idle_time < self._max_idle_time and self._loop.now - self._idle_break_at > KEEP_AGAIN:
+            self._idle_time, self._idle_break_at = (
+                min(2 * self._idle_time, self._max_idle_time),
+                self._loop.now,
+            )
         for number, row in list(self._idle.items()):
-            kept = []
+            remaining = []
             for connection in row:
-                if self._loop.now - connection.idle_since < self._keep and connection.is_quiet():
-                    kept.append(connection)
+                if self._loop.now - connection.idle_since < self._idle_time and connection.is_quiet():
+                    remaining.append(connection)
                 else:
                     self.close(connection)
-            if kept:
-                self._idle[number] = kept
+            if remaining:
+                self._idle[number] = remaining
             else:
                 del self._idle[number]
         self._loop.at(self._loop.now + SWEEP, self._sweep)
 
 
 class HttpBackend:
-    """Makes dispatches and probes."""
+    """Creates dispatches and sends probes."""
 
-    def __init__(self, config: Config, loop: Loop, dispatcher: Dispatcher, pool: Pool) -> None:
+    def __init__(self, config: Config, loop: Loop, dispatcher: Dispatcher, pool: ConnectionPool) -> None:
         self.loop, self.dispatcher, self.pool = loop, dispatcher, pool
-        self.slots = config.report_slots
+        self.report_positions = config.report_slots
         self._probe_path = "/healthz" if config.settings.reports == "none" else "/load"
-        self._probes = 0
+        self._open_probes = 0
 
     def dispatch(self, session: Session, server: BackendServer, index: int, until: int) -> Dispatch:
-        """Prepare one attempt."""
+        """Creates the dispatch of one attempt."""
         return Dispatch(self, session, server, index, until)
 
     def probe(self, server: BackendServer) -> None:
-        """Ask for a report; one `ProbeResult` is posted for it."""
-        if self._probes >= PROBES_AT_ONCE:
+        """Requests a load report; posts one `ProbeResult`."""
+        if self._open_probes >= PROBES_AT_ONCE:
             self.dispatcher.post(i.ProbeResult(server.number, False))
             return
-        self._probes += 1
+        self._open_probes += 1
         self.loop.spawn(self._probe(server), "probe")
 
     def _probe(self, server: BackendServer) -> Coroutine[None]:
-        began = self.loop.now
-        until = began + PROBE_TIME
+        """Requests a load report and posts the `ProbeResult`."""
+        started_at = self.loop.now
+        until = started_at + PROBE_TIME
         ok, report = False, None
         connection: Connection | None = None
         try:
-            connection = yield from self.pool.take(server, until)
+            connection = yield from self.pool.acquire(server, until)
             request = h11.Request(method="GET", target=self._probe_path, headers=[("Host", "origin.svc")])
-            yield from connection.write(_bytes(connection, [request, h11.EndOfMessage()]), until)
-            response = yield from self.pool.first_word(connection, until)
-            body = yield from _rest(connection, until)
+            yield from connection.write(_serialize(connection, [request, h11.EndOfMessage()]), until)
+            response = yield from self.pool.read_response(connection, until)
+            body = yield from _read_body(connection, until)
             ok = response.status_code == 200
             if ok and body:
                 try:
-                    report = read_report(self.slots, ujson.loads(body))
+                    report = read_report(self.report_positions, ujson.loads(body))
                 except ValueError:
-                    raise ConnectionEnded(Ending.MALFORMED, f"load report not JSON: {body[:80]!r}") from None
-            self.pool.give(server, connection)
+                    raise ConnectionEnded(
+                        Ending.MALFORMED, f"load report is not JSON: {body[:80]!r}"
+                    ) from None
+            self.pool.release(server, connection)
             connection = None
         except ConnectionEnded as ended:
             ok = False
             if ended.ending is Ending.MALFORMED:
                 say(log, events.MALFORMED_PROBE, server=server.uid, reason=str(ended))
         finally:
-            self._probes -= 1
+            self._open_probes -= 1
             if connection is not None:
                 self.pool.close(connection)
-            self.dispatcher.post(i.ProbeResult(server.number, ok, self.loop.now - began, report))
+            self.dispatcher.post(i.ProbeResult(server.number, ok, self.loop.now - started_at, report))
 
 
 class Dispatch:
-    """One attempt. Whatever happens, it ends once, with one call of `dispatch_ended`."""
+    """One attempt. It always ends with exactly one call of `dispatch_ended`."""
 
     def __init__(
         self, backend: HttpBackend, session: Session, server: BackendServer, index: int, until: int
@@ -280,24 +291,25 @@
         self._backend, self._session, self._server = backend, session, server
         self._index, self._until = index, until
         self._loop = backend.loop
-        self._began = self._loop.now
+        self._started_at = self._loop.now
         self._ended = False
         self._report: i.Report | None = None
         self._result = b""
         self._task: Task | None = None
 
     def start(self) -> None:
-        """Begin."""
+        """Starts the attempt."""
         self._task = self._loop.spawn(self._run(), "dispatch")
 
     def cancel(self) -> None:
-        """Close its connection, unless its end has been told: an answer already read wins."""
+        """Cancels the attempt unless its end has been reported: an answer that was read takes precedence."""
         if not self._ended:
             if self._task is not None:
                 self._task.kill()
             self._end(Ending.CANCELLED)
 
     def _end(self, ending: Ending) -> None:
+        """Reports the end of the attempt, once."""
         if not self._ended:
             self._ended = True
             self._backend.dispatcher.dispatch_ended(
@@ -305,30 +317,31 @@
                 self._server,
                 self._index,
                 ending,
-                self._loop.now - self._began,
+                self._loop.now - self._started_at,
                 self._report,
                 self._result,
             )
 
     def _run(self) -> Coroutine[None]:
+        """Sends the request and reads the response."""
         pool, dispatcher, session = self._backend.pool, self._backend.dispatcher, self._session
         connection: Connection | None = None
         ending = Ending.CRASHED
         try:
-            begin_by = min(self._until, dispatcher.latest_start(session))
-            connection = yield from pool.take(self._server, begin_by)
+            latest_start = min(self._until, dispatcher.latest_start(session))
+            connection = yield from pool.acquire(self._server, latest_start)
             if dispatcher.guard is not None:
-                yield from dispatcher.guard.wait_until_writable(session, self._task, begin_by)
-                pool.still(self._server)
-            self._check_still_wanted()
+                yield from dispatcher.guard.wait_until_writable(session, self._task, latest_start)
+                pool.check_writable(self._server)
+            self._check_may_start()
             dispatcher.record_start(session, self._index)
-            yield from connection.write(self._request(connection), self._until)
+            yield from connection.write(self._request_bytes(connection), self._until)
             dispatcher.record_sent()
-            response = yield from pool.first_word(connection, self._until)
-            ending = yield from self._answer(connection, response)
+            response = yield from pool.read_response(connection, self._until)
+            ending = yield from self._read_answer(connection, response)
             self._end(ending)
-            yield from _rest(connection, self._loop.now + AFTERWARDS)
-            pool.give(self._server, connection)
+            yield from _read_body(connection, self._loop.now + RESPONSE_END_TIMEOUT_US)
+            pool.release(self._server, connection)
             connection = None
         except ConnectionEnded as ended:
             ending = ended.ending
@@ -341,30 +354,32 @@
                 pool.close(connection)
         self._end(ending)
 
-    def _check_still_wanted(self) -> None:
-        """Raises ConnectionEnded where this attempt may not begin any more."""
+    def _check_may_start(self) -> None:
+        """Raises ConnectionEnded if this attempt may not start any more."""
         if not self._backend.dispatcher.may_start(self._session):
-            raise ConnectionEnded(Ending.WITHDRAWN, "its client has left, or its time to begin is over")
+            raise ConnectionEnded(Ending.WITHDRAWN, "the client has left, or it is too late to start")
 
-    def _request(self, connection: Connection) -> bytes:
+    def _request_bytes(self, connection: Connection) -> bytes:
+        """Returns the request, with the time that is left to the client."""
         job: Job = self._session.job
-        wait = max(0, self._until - self._loop.now) / 1e6
+        time_left = max(0, self._until - self._loop.now) / 1e6
         headers = [
             *job.headers,
-            (b"Req-Deadline", b"%.3f" % wait),
+            (b"Req-Deadline", b"%.3f" % time_left),
             (b"Content-Length", b"%d" % len(job.body)),
         ]
         request = h11.Request(method=job.method, target=job.target, headers=headers)
-        return _bytes(connection, [request, h11.Data(data=job.body), h11.EndOfMessage()])
+        return _serialize(connection, [request, h11.Data(data=job.body), h11.EndOfMessage()])
 
-    def _answer(self, connection: Connection, response: h11.Response) -> Coroutine[Ending]:
+    def _read_answer(self, connection: Connection, response: h11.Response) -> Coroutine[Ending]:
+        """Reads the server's answer and returns the ending that it states. Raises ConnectionEnded."""
         headers = dict(response.headers)
-        told = headers.get(b"srv-load")
-        if told:
+        load = headers.get(b"srv-load")
+        if load:
             try:
-                self._report = read_report(self._backend.slots, ujson.loads(told))
+                self._report = read_report(self._backend.report_positions, ujson.loads(load))
             except ValueError:
-                raise ConnectionEnded(Ending.MALFORMED, f"Srv-Load not JSON: {told[:80]!r}") from None
+                raise ConnectionEnded(Ending.MALFORMED, f"Srv-Load is not JSON: {load[:80]!r}") from None
         if response.status_code in (503, 504) and headers.get(b"srv-declined") == b"1":
             return Ending.RETURNED
         if 400 <= response.status_code < 500 and response.status_code not in (408, 429):
@@ -378,80 +393,82 @@
             return Ending.UNUSABLE
         if response.status_code != 200:
             return Ending.FAILED
-        lines = LineSplitter(LINE)
+        lines = LineSplitter(MAX_LINE_BYTES)
         while True:
             event = yield from connection.next_event(self._until)
             if not isinstance(event, h11.Data):
-                raise ConnectionEnded(Ending.BROKEN, "the answer ended before its last line")
+                raise ConnectionEnded(Ending.BROKEN, "the response ended before its last line")
             for line in lines.feed(bytes(event.data)):
-                ending = self._line(line)
+                ending = self._handle_line(line)
                 if ending is not None:
                     return ending
 
-    def _line(self, line: bytes) -> Ending | None:
-        """One word about the job; the ending if it is the last."""
+    def _handle_line(self, line: bytes) -> Ending | None:
+        """Handles a line about the job; returns the ending if it is the last line."""
         try:
-            told = ujson.loads(line)
-            state, whose = told["state"], told["id"]
+            message = ujson.loads(line)
+            state, job_id = message["state"], message["id"]
         except (ValueError, TypeError, KeyError):
-            raise ConnectionEnded(Ending.MALFORMED, f"not a job's line: {line[:80]!r}") from None
+            raise ConnectionEnded(Ending.MALFORMED, f"not a line about a job: {line[:80]!r}") from None
         if not isinstance(state, str):
-            raise ConnectionEnded(Ending.MALFORMED, f"a state that is no text: {line[:80]!r}")
-        # Guards against handing a client what was made for another request.
-        if whose != self._session.job.id:
+            raise ConnectionEnded(Ending.MALFORMED, f"state is not a string: {line[:80]!r}")
+        # Guards against sending a client the result of another request.
+        if job_id != self._session.job.id:
             raise ConnectionEnded(
-                Ending.MALFORMED, f"a line about {whose!r} in answer to {self._session.job.id!r}"
+                Ending.MALFORMED, f"a line about {job_id!r} in the response to {self._session.job.id!r}"
             )
         dispatcher = self._backend.dispatcher
         if state == "started":
             dispatcher.note(self._session, self._server, self._index, None)
             return None
         if state == "running":
-            share = told.get("share")
-            good = isinstance(share, (int, float)) and 0 <= share <= 1
-            dispatcher.note(self._session, self._server, self._index, float(share) if good else 0.0)
+            share = message.get("share")
+            valid = isinstance(share, (int, float)) and 0 <= share <= 1
+            dispatcher.note(self._session, self._server, self._index, float(share) if valid else 0.0)
             return None
-        if "load" in told:
-            self._report = read_report(self._backend.slots, told["load"])
+        if "load" in message:
+            self._report = read_report(self._backend.report_positions, message["load"])
         if state == "done":
-            result = told.get("result")
+            result = message.get("result")
             if result is None:
-                raise ConnectionEnded(Ending.MALFORMED, "done without a result")
+                raise ConnectionEnded(Ending.MALFORMED, "state done without a result")
             try:
                 self._result = (result if isinstance(result, str) else ujson.dumps(result)).encode()
-            except (ValueError, OverflowError):  # half a surrogate pair, or a figure beyond JSON
-                raise ConnectionEnded(Ending.MALFORMED, f"a result that is no text: {line[:80]!r}") from None
+            except (ValueError, OverflowError):  # half a surrogate pair, or a number outside JSON
+                raise ConnectionEnded(Ending.MALFORMED, f"result cannot be encoded: {line[:80]!r}") from None
             return Ending.SERVED
-        return LAST_WORDS.get(state)  # a state that we do not know is passed over
+        return FINAL_STATES.get(state)  # unknown states are ignored
 
 
-LAST_WORDS = {"failed": Ending.FAILED, "returned": Ending.RETURNED, "lost": Ending.LOST}
+FINAL_STATES = {"failed": Ending.FAILED, "returned": Ending.RETURNED, "lost": Ending.LOST}
 
 
-def _bytes(connection: Connection, events: Iterable[Any]) -> bytes:
+def _serialize(connection: Connection, events: Iterable[Any]) -> bytes:
+    """Returns the bytes of h11 events."""
     send: Callable[[Any], bytes | None] = connection.parser.send
     return b"".join(send(event) or b"" for event in events)
 
 
-def _response(connection: Connection, until: int) -> Coroutine[h11.Response]:
+def _read_response(connection: Connection, until: int) -> Coroutine[h11.Response]:
+    """Reads the head of the final response. Raises ConnectionEnded."""
     while True:
         event = yield from connection.next_event(until)
         if isinstance(event, h11.Response):
             return event
         if not isinstance(event, h11.InformationalResponse):
-            raise ConnectionEnded(Ending.BROKEN, "closed before an answer")
+            raise ConnectionEnded(Ending.BROKEN, "closed before a response")
 
 
-def _rest(connection: Connection, until: int) -> Coroutine[bytes]:
-    """The message up to its end."""
+def _read_body(connection: Connection, until: int) -> Coroutine[bytes]:
+    """Reads the body up to its end. Raises ConnectionEnded."""
     body = bytearray()
     while True:
         event = yield from connection.next_event(until)
         if isinstance(event, h11.Data):
             body += event.data
             if len(body) > MAX_BODY_BYTES:
-                raise ConnectionEnded(Ending.MALFORMED, "a body over 64 KiB")
+                raise ConnectionEnded(Ending.MALFORMED, "body over 64 KiB")
         elif isinstance(event, h11.EndOfMessage):
             return bytes(body)
         else:
-            raise ConnectionEnded(Ending.BROKEN, "closed inside an answer")
+            raise ConnectionEnded(Ending.BROKEN, "closed inside a response")
--- a/heronstall/net/daily.py
+++ b/heronstall/net/daily.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from heronstall.config import Address, Config, ConfigError
-from heronstall.net.backend import Pool
+from heronstall.net.backend import ConnectionPool
 from heronstall.net.dispatcher import Dispatcher
 from heronstall.net.door import CALLERS, Door
 from heronstall.net.frontend import Frontend
@@ -59,7 +59,7 @@
         dispatcher: Dispatcher,
         table: ServerTable,
         frontend: Frontend,
-        pool: Pool,
+        pool: ConnectionPool,
         taking: Callable[[], bool],
         half: Callable[[int], int],
     ) -> None:
@@ -104,7 +104,7 @@
         is left in the other are a few.
         """
         half = self._half(1 if share is Share.ALONE else 2)
-        self._pool.limit(half)
+        self._pool.set_limit(half)
         clients = self._half(1) * 7 // 8 if share is Share.AFTER else half
         self._frontend.share(clients, share is not Share.ALONE)
 
@@ -113,5 +113,5 @@
         stopping = self._shutdown.stage is Stage.STOPPING
         if stopping and self._succession is not None and self._succession.heir:
             self._succession.leave(self._frontend.ids())
-            self._pool.rest()
+            self._pool.close_idle()
             self._frontend.hand_over(self._succession.pass_on)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -126,7 +126,7 @@
         client = self.ask("keyed")
         first = self.dispatched()
         self.rest(0.05)  # what else was asked of the servers is over
-        self.program._pool.rest()  # the next attempt needs a new connection
+        self.program._pool.close_idle()  # the next attempt needs a new connection
         held = HeldConnects()
         with mock.patch.object(backend, "connect", held.connect):
             first.sock.sendall(b"HTTP/1.1 500 broken\r\nContent-Length: 0\r\n\r\n")
@@ -170,7 +170,7 @@
             answer("id-1") + b"HTTP/1.1 503 full\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"
         )
         self.assertEqual(self.status(first), 200)
-        self.rest(2 * backend.SETTLE_TIME / 1e6)
+        self.rest(2 * backend.REUSE_DELAY_US / 1e6)
         second = self.ask(name="id-2")
         other = self.dispatched()
         self.assertIsNot(end, other)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -29,7 +29,7 @@
 from heronstall.config import Address, ConfigError, configuration
 from heronstall.decide import Balancer
 from heronstall.net import server_table
-from heronstall.net.backend import SETTLE_TIME, Pool, read_report
+from heronstall.net.backend import REUSE_DELAY_US, ConnectionPool, read_report
 from heronstall.net.connection import Buffer, Connection, ConnectionEnded, Ending, LineSplitter
 from heronstall.net.dispatcher import Dispatcher
 from heronstall.net.frontend import Frontend
@@ -470,7 +470,7 @@
         self.assertIn(b"retry-after: 1.500\r\n", client.got.lower())
 
     def test_an_unexpected_error_ends_its_coroutine_alone(self) -> None:
-        with mock.patch("heronstall.net.backend.Dispatch._line", side_effect=RuntimeError("bug")):
+        with mock.patch("heronstall.net.backend.Dispatch._handle_line", side_effect=RuntimeError("bug")):
             client = self.ask()
             server = self.dispatched()
             server.sock.sendall(STREAM)
@@ -601,15 +601,15 @@
         self.dispatched()
         self.assertEqual(client.read(), b"")
 
-    def pool(self, server: BackendServer) -> tuple[Pool, Callable[[], Any]]:
-        pool = Pool(self.loop, configuration(self.raw), 4)
+    def pool(self, server: BackendServer) -> tuple[ConnectionPool, Callable[[], Any]]:
+        pool = ConnectionPool(self.loop, configuration(self.raw), 4)
 
         def take() -> Any:
             taken: list[Any] = []
 
             def run() -> Coroutine[None]:
                 try:
-                    taken.append((yield from pool.take(server, self.loop.now + 1_000_000)))
+                    taken.append((yield from pool.acquire(server, self.loop.now + 1_000_000)))
                 except ConnectionEnded as ended:
                     taken.append(ended.ending)
 
@@ -629,7 +629,7 @@
         self.assertIsNot(young, first)  # a second answer may be on the way to it
         pool.close(young)
         self.accept(self.servers[2])
-        first.idle_since = self.loop.now - SETTLE_TIME
+        first.idle_since = self.loop.now - REUSE_DELAY_US
         self.assertIs(take(), first)
         pool._idle[1] = [first]
         far.sock.close()
@@ -653,7 +653,7 @@
 
             def run() -> Coroutine[None]:
                 with contextlib.suppress(ConnectionEnded):
-                    yield from pool.first_word(connection, self.loop.now + 30_000)
+                    yield from pool.read_response(connection, self.loop.now + 30_000)
                 done.append(True)
 
             done: list[bool] = []
--- a/tests/versions.py
+++ b/tests/versions.py
@@ -180,9 +180,9 @@
 
 def _wastes(program: Any) -> None:
     """Opens a connection for each attempt."""
-    from heronstall.net.backend import Pool
+    from heronstall.net.backend import ConnectionPool
 
-    Pool._reuse = lambda self, server: None  # type: ignore[method-assign]
+    ConnectionPool._reuse = lambda self, server: None  # type: ignore[method-assign]
 
 
 def _writes(program: Any) -> None:
