--- a/heronstall/net/__init__.py
+++ b/heronstall/net/__init__.py
@@ -1,1 +1,1 @@
-"""The real dispatcher on sockets: epoll, coroutines, HTTP at both ends, the decisions in the middle."""
+"""The dispatcher on sockets: an epoll event loop with coroutines, HTTP to clients and backend servers."""
--- a/heronstall/net/daily.py
+++ b/heronstall/net/daily.py
@@ -90,8 +90,8 @@
         self._succession = succession = Succession(
             self._loop, path, config.name, config.listen, frontend.listener, taking, table.full_list
         )
-        succession.adopt, succession.know = frontend.adopt, frontend.know
-        succession.shared, succession.orphaned = self._share, frontend.take_back
+        succession.adopt, succession.know = frontend.adopt, frontend.remember_ids
+        succession.shared, succession.orphaned = self._share, frontend.resume
         succession.heired = self.hand_over
         if self._claimed is not None:
             succession.inherit(self._claimed.channel)
@@ -106,12 +106,12 @@
         half = self._half(1 if share is Share.ALONE else 2)
         self._pool.set_limit(half)
         clients = self._half(1) * 7 // 8 if share is Share.AFTER else half
-        self._frontend.share(clients, share is not Share.ALONE)
+        self._frontend.set_limits(clients, share is not Share.ALONE)
 
     def hand_over(self) -> None:
         """Leave clients to the heir, if there is one and a signal has come, whichever came first."""
         stopping = self._shutdown.stage is Stage.STOPPING
         if stopping and self._succession is not None and self._succession.heir:
-            self._succession.leave(self._frontend.ids())
+            self._succession.leave(self._frontend.recent_ids())
             self._pool.close_idle()
             self._frontend.hand_over(self._succession.pass_on)
--- a/heronstall/net/frontend.py
+++ b/heronstall/net/frontend.py
@@ -1,4 +1,4 @@
-"""The clients' side: sessions in HTTP, /healthz, and the final answers."""
+"""The HTTP frontend: clients' connections and requests, /healthz, and the final answers."""
 
 from __future__ import annotations
 
@@ -31,39 +31,41 @@
 from heronstall.net.shutdown import GracefulShutdown, Stage
 
 BACKLOG = 1024
-IDLE_TIME = 120_000_000  # a client's connection without a request
-# From a request's first byte to its last, and for a connection that has yet to bring one that can be used.
-# A usual client writes a request in one go; one that cannot be read is owed its error or close within 3 s.
-REQUEST_TIME = 2_000_000
-WRITE_TIME = 10_000_000  # for a client to read its answer
-LINGER_TIME = 1_000_000
-ACCEPT_PAUSE = 20_000
-ACCEPTS = 16  # in one turn of the loop: those served must not wait for a flood of new ones
-PARSING = 4096  # a request's own work, in bytes: so many small ones make up a connection's share of a turn
-# All bodies together, of requests half read or not yet answered, may hold a third of the memory that the
-# program does not need for itself.
-OWN_MEMORY, BODIES_PART = 20 * 1024 * 1024, 3
-CANDIDATES = 8  # connections looked at when one is to be given up
-HAND_AGAIN = 10_000  # between looks at what an heir can be handed
-IDS_KEPT, IDS_TOLD = 8192, 1024  # of the latest requests; those that an heir is told
-SCRAP = bytearray(64 * 1024)  # what is read only to be thrown away
-READ_OFF = 4  # times that much at the most, before a close that cannot wait
-DEAF_TIME = 750_000  # after closing has begun, no new connection is taken any more
-QUIET_TIME = 300_000  # a connection that has idled for so long can go in a drain
-# SIGKILL comes no sooner after SIGTERM than the longest deadline, taken as 3 s where it is longer, and 0.7 s
-# more. What came later than 0.7 s and has no answer then is lost: so whoever comes late is answered before.
-KILL_AFTER, LONGEST_DEADLINE = 700_000, 3_000_000
-LATE, BEFORE_KILL = 600_000, 200_000
-TEXT = (b"Content-Type", b"text/plain; charset=utf-8")
-REASON = {status.value: status.phrase.encode() for status in HTTPStatus}
+IDLE_TIMEOUT_US = 120_000_000  # of a client's connection without a request
+# From the first to the last byte of a request, and for a connection that has not sent a usable request yet. A
+# usual client writes a request in one piece. For an unreadable request an error or a close is due within 3 s.
+REQUEST_TIMEOUT_US = 2_000_000
+WRITE_TIMEOUT_US = 10_000_000  # for a client to read its answer
+LINGER_TIME_US = 1_000_000  # of reading on after a last answer
+ACCEPT_RETRY_DELAY_US = 20_000
+MAX_ACCEPTS_PER_TURN = 16  # so that a flood of new connections does not delay the requests of existing ones
+REQUEST_COST_BYTES = 4096  # the work for one request, charged to its connection's limit per turn
+# The bodies of all incomplete and unanswered requests may use a third of the memory that the program does not
+# need for itself.
+PROCESS_MEMORY_BYTES, BODY_MEMORY_DIVISOR = 20 * 1024 * 1024, 3
+EVICTION_CANDIDATES = 8  # connections examined to find one to close
+HANDOVER_INTERVAL_US = 10_000  # between checks for connections that can be handed over
+# Ids of the latest requests, and how many of them the successor receives.
+MAX_REMEMBERED_IDS, MAX_HANDED_OVER_IDS = 8192, 1024
+DISCARD_BUFFER = bytearray(64 * 1024)  # receives data that is thrown away
+MAX_DISCARD_READS = 4  # buffers read before a connection is closed without waiting
+ACCEPT_GRACE_US = 750_000  # after closing has begun, until new connections are not accepted any more
+MIN_DRAIN_IDLE_US = 300_000  # idle time after which a drain may close a connection
+# SIGKILL follows SIGTERM no sooner than after the longest deadline (at most 3 s of it) and 0.7 s. A request
+# that arrives later than 0.7 s after SIGTERM and has no answer then is lost, so late requests are answered
+# before the kill.
+KILL_MARGIN_US, MAX_KILL_DEADLINE_US = 700_000, 3_000_000
+LATE_AFTER_US, ANSWER_BEFORE_KILL_US = 600_000, 200_000
+PLAIN_TEXT = (b"Content-Type", b"text/plain; charset=utf-8")
+REASON_PHRASES = {status.value: status.phrase.encode() for status in HTTPStatus}
 log = logging.getLogger("heronstall.frontend")
 
 
-Incoming = tuple[h11.Request, "i.Arrival | None", bytes]
+ParsedRequest = tuple[h11.Request, "i.Arrival | None", bytes]
 
 
 class Frontend:
-    """Accepts clients, reads their requests and gives each one final answer."""
+    """Accepts clients, reads their requests and sends one final answer to each."""
 
     def __init__(
         self,
@@ -78,26 +80,27 @@
         self._config, self._loop, self._dispatcher = config, loop, dispatcher
         self._requests = RequestParser(config)
         self._ready, self._shutdown = ready, shutdown
-        shutdown.close_idle, shutdown.close_all = self._close_idle, self._close_up
+        shutdown.close_idle, shutdown.close_all = self._close_idle, self._begin_closing
         self._clients: dict[Connection, Task] = {}
-        # In the order in which they are given up when room is wanted, each the longest waiting first: those
-        # that are answered and only to be closed; those that have never brought a request that can be used,
-        # or hold a part of one, or had an error last; those between requests.
+        # In the order in which they are closed to make room, each from the longest waiting: connections that
+        # have got their last answer; connections that have never sent a usable request, have sent a part of a
+        # request, or had an error last; connections between requests.
         self._lingering: dict[Connection, None] = {}
         self._unproven: dict[Connection, None] = {}
         self._idle: dict[Connection, None] = {}
-        self._bodies: dict[Connection, int] = {}  # bytes held for each
-        self._held = 0  # their sum
-        self.share(limit, False)
-        self._ids: dict[bytes, None] = {}  # of the latest requests, so that none is taken for another
-        self._closing = self._deaf = False
+        self._body_bytes: dict[Connection, int] = {}  # held for each connection
+        self._total_body_bytes = 0
+        self.set_limits(limit, False)
+        self._ids: dict[bytes, None] = {}  # of the latest requests, to reject repeated ids
+        self._closing = self._accepting_ended = False
         longest = max(c.deadline for c in config.settings.classes)
-        # From a signal to shortly before the kill that may follow it.
-        self._last = min(longest, LONGEST_DEADLINE) + KILL_AFTER - BEFORE_KILL
-        self._deaf_at = 0  # when new connections are taken no more at the latest, once closing
-        self._finished: Callable[[], None] = loop.stop
-        self._pass_on: Callable[[socket.socket, bool], bool] | None = None  # while clients go to an heir
-        # Shared: should no process hand its listener over, a replacement can still listen beside it.
+        # From a signal to shortly before the SIGKILL that may follow it.
+        self._answer_within = min(longest, MAX_KILL_DEADLINE_US) + KILL_MARGIN_US - ANSWER_BEFORE_KILL_US
+        self._accept_until = 0  # while closing: when new connections are not accepted any more
+        self._on_finished: Callable[[], None] = loop.stop
+        # While clients are handed over: passes a connection to the successor.
+        self._pass_on: Callable[[socket.socket, bool], bool] | None = None
+        # With reuse_port a replacement can listen even if no process hands its listener over.
         self._listener = listener or listen(config.listen, BACKLOG, reuse_port=config.operator is not None)
         self._listener.setblocking(False)
         self._accepting = loop.spawn(self._accept(), "accept")
@@ -105,184 +108,195 @@
     # ------------------------------------------------------------------ connections
 
     def _accept(self) -> Coroutine[None]:
-        taken = 0  # in this turn of the loop
-        while not self._deaf_at or self._loop.now < self._deaf_at:
+        """Accepts connections until the frontend closes."""
+        accepted = 0  # in this turn of the event loop
+        while not self._accept_until or self._loop.now < self._accept_until:
             full = len(self._clients) > self._limit
-            if taken and (full or taken >= ACCEPTS):  # those just taken are read before any is given up
-                taken = 0
+            # New connections are read before any of them is closed to make room.
+            if accepted and (full or accepted >= MAX_ACCEPTS_PER_TURN):
+                accepted = 0
                 yield from sleep(self._loop.now + 1)
                 continue
             if full and not self._make_room():
-                yield from sleep(self._loop.now + ACCEPT_PAUSE)  # the backlog holds them until one ends
+                # The backlog holds new clients until a connection ends.
+                yield from sleep(self._loop.now + ACCEPT_RETRY_DELAY_US)
                 continue
             try:
                 sock, _ = self._listener.accept()
             except BlockingIOError:
                 if self._closing:
-                    break  # whoever the kernel had accepted gets an answer
-                taken = 0
+                    break  # all clients in the backlog have been accepted
+                accepted = 0
                 yield self._listener.fileno(), READ, None
             except ConnectionAbortedError:
                 continue
             except OSError as error:
-                # Guards against spinning when descriptors run out (EMFILE): the backlog keeps the clients.
+                # Guards against a busy loop without free descriptors (EMFILE): the backlog holds the clients.
                 say(log, events.ACCEPT_FAILED, reason=str(error))
                 self._make_room()
-                yield from sleep(self._loop.now + ACCEPT_PAUSE)
+                yield from sleep(self._loop.now + ACCEPT_RETRY_DELAY_US)
             else:
-                taken += 1
+                accepted += 1
                 self.adopt(sock)
         self._loop.close(self._listener)
-        self._deaf = True
-        self._ended(None)
+        self._accepting_ended = True
+        self._end_connection(None)
 
-    def share(self, limit: int, both: bool) -> None:
-        """Hold so many connections at the most; `both`: two processes have the room for bodies together."""
+    def set_limits(self, limit: int, shared: bool) -> None:
+        """Sets the maximum number of connections; `shared` if two processes share the memory for bodies."""
         self._limit = limit
-        room = (self._config.memory - 2 * OWN_MEMORY) // 2 if both else self._config.memory - OWN_MEMORY
-        self._room = max(2 * MAX_BODY_BYTES, room // BODIES_PART)
+        free = (
+            (self._config.memory - 2 * PROCESS_MEMORY_BYTES) // 2
+            if shared
+            else self._config.memory - PROCESS_MEMORY_BYTES
+        )
+        self._max_total_body_bytes = max(2 * MAX_BODY_BYTES, free // BODY_MEMORY_DIVISOR)
 
     def adopt(self, sock: socket.socket, proven: bool = False) -> None:
-        """Serve a client's connection, new, or between requests and from the process before."""
+        """Serves a client's connection: a new one, or an idle one from the previous process."""
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         connection = Connection(self._loop, sock, h11.SERVER)
         self._clients[connection] = self._loop.spawn(self._serve(connection, proven), "session")
 
-    # ------------------------------------------------------------------ heirs
+    # ------------------------------------------------------------------ handover to a successor
 
     @property
     def listener(self) -> socket.socket:
-        """Where clients connect."""
+        """The socket to which clients connect."""
         return self._listener
 
-    def know(self, ids: list[str]) -> None:
-        """Ids of jobs that another process has had."""
-        for name in ids:
-            self._remember(name.encode("latin-1", "replace"))
+    def remember_ids(self, ids: list[str]) -> None:
+        """Remembers ids of jobs that another process has received."""
+        for job_id in ids:
+            self._remember(job_id.encode("latin-1", "replace"))
 
-    def ids(self) -> list[str]:
-        """The ids of the latest jobs, the newest last."""
-        return [name.decode("latin-1") for name in islice(reversed(self._ids), IDS_TOLD)][::-1]
+    def recent_ids(self) -> list[str]:
+        """Returns the ids of the latest jobs, the newest last."""
+        return [job_id.decode("latin-1") for job_id in islice(reversed(self._ids), MAX_HANDED_OVER_IDS)][::-1]
 
     def hand_over(self, pass_on: Callable[[socket.socket, bool], bool]) -> None:
-        """Leave new clients, and the connections of all others as soon as they idle, to the heir."""
+        """Leaves new clients to the successor, and existing connections as soon as they are idle."""
         self._pass_on = pass_on
         self._accepting.kill()
-        self._deaf = True
-        self._hand_again()
-        self._ended(None)
+        self._accepting_ended = True
+        self._hand_over_idle()
+        self._end_connection(None)
 
-    def take_back(self, alone: bool) -> None:
-        """The heir has gone: go on as without one, and leave new clients to whoever else listens, if any."""
+    def resume(self, alone: bool) -> None:
+        """Ends the handover after the successor has gone; accepts new clients if no other process does."""
         if self._pass_on is not None:
             self._pass_on = None
             if alone:
-                self._deaf = False
+                self._accepting_ended = False
                 self._accepting = self._loop.spawn(self._accept(), "accept")
 
-    def _hand_again(self) -> None:
-        """Hand over what idles, again and again: the way to the heir takes a few hundred at a time.
+    def _hand_over_idle(self) -> None:
+        """Hands over idle connections, repeatedly: the successor's queue takes a few hundred at a time.
 
-        To the end, for what is refused on the way there after an answer only idles from then on.
+        This goes on to the end, since a connection that is rejected after its answer is idle from then on.
         """
         if self._pass_on is None:
             return
         for row in (self._idle, self._unproven):
             for connection in list(row):
-                if self._hand(connection, row is self._idle):
+                if self._hand_over_connection(connection, row is self._idle):
                     self._clients[connection].kill()
-        self._loop.at(self._loop.now + HAND_AGAIN, self._hand_again)
+        self._loop.at(self._loop.now + HANDOVER_INTERVAL_US, self._hand_over_idle)
 
-    def _hand(self, connection: Connection, proven: bool) -> bool:
-        """Hand a connection to the heir if nothing of a request has been read from it; whether it has it."""
+    def _hand_over_connection(self, connection: Connection, proven: bool) -> bool:
+        """Hands a connection without a partial request to the successor; returns whether that succeeded."""
         if self._pass_on is None:
             return False
-        return _between(connection) and self._pass_on(connection.sock, proven)
+        return _is_between_requests(connection) and self._pass_on(connection.sock, proven)
 
     def _make_room(self) -> bool:
-        """Close the connection that will be missed least; False where none can be spared.
+        """Closes the least useful connection; returns False if there is none.
 
-        Guards the usual clients: connections that say nothing, or never finish a request, must not keep
-        them waiting in the backlog, nor cost them the connections that they keep.
+        Guards the usual clients: connections without requests, or with requests that are never completed,
+        must not keep other clients waiting in the backlog, nor take the place of their connections.
         """
         for connection in self._lingering:
-            _read_off(connection.sock)  # its answer may be on the way still, and a reset would overtake it
+            _discard_received(connection.sock)  # a reset would overtake an answer that is still being sent
             self._clients[connection].kill()
             return True
         for row in (self._unproven, self._idle):
-            for connection in list(islice(row, CANDIDATES)):
-                if connection.is_quiet():  # else a request is there already, or the client's own close
+            for connection in list(islice(row, EVICTION_CANDIDATES)):
+                if connection.is_quiet():  # otherwise a request has arrived, or the client has closed
                     self._clients[connection].kill()
                     return True
         return False
 
-    def _retire_if_resting(self, connection: Connection) -> None:
-        """End a connection between requests: what has been read of one, or lies unread, is answered first.
+    def _close_if_idle(self, connection: Connection) -> None:
+        """Closes a connection between requests; a request that has begun to arrive is answered first.
 
-        It ends as one whose time is over, so that a request which crosses the end is read and thrown away:
-        its client hands it in anew.
+        The connection ends as after a timeout, so that a request which crosses the close is read and
+        discarded, and its client sends it again.
         """
-        if _between(connection) and connection.is_quiet():
+        if _is_between_requests(connection) and connection.is_quiet():
             self._clients[connection].wake(0)
 
     def _close_idle(self) -> None:
-        """Close what has idled for a moment; who has only just come may be about to ask."""
+        """Closes connections that have been idle for a while; new ones may be about to send a request."""
         for connection in [*self._idle, *self._unproven]:
-            if self._loop.now - connection.idle_since >= QUIET_TIME:
-                self._retire_if_resting(connection)
+            if self._loop.now - connection.idle_since >= MIN_DRAIN_IDLE_US:
+                self._close_if_idle(connection)
 
-    def _close_up(self) -> None:
+    def _begin_closing(self) -> None:
+        """Closes idle connections, and stops accepting new ones after a while."""
         self._closing = True
-        self._deaf_at = self._loop.now + DEAF_TIME
+        self._accept_until = self._loop.now + ACCEPT_GRACE_US
         for connection in [*self._idle, *self._unproven]:
-            self._retire_if_resting(connection)
+            self._close_if_idle(connection)
         self._accepting.step(0)
 
-    def _ended(self, connection: Connection | None) -> None:
+    def _end_connection(self, connection: Connection | None) -> None:
+        """Closes a connection, if one is given; once accepting has ended, reports the end of the last one."""
         if connection is not None:
             for row in (self._clients, self._lingering, self._unproven, self._idle):
                 row.pop(connection, None)
-            self._release(connection)
+            self._release_body(connection)
             connection.close()
-        if self._deaf and not self._clients:
-            self._loop.soon(self._finished)
+        if self._accepting_ended and not self._clients:
+            self._loop.soon(self._on_finished)
 
     # ------------------------------------------------------------------ sessions
 
     def _serve(self, connection: Connection, proven: bool) -> Coroutine[None]:
-        """`proven`: its last request for the backend servers was one that could be used."""
+        """Serves a connection until it ends; `proven` if its last request for backend servers was usable."""
         parser = connection.parser
-        until = self._loop.now + REQUEST_TIME  # for one that has yet to prove itself, mute or not
+        until = self._loop.now + REQUEST_TIMEOUT_US  # for an unproven connection, with or without data
         try:
             while True:
-                connection.charge(PARSING)
+                connection.charge(REQUEST_COST_BYTES)
                 yield from connection.throttle()
                 if not len(connection.buffer) and not parser.trailing_data[0]:
-                    if self._hand(connection, proven):
+                    if self._hand_over_connection(connection, proven):
                         return
                     row = self._idle if proven else self._unproven
                     row[connection] = None
                     connection.idle_since = self._loop.now
-                    # Once closing, a connection that comes to rest only now was passed over by `_close_up`.
-                    may_rest = proven and not self._closing
-                    yield from connection.receive(self._loop.now + IDLE_TIME if may_rest else until)
+                    # `_begin_closing` did not close a connection that becomes idle only now.
+                    may_idle = proven and not self._closing
+                    yield from connection.receive(self._loop.now + IDLE_TIMEOUT_US if may_idle else until)
                     row.pop(connection, None)
                 if proven:
-                    until = self._loop.now + REQUEST_TIME
+                    until = self._loop.now + REQUEST_TIMEOUT_US
                 self._unproven[connection] = None
                 try:
-                    read = yield from self._read(connection, until)
-                    if read is None:
+                    request = yield from self._read_request(connection, until)
+                    if request is None:
                         return
                     self._unproven.pop(connection, None)
-                    proven = (yield from self._exchange(connection, *read)) or proven
-                except BadRequest as bad:
-                    self._release(connection)
-                    proven, until = False, self._loop.now + REQUEST_TIME
+                    proven = (yield from self._answer_request(connection, *request)) or proven
+                except BadRequest as error:
+                    self._release_body(connection)
+                    proven, until = False, self._loop.now + REQUEST_TIMEOUT_US
                     self._unproven[connection] = None
-                    yield from self._say(connection, bad.status, [TEXT], f"{bad}\n".encode())
-                self._release(connection)
+                    yield from self._send_response(
+                        connection, error.status, [PLAIN_TEXT], f"{error}\n".encode()
+                    )
+                self._release_body(connection)
                 if parser.our_state is not h11.DONE or parser.their_state is not h11.DONE:
                     yield from self._linger(connection)
                     return
@@ -290,15 +304,15 @@
         except ConnectionEnded as ended:
             if ended.ending is Ending.TIMED_OUT:  # between requests
                 yield from self._linger(connection)
-            # Otherwise the client has gone: nobody is left to tell.
+            # Otherwise the client has gone, and no answer can be sent.
         finally:
-            self._ended(connection)
+            self._end_connection(connection)
 
-    def _read(self, connection: Connection, until: int) -> Coroutine[Incoming | None]:
-        """One whole request; None when the client has closed between requests."""
+    def _read_request(self, connection: Connection, until: int) -> Coroutine[ParsedRequest | None]:
+        """Reads a complete request; None if the client closes between requests. Raises BadRequest."""
         request: h11.Request | None = None
         arrival: i.Arrival | None = None
-        wrong: BadRequest | None = None
+        head_error: BadRequest | None = None
         body, size = bytearray(), 0
         try:
             while True:
@@ -308,25 +322,25 @@
                     check_framing(connection.raw_head, event)
                     try:
                         arrival = self._requests.parse(event)
-                    except BadRequest as bad:
-                        wrong = bad
+                    except BadRequest as error:
+                        head_error = error
                     if connection.parser.they_are_waiting_for_100_continue:
-                        if wrong is not None:
-                            raise wrong
-                        go_on = h11.InformationalResponse(status_code=100, headers=[])
-                        yield from connection.write(connection.parser.send(go_on) or b"", until)
+                        if head_error is not None:
+                            raise head_error
+                        response = h11.InformationalResponse(status_code=100, headers=[])
+                        yield from connection.write(connection.parser.send(response) or b"", until)
                 elif isinstance(event, h11.Data):
                     size += len(event.data)
                     if size > MAX_BODY_BYTES:
                         raise BadRequest(413, "body over 64 KiB")
-                    # What is wrong with a head is said after its body, so that the connection can stay:
-                    # one that asks wrongly again at once is cheaper so than with a new one each time.
-                    if wrong is None:
-                        self._hold(connection, len(event.data))
+                    # An error in the head is answered after the body, so that the connection can stay open: a
+                    # client that repeats a bad request costs less than with a new connection each time.
+                    if head_error is None:
+                        self._charge_body(connection, len(event.data))
                         body += event.data
                 elif isinstance(event, h11.EndOfMessage) and request is not None:
-                    if wrong is not None:
-                        raise wrong
+                    if head_error is not None:
+                        raise head_error
                     return request, arrival, bytes(body)
                 else:
                     return None
@@ -337,144 +351,163 @@
                 raise BadRequest(408, "the request did not come whole in time") from None
             raise
 
-    def _hold(self, connection: Connection, size: int) -> None:
-        """Count what is held of a body. Raises BadRequest for a large one when all hold too much together.
+    def _charge_body(self, connection: Connection, size: int) -> None:
+        """Counts received bytes of a body. Raises BadRequest for a large body if all together are too large.
 
-        Guards the memory limit, over which the program is killed. Those within an even share always pass, so
-        that a few with large bodies, or many with half of one, cannot keep the others out.
+        Guards the memory limit, above which the program is killed. Bodies within an even share always pass,
+        so that a few large bodies, or many incomplete ones, cannot keep other requests out.
         """
-        self._held += size
-        held = self._bodies[connection] = self._bodies.get(connection, 0) + size
-        if self._held > self._room and held > self._room // self._limit:
+        self._total_body_bytes += size
+        received = self._body_bytes[connection] = self._body_bytes.get(connection, 0) + size
+        if (
+            self._total_body_bytes > self._max_total_body_bytes
+            and received > self._max_total_body_bytes // self._limit
+        ):
             raise BadRequest(413, "no room for so large a body now")
 
-    def _release(self, connection: Connection) -> None:
-        self._held -= self._bodies.pop(connection, 0)
+    def _release_body(self, connection: Connection) -> None:
+        """Stops counting the body of a connection's request."""
+        self._total_body_bytes -= self._body_bytes.pop(connection, 0)
 
-    def _exchange(
+    def _answer_request(
         self, connection: Connection, request: h11.Request, arrival: i.Arrival | None, body: bytes
     ) -> Coroutine[bool]:
-        """Answer a whole request; whether it was one for the backend servers."""
+        """Answers a complete request; returns whether it was one for the backend servers."""
         if arrival is None:
-            good = self._ready() and not self._shutdown.unavailable
-            yield from self._say(
-                connection, 200 if good else 503, [TEXT], b"ready\n" if good else b"not ready\n"
+            healthy = self._ready() and not self._shutdown.unavailable
+            yield from self._send_response(
+                connection, 200 if healthy else 503, [PLAIN_TEXT], b"ready\n" if healthy else b"not ready\n"
             )
             return False
-        job = self._job(request, body)
+        job = self._make_job(request, body)
         task = self._clients[connection]
         session = self._dispatcher.submit(arrival, job, task.wake)
         session.client_left = connection.remote_closed
-        last = session.deadline + self._config.settings.answer_grace
+        answer_by = session.deadline + self._config.settings.answer_grace
         shutdown = self._shutdown
-        late = shutdown.stage is Stage.STOPPING and self._loop.now - shutdown.signalled_at >= LATE
+        late = shutdown.stage is Stage.STOPPING and self._loop.now - shutdown.signalled_at >= LATE_AFTER_US
         if late:
-            last = min(last, shutdown.signalled_at + self._last)
-        got: Any = 0
+            answer_by = min(answer_by, shutdown.signalled_at + self._answer_within)
+        result: Any = 0
         try:
-            got = yield connection.sock.fileno(), REMOTE_CLOSED, last
+            result = yield connection.sock.fileno(), REMOTE_CLOSED, answer_by
         finally:
-            if not isinstance(got, Answer):
+            if not isinstance(result, Answer):
                 self._dispatcher.client_gone(session)
-        if isinstance(got, Answer):
-            yield from self._give(connection, got)
-        elif got:
+        if isinstance(result, Answer):
+            yield from self._send_answer(connection, result)
+        elif result:
             raise ConnectionEnded(Ending.CLOSED)
         else:
             if late:
                 say(log, events.LATE_IN_DRAIN, request=job.id)
             else:
                 say(log, events.NO_ANSWER, request=job.id)
-            yield from self._give(connection, Answer("failed"))
+            yield from self._send_answer(connection, Answer("failed"))
         return True
 
-    def _job(self, request: h11.Request, body: bytes) -> Job:
-        """What is passed on. Raises BadRequest for an id that another request had.
+    def _make_job(self, request: h11.Request, body: bytes) -> Job:
+        """Returns the job to forward. Raises BadRequest if another request had the same id.
 
-        Guards the backend servers against a second copy: to them, whatever bears the id is that request.
+        Guards against a second copy: to backend servers, requests with the same id are the same request.
         """
         job = make_job(request, body)
-        name = job.id.encode("latin-1")
-        if name in self._ids:
+        job_id = job.id.encode("latin-1")
+        if job_id in self._ids:
             raise BadRequest(400, "Req-Id: another request has it")
-        self._remember(name)
+        self._remember(job_id)
         return job
 
-    def _remember(self, name: bytes) -> None:
-        self._ids[name] = None
-        if len(self._ids) > IDS_KEPT:
+    def _remember(self, job_id: bytes) -> None:
+        self._ids[job_id] = None
+        if len(self._ids) > MAX_REMEMBERED_IDS:
             del self._ids[next(iter(self._ids))]
 
     # ------------------------------------------------------------------ answers
 
-    def _give(self, connection: Connection, answer: Answer) -> Coroutine[None]:
+    def _send_answer(self, connection: Connection, answer: Answer) -> Coroutine[None]:
+        """Sends the final answer to a session."""
         if answer.kind == "served":
-            yield from self._say(connection, 200, [TEXT], answer.body)
+            yield from self._send_response(connection, 200, [PLAIN_TEXT], answer.body)
         elif answer.kind == "refused":
-            wait = [(b"Retry-After", b"%.3f" % (answer.retry_after / 1e6))] if answer.retry_after else []
-            yield from self._say(connection, 503, [TEXT, *wait], b"refused\n")
+            retry_after = (
+                [(b"Retry-After", b"%.3f" % (answer.retry_after / 1e6))] if answer.retry_after else []
+            )
+            yield from self._send_response(connection, 503, [PLAIN_TEXT, *retry_after], b"refused\n")
         elif answer.kind == "unusable":
-            yield from self._say(connection, 400, [TEXT], b"no backend server can use this request\n")
+            yield from self._send_response(
+                connection, 400, [PLAIN_TEXT], b"no backend server can use this request\n"
+            )
         else:
-            yield from self._say(connection, 500, [TEXT], b"failed\n")
+            yield from self._send_response(connection, 500, [PLAIN_TEXT], b"failed\n")
 
-    def _say(
+    def _send_response(
         self, connection: Connection, status: int, headers: list[tuple[bytes, bytes]], body: bytes
     ) -> Coroutine[None]:
+        """Sends a response. Raises ConnectionEnded."""
         parser = connection.parser
         if parser.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             raise ConnectionEnded(Ending.CLOSED)
         headers = [*headers, (b"Content-Length", b"%d" % len(body))]
-        if self._parts(connection) or parser.their_state not in (h11.DONE, h11.MUST_CLOSE, h11.CLOSED):
+        if self._closes_after_answer(connection) or parser.their_state not in (
+            h11.DONE,
+            h11.MUST_CLOSE,
+            h11.CLOSED,
+        ):
             headers.append((b"Connection", b"close"))
-        data = parser.send(h11.Response(status_code=status, headers=headers, reason=REASON[status])) or b""
+        data = (
+            parser.send(h11.Response(status_code=status, headers=headers, reason=REASON_PHRASES[status]))
+            or b""
+        )
         data += (parser.send(h11.Data(data=body)) or b"") + (parser.send(h11.EndOfMessage()) or b"")
-        yield from connection.write(data, self._loop.now + WRITE_TIME)
+        yield from connection.write(data, self._loop.now + WRITE_TIMEOUT_US)
 
-    def _parts(self, connection: Connection) -> bool:
-        """Whether an answer ends its connection: on the way out, unless the next request is there already.
+    def _closes_after_answer(self, connection: Connection) -> bool:
+        """Returns whether an answer ends its connection: in a shutdown, if no further request has arrived.
 
-        Guards requests that were sent behind another one: with the connection they would be lost.
+        Guards pipelined requests, which would be lost with the connection.
         """
         shutdown = self._shutdown
         if not shutdown.closing_connections or self._pass_on is not None:
             return False
-        due = shutdown.stage is Stage.STOPPING and self._loop.now - shutdown.signalled_at >= self._last
-        return due or (not connection.parser.trailing_data[0] and connection.is_quiet())
+        time_over = (
+            shutdown.stage is Stage.STOPPING and self._loop.now - shutdown.signalled_at >= self._answer_within
+        )
+        return time_over or (not connection.parser.trailing_data[0] and connection.is_quiet())
 
     def _linger(self, connection: Connection) -> Coroutine[None]:
-        """Read on for a moment after a last answer.
+        """Reads and discards data for a while after the last answer.
 
-        Guards against a reset that overtakes the answer: closing with bytes unread would send one.
+        Guards the answer against a reset that overtakes it: closing a socket with unread data sends a reset.
         """
         shutdown_write(connection.sock)
         for row in (self._unproven, self._idle):
             row.pop(connection, None)
         self._lingering[connection] = None
-        until = self._loop.now + LINGER_TIME
+        until = self._loop.now + LINGER_TIME_US
         while self._loop.now < until:
             try:
-                got = connection.sock.recv_into(SCRAP)
+                received = connection.sock.recv_into(DISCARD_BUFFER)
             except BlockingIOError:
                 yield connection.sock.fileno(), READ, until
             except OSError:
                 return
             else:
-                if not got:
+                if not received:
                     return
-                connection.charge(got // 4)  # to throw bytes away is less work than to read them
+                connection.charge(received // 4)  # discarding bytes is less work than parsing them
                 yield from connection.throttle()
 
 
-def _between(connection: Connection) -> bool:
-    """Whether nothing of a request has been read."""
+def _is_between_requests(connection: Connection) -> bool:
+    """Returns whether no part of a request has been read."""
     parser = connection.parser
     return parser.their_state is h11.IDLE and not parser.trailing_data[0] and not len(connection.buffer)
 
 
-def _read_off(sock: socket.socket) -> None:
-    """Throw away what has come and is unread, up to a bound."""
+def _discard_received(sock: socket.socket) -> None:
+    """Discards unread data, up to a limit."""
     with contextlib.suppress(OSError):
-        for _ in range(READ_OFF):
-            if not sock.recv_into(SCRAP):
+        for _ in range(MAX_DISCARD_READS):
+            if not sock.recv_into(DISCARD_BUFFER):
                 return
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -268,7 +268,7 @@
         self.assertFalse(self.gone(stays))
 
     def test_a_signal_ends_a_drain_for_good(self) -> None:
-        self.front._finished = stopped = mock.Mock()
+        self.front._on_finished = stopped = mock.Mock()
         self.call("LAMEDUCK")
         self.program.shutdown.stop()
         self.assertEqual(self.call("REJOIN"), "NO leaving\n")
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -286,12 +286,12 @@
             return free
 
         with mock.patch.object(Connection, "is_quiet", crossed):
-            self.front._close_up()
+            self.front._begin_closing()
         self.rest(0.05)
         self.assertEqual(client.sock.recv(10), b"")  # not a reset
 
     def test_an_idle_connection_whose_time_is_over_is_closed_without_a_reset(self) -> None:
-        with mock.patch("heronstall.net.frontend.REQUEST_TIME", 50_000):
+        with mock.patch("heronstall.net.frontend.REQUEST_TIMEOUT_US", 50_000):
             client = self.client()
             self.spin(lambda: self.front._unproven)
             time.sleep(0.1)  # its time is over before its bytes are looked at
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -331,7 +331,7 @@
 
     def test_a_drain_still_accepts_then_closes_idle_clients_and_finishes_what_was_taken(self) -> None:
         stopped = mock.Mock()
-        self.front._finished = stopped
+        self.front._on_finished = stopped
         idle = self.client()
         taken = self.ask()
         server = self.dispatched()
@@ -350,7 +350,7 @@
         self.spin(lambda: stopped.called)
 
     def test_what_the_way_to_an_heir_refuses_is_handed_over_later(self) -> None:
-        self.front._finished = mock.Mock()
+        self.front._on_finished = mock.Mock()
         tries: list[bool] = []
 
         def pass_on(_: socket.socket, proven: bool) -> bool:
@@ -367,9 +367,9 @@
 
     def test_who_comes_late_in_a_drain_has_an_answer_before_the_kill(self) -> None:
         with (
-            mock.patch("heronstall.net.frontend.LATE", 0),
+            mock.patch("heronstall.net.frontend.LATE_AFTER_US", 0),
             mock.patch.object(
-                self.front, "_last", 1_000_000
+                self.front, "_answer_within", 1_000_000
             ),  # µs from the signal to shortly before the kill
         ):
             early = self.ask()
@@ -378,7 +378,9 @@
             late = self.ask(name="id-2")
             self.dispatched()
             self.assertEqual(self.status(late), 500)
-            self.assertLess(self.loop.now, self.program.shutdown.signalled_at + self.front._last + 200_000)
+            self.assertLess(
+                self.loop.now, self.program.shutdown.signalled_at + self.front._answer_within + 200_000
+            )
         self.assertEqual(early.read(), b"")
 
 
@@ -531,7 +533,7 @@
         self.assertRegex(self.dispatched().job, rb"Req-Deadline: [89]\.")
 
     def test_who_never_speaks_or_ends_is_given_up_and_who_served_well_is_kept(self) -> None:
-        with mock.patch("heronstall.net.frontend.REQUEST_TIME", 300_000):
+        with mock.patch("heronstall.net.frontend.REQUEST_TIMEOUT_US", 300_000):
             usual = self.ask()
             server = self.dispatched()
             server.sock.sendall(STREAM)
@@ -696,23 +698,23 @@
     sockets, memory = 64, 24
 
     def test_all_bodies_together_are_bounded_and_small_ones_pass(self) -> None:
-        self.front._room = 100_000  # an even share is 8 KB
+        self.front._max_total_body_bytes = 100_000  # an even share is 8 KB
         head = b"POST /api HTTP/1.1\r\nHost: o\r\nReq-Id: %d\r\nReq-Kind: unsafe\r\nReq-Deadline: 9\r\n"
         large = head + b"Content-Length: 65536\r\n\r\n"
         halves = [self.client() for _ in range(2)]
         for n, half in enumerate(halves):
             half.sock.sendall(large % n + bytes(40_000))
-        self.spin(lambda: self.front._held == 80_000)
+        self.spin(lambda: self.front._total_body_bytes == 80_000)
         third = self.client()
         third.sock.sendall(large % 3 + bytes(40_000))
         self.assertEqual(self.status(third), 413)
-        self.assertEqual(self.front._held, 80_000)
+        self.assertEqual(self.front._total_body_bytes, 80_000)
         small = self.client()
         small.sock.sendall(head % 4 + b"Content-Length: 3\r\n\r\npay")
         self.assertIn(b"Req-Id: 4", self.dispatched().job)
         for peer in (*halves, small):
             peer.sock.close()
-        self.spin(lambda: self.front._held == 0)
+        self.spin(lambda: self.front._total_body_bytes == 0)
 
 
 class Discovery(Story):
