--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -18,20 +18,20 @@
 from heronstall.operator import TakeoverFile
 from heronstall.ops.detail import COUNTS
 from heronstall.ops.figures import Figures
-from tests.test_net import Peer, Story, raw_config
+from tests.test_net import DispatcherTestCase, RawConnection, raw_config
 
 
-class Operated(Story):
+class Operated(DispatcherTestCase):
     """A node with a door."""
 
     operated = True
 
     def call(self, line: str | bytes) -> str:
         """One call, and all that is said to it."""
-        caller = Peer(socket.create_connection(self.door))
+        caller = RawConnection(socket.create_connection(self.admin_address))
         caller.sock.sendall(line if isinstance(line, bytes) else line.encode() + b"\n")
-        self.spin(lambda: self.gone(caller))
-        return caller.got.decode()
+        self.run_until(lambda: self.is_closed(caller))
+        return caller.received.decode()
 
     def figures(self) -> dict[str, int]:
         *rows, end = self.call("INFO").splitlines()
@@ -41,7 +41,7 @@
 
     def tell(self, *numbers: int, rev: int, **more: Any) -> None:
         """A list from discovery."""
-        self.program.table.take(self.table(*numbers, rev=rev, **more))
+        self.program.table.take(self.server_list(*numbers, rev=rev, **more))
 
 
 class Words(Operated):
@@ -75,19 +75,19 @@
                 self.assertEqual(self.call(line), reply + "\n")
 
     def test_a_call_may_come_in_pieces_beside_many_that_hold_half_a_line(self) -> None:
-        half = [Peer(socket.create_connection(self.door)) for _ in range(3 * CALLERS)]
+        half = [RawConnection(socket.create_connection(self.admin_address)) for _ in range(3 * CALLERS)]
         for peer in half:
             peer.sock.sendall(b"PI")
-            self.rest(0.001)
+            self.run_for(0.001)
         self.assertIn("END", self.call("INFO"))
         self.assertEqual(sum(peer.read() == b"" and not peer.closed for peer in half), CALLERS - 1)
         half[-1].sock.sendall(b"NG\n")
-        self.spin(lambda: half[-1].read())
-        self.assertTrue(half[-1].got.startswith((b"YES", b"NO")))
+        self.run_until(lambda: half[-1].read())
+        self.assertTrue(half[-1].received.startswith((b"YES", b"NO")))
         with mock.patch("heronstall.net.door.CALL_TIME", 10_000):
-            late = Peer(socket.create_connection(self.door))
+            late = RawConnection(socket.create_connection(self.admin_address))
             late.sock.sendall(b"PING")
-            self.spin(lambda: self.gone(late))
+            self.run_until(lambda: self.is_closed(late))
 
     def test_nothing_is_opened_where_no_address_is_told_and_a_wrong_one_is_named(self) -> None:
         program = Dispatching(configuration(raw_config()), Loop())
@@ -102,8 +102,8 @@
     sockets = 64  # with the door, four clients
 
     def test_the_door_answers_while_clients_hold_every_descriptor(self) -> None:
-        crowd = [self.client() for _ in range(60)]
-        self.rest(0.05)
+        crowd = [self.connect() for _ in range(60)]
+        self.run_for(0.05)
         self.assertIn("END", self.call("INFO"))
         self.assertEqual(len(crowd), 60)
 
@@ -149,11 +149,11 @@
         guard.begin(self.program.dispatcher)
         self.program.daily.operations.takeover = guard.figures
         self.assertEqual(self.call("INFO").count("takeover"), 0)  # as its page words it
-        self.ask("unsafe")  # without an identity
-        self.dispatched()
+        self.send_request("unsafe")  # without an identity
+        self.next_dispatch()
         rows = dict(row[4:].split("=", 1) for row in self.call("TAKEOVER").splitlines()[:-1])
         self.assertEqual((rows["takeover.unprotected"], rows["takeover.kept"]), ("1", "0"))
-        self.rest(0.02)
+        self.run_for(0.02)
         guard._counted -= 60_000_000
         guard._sweep()  # tells the log, and begins anew to count for it
         rows = dict(row[4:].split("=", 1) for row in self.call("TAKEOVER").splitlines()[:-1])
@@ -161,25 +161,25 @@
 
     def story(self) -> None:
         for n, state in enumerate(("done", "failed", "done", "leaves", "refused")):
-            client = self.ask("unsafe" if n < 3 else "keyed", name=f"id-{n}")
+            client = self.send_request("unsafe" if n < 3 else "keyed", name=f"id-{n}")
             if state == "refused":
                 self.call("DETACH s-0")
                 self.call("DETACH s-1")
-            server = self.dispatched()
+            server = self.next_dispatch()
             self.assertEqual(self.figures()["outstanding"], 1)
             if state == "leaves":
                 client.sock.close()
-                self.spin(lambda: self.figures()["outstanding"] == 0)
+                self.run_until(lambda: self.figures()["outstanding"] == 0)
             elif state == "refused":
                 server.sock.sendall(
                     b"HTTP/1.1 503 Full\r\nSrv-Declined: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
                 )
-                self.assertEqual(self.status(client), 503)
+                self.assertEqual(self.response_status(client), 503)
             else:
                 server.sock.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-                server.say(f'{{"id":"id-{n}","state":"{state}","result":"ok"}}')
+                server.send_chunks(f'{{"id":"id-{n}","state":"{state}","result":"ok"}}')
                 server.sock.sendall(b"0\r\n\r\n")
-                self.assertEqual(self.status(client), 200 if state == "done" else 500)
+                self.assertEqual(self.response_status(client), 200 if state == "done" else 500)
         self.assertEqual(
             self.figures(),
             {
@@ -219,7 +219,7 @@
         self.assertEqual((back.state, back.started_at), ("active", server.ban_ended_at))
         self.tell(0, 1, rev=6)  # the list says that it started long ago: it may be late
         self.assertEqual(told[-1].entries[0].started_at, server.ban_ended_at)
-        restarted = self.table(0, 1, rev=7)
+        restarted = self.server_list(0, 1, rev=7)
         boot = (since + 1_000 + table._offset) // 1000
         restarted["targets"][0]["boot_ms"] = boot
         table.take(restarted)  # now it tells of the restart, during the ban: that is exact
@@ -237,47 +237,47 @@
     def test_with_every_server_out_by_hand_jobs_are_refused_and_not_sent(self) -> None:
         self.call("DETACH s-0")
         self.call("DETACH s-1")
-        client = self.ask(wait="0.5")
-        self.assertEqual(self.status(client), 503)
+        client = self.send_request(wait="0.5")
+        self.assertEqual(self.response_status(client), 503)
         self.assertEqual(self.figures()["forwards"], 0)
 
 
 class Draining(Operated):
     def healthy(self) -> bool:
-        client = self.client()
+        client = self.connect()
         client.sock.sendall(b"GET /healthz HTTP/1.1\r\nHost: o\r\n\r\n")
-        return self.status(client) == 200
+        return self.response_status(client) == 200
 
     def test_a_drain_says_no_ends_what_idles_and_is_taken_back(self) -> None:
         self.program.table.answered = True
         self.assertTrue(self.healthy())
-        used = self.ask("unsafe", name="id-0")
-        server = self.dispatched()
+        used = self.send_request("unsafe", name="id-0")
+        server = self.next_dispatch()
         self.call("LAMEDUCK")
         self.assertFalse(self.healthy())
-        idle = self.client()
-        self.spin(lambda: self.gone(idle))
+        idle = self.connect()
+        self.run_until(lambda: self.is_closed(idle))
         server.sock.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        server.say('{"id":"id-0","state":"done","result":"ok"}')
-        self.assertEqual(self.status(used), 200)
-        self.assertIn(b"connection: close", used.got.lower())
+        server.send_chunks('{"id":"id-0","state":"done","result":"ok"}')
+        self.assertEqual(self.response_status(used), 200)
+        self.assertIn(b"connection: close", used.received.lower())
         self.assertEqual(self.call("REJOIN"), "YES serving\n")
         self.assertTrue(self.healthy())
-        stays = self.client()
-        self.rest(0.6)
-        self.assertFalse(self.gone(stays))
+        stays = self.connect()
+        self.run_for(0.6)
+        self.assertFalse(self.is_closed(stays))
 
     def test_a_signal_ends_a_drain_for_good(self) -> None:
-        self.front._on_finished = stopped = mock.Mock()
+        self.frontend._on_finished = stopped = mock.Mock()
         self.call("LAMEDUCK")
         self.program.shutdown.stop()
         self.assertEqual(self.call("REJOIN"), "NO leaving\n")
         self.assertEqual(self.call("LAMEDUCK"), "YES leaving already\n")
         self.assertEqual(self.call("PING"), "NO leaving\n")
-        self.spin(lambda: stopped.called)
+        self.run_until(lambda: stopped.called)
 
 
-del Story  # its stories are run where it is defined
+del DispatcherTestCase  # its stories are run where it is defined
 
 
 if __name__ == "__main__":
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -17,7 +17,7 @@
 from heronstall.net import backend, connection, server_table
 from heronstall.net.connection import Connection
 from heronstall.net.loop import READ, Coroutine, Loop
-from tests.test_net import SETTINGS, STREAM, Peer, Story
+from tests.test_net import SETTINGS, STREAM, DispatcherTestCase, RawConnection
 
 DONE = '{"id":"%s","state":"done","result":"of %s"}'
 
@@ -43,60 +43,60 @@
         return (yield from connection.connect(loop, to, until + 1_000_000, host))
 
 
-class Endings(Story):
-    def warm(self, count: int = 2) -> None:
+class Endings(DispatcherTestCase):
+    def open_idle_connections(self, count: int = 2) -> None:
         """Have one connection idle to each of so many servers."""
-        held: dict[Any, Peer] = {}
-        clients: list[tuple[Peer, str]] = []
+        held: dict[Any, RawConnection] = {}
+        clients: list[tuple[RawConnection, str]] = []
         while len(held) < count:
             name = f"warm-{len(clients)}"
-            client = self.ask(name=name)
+            client = self.send_request(name=name)
             clients.append((client, name))
-            end = self.dispatched()
+            end = self.next_dispatch()
             held.setdefault(end.sock.getsockname(), end)
             end.sock.sendall(STREAM)
             end.name = name  # type: ignore[attr-defined]
             if len(clients) > 20:
                 self.fail("the draw never took another server")
-        for end in self.ends:
+        for end in self.server_ends:
             name = getattr(end, "name", "")
             if name:
-                end.say(DONE % (name, name))
+                end.send_chunks(DONE % (name, name))
                 end.sock.sendall(b"0\r\n\r\n")
         for client, name in clients:
-            self.spin(lambda c=client, n=name: c.read().endswith(f"of {n}".encode()))  # type: ignore[misc]
+            self.run_until(lambda c=client, n=name: c.read().endswith(f"of {n}".encode()))  # type: ignore[misc]
             client.sock.close()
-        self.rest(0.01)
+        self.run_for(0.01)
 
-    def posts(self) -> int:
+    def count_requests(self) -> int:
         """Jobs that have been written to servers and not looked at yet."""
         for sock in self.servers:
             with contextlib.suppress(BlockingIOError):
                 while True:
-                    self.ends.append(Peer(sock.accept()[0]))
-        return sum(end.read().count(b"POST ") for end in self.ends if end.sock.fileno() >= 0)
+                    self.server_ends.append(RawConnection(sock.accept()[0]))
+        return sum(end.read().count(b"POST ") for end in self.server_ends if end.sock.fileno() >= 0)
 
 
 class GoneClients(Endings):
     def test_no_attempt_begins_for_a_client_that_has_closed_before_it_is_read(self) -> None:
-        self.warm()
-        client = self.client()
-        self.ask(peer=client)
+        self.open_idle_connections()
+        client = self.connect()
+        self.send_request(peer=client)
         client.sock.close()  # request and close lie in the kernel before the node takes the connection
-        self.rest(0.1)
-        self.assertEqual(self.posts(), 0)
+        self.run_for(0.1)
+        self.assertEqual(self.count_requests(), 0)
 
     def test_no_attempt_begins_for_a_client_that_leaves_while_its_connection_is_made(self) -> None:
         held = HeldConnects()
         with mock.patch.object(backend, "connect", held.connect):
-            client = self.ask()
-            self.spin(lambda: held.held)
+            client = self.send_request()
+            self.run_until(lambda: held.held)
             # The end of the connect and the client's close are told in one batch, that of the close last.
-            with mock.patch.object(self.front._dispatcher, "client_gone", lambda session: None):
+            with mock.patch.object(self.frontend._dispatcher, "client_gone", lambda session: None):
                 client.sock.close()
                 held.free = True
-                self.rest(0.1)
-        self.assertEqual(self.posts(), 0)
+                self.run_for(0.1)
+        self.assertEqual(self.count_requests(), 0)
 
 
 class Uncancelled(Endings):
@@ -105,13 +105,13 @@
     def test_where_nothing_may_be_cancelled_no_attempt_begins_for_a_client_that_has_left(self) -> None:
         held = HeldConnects()
         with mock.patch.object(backend, "connect", held.connect):
-            client = self.ask()
-            self.spin(lambda: held.held)
+            client = self.send_request()
+            self.run_until(lambda: held.held)
             client.sock.close()
-            self.rest(0.05)
+            self.run_for(0.05)
             held.free = True
-            self.rest(0.1)
-        self.assertEqual(self.posts(), 0)
+            self.run_for(0.1)
+        self.assertEqual(self.count_requests(), 0)
 
 
 class ShortWindow(Endings):
@@ -123,91 +123,93 @@
 
     def test_a_keyed_job_is_not_written_again_after_its_window_though_it_was_decided_on_before(self) -> None:
         began = time.monotonic()
-        client = self.ask("keyed")
-        first = self.dispatched()
-        self.rest(0.05)  # what else was asked of the servers is over
+        client = self.send_request("keyed")
+        first = self.next_dispatch()
+        self.run_for(0.05)  # what else was asked of the servers is over
         self.program._pool.close_idle()  # the next attempt needs a new connection
         held = HeldConnects()
         with mock.patch.object(backend, "connect", held.connect):
             first.sock.sendall(b"HTTP/1.1 500 broken\r\nContent-Length: 0\r\n\r\n")
-            self.spin(lambda: held.held)  # another server is decided on, within the window
+            self.run_until(lambda: held.held)  # another server is decided on, within the window
             self.assertLess(time.monotonic() - began, 0.5)
-            self.rest(began + 0.65 - time.monotonic())
+            self.run_for(began + 0.65 - time.monotonic())
             held.free = True
-            self.assertEqual(self.status(client), 503)  # of group `all`: to hand it in anew is harmless
-        self.rest(0.05)
-        self.assertEqual(self.posts(), 0)
+            self.assertEqual(
+                self.response_status(client), 503
+            )  # of group `all`: to hand it in anew is harmless
+        self.run_for(0.05)
+        self.assertEqual(self.count_requests(), 0)
 
     def test_a_keyed_job_goes_again_within_its_window(self) -> None:
-        client = self.ask("keyed")
-        self.dispatched().sock.sendall(b"HTTP/1.1 500 broken\r\nContent-Length: 0\r\n\r\n")
-        second = self.dispatched()
+        client = self.send_request("keyed")
+        self.next_dispatch().sock.sendall(b"HTTP/1.1 500 broken\r\nContent-Length: 0\r\n\r\n")
+        second = self.next_dispatch()
         second.sock.sendall(answer("id-1"))
-        self.assertEqual(self.status(client), 200)
+        self.assertEqual(self.response_status(client), 200)
 
 
 class SecondCopies(Endings):
     settings = {**SETTINGS, "familyInfo": {**SETTINGS["familyInfo"], "tellsStart": False}}
 
     def test_an_attempt_is_told_off_before_the_next_one_is_written_within_one_batch(self) -> None:
-        self.warm()
+        self.open_idle_connections()
         with mock.patch.object(self.loop, "_close_pending", lambda: None):  # the batch never comes to its end
-            self.ask("keyed", wait="0.8")
-            first = self.dispatched()
-            second = self.dispatched()  # after the first one's time-out
+            self.send_request("keyed", wait="0.8")
+            first = self.next_dispatch()
+            second = self.next_dispatch()  # after the first one's time-out
             self.assertIsNot(first, second)
-            self.assertTrue(self.gone(first))
+            self.assertTrue(self.is_closed(first))
 
 
 class StaleAnswers(Endings):
     def test_an_answer_behind_the_answer_is_not_read_as_the_next_requests(self) -> None:
         self.watch.sock.sendall(STREAM)
-        self.watch.say(json.dumps(self.table(0, rev=5)))  # no other server to draw
-        self.spin(lambda: self.program.table.rev == 5)
-        first = self.ask(name="id-1")
-        end = self.dispatched()
+        self.watch.send_chunks(json.dumps(self.server_list(0, rev=5)))  # no other server to draw
+        self.run_until(lambda: self.program.table.rev == 5)
+        first = self.send_request(name="id-1")
+        end = self.next_dispatch()
         end.sock.sendall(
             answer("id-1") + b"HTTP/1.1 503 full\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"
         )
-        self.assertEqual(self.status(first), 200)
-        self.rest(2 * backend.REUSE_DELAY_US / 1e6)
-        second = self.ask(name="id-2")
-        other = self.dispatched()
+        self.assertEqual(self.response_status(first), 200)
+        self.run_for(2 * backend.REUSE_DELAY_US / 1e6)
+        second = self.send_request(name="id-2")
+        other = self.next_dispatch()
         self.assertIsNot(end, other)
         other.sock.sendall(answer("id-2"))
-        self.assertEqual(self.status(second), 200)
+        self.assertEqual(self.response_status(second), 200)
 
     def test_a_second_answer_some_milliseconds_late_is_not_read_as_the_next_requests(self) -> None:
-        first = self.ask(name="id-1")
-        end = self.dispatched()
+        first = self.send_request(name="id-1")
+        end = self.next_dispatch()
         end.sock.sendall(b"HTTP/1.1 503 full\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n")
-        other = self.dispatched()
+        other = self.next_dispatch()
         other.sock.sendall(answer("id-1"))
-        self.assertEqual(self.status(first), 200)
+        self.assertEqual(self.response_status(first), 200)
         # Whatever goes out before the late answer comes must not be on that connection.
-        asked = [self.ask(name=f"id-{n}") for n in range(2, 6)]
+        asked = [self.send_request(name=f"id-{n}") for n in range(2, 6)]
         for _ in asked:
-            written = self.dispatched()
+            written = self.next_dispatch()
             self.assertIsNot(written, end)
         end.sock.sendall(b"HTTP/1.1 503 full\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n")
 
 
 class Spoilt(Endings):
     def test_absurd_lines_spoil_their_own_job_at_the_most(self) -> None:
-        client = self.ask(name="id-1")
-        end = self.dispatched()
+        client = self.send_request(name="id-1")
+        end = self.next_dispatch()
         end.sock.sendall(STREAM)
-        end.say('{"id":"id-1","state":"running","share":1' + "0" * 400 + "}")
-        end.say('{"id":"id-1","state":"running","share":"half"}')
-        end.say(DONE % ("id-1", "id-1"))
-        self.assertEqual(self.status(client), 200)
+        end.send_chunks('{"id":"id-1","state":"running","share":1' + "0" * 400 + "}")
+        end.send_chunks('{"id":"id-1","state":"running","share":"half"}')
+        end.send_chunks(DONE % ("id-1", "id-1"))
+        self.assertEqual(self.response_status(client), 200)
         for line in ('{"id":"id-2","state":["done"]}', '{"id":"id-2","state":"done","result":"\\ud800"}'):
             with self.subTest(line), mock.patch.object(backend, "say") as logged:
-                client = self.ask(name="id-2" if "[" in line else "id-3")
-                end = self.dispatched()
+                client = self.send_request(name="id-2" if "[" in line else "id-3")
+                end = self.next_dispatch()
                 end.sock.sendall(STREAM)
-                end.say(line if "[" in line else line.replace("id-2", "id-3"))
-                self.assertEqual(self.status(client), 500)
+                end.send_chunks(line if "[" in line else line.replace("id-2", "id-3"))
+                self.assertEqual(self.response_status(client), 500)
                 self.assertEqual([call.args[1].name for call in logged.call_args_list], ["backend.malformed"])
 
 
@@ -226,19 +228,19 @@
 
     def test_an_attempt_for_which_no_socket_can_be_had_has_not_run_and_goes_again(self) -> None:
         with self.run_out(1):
-            client = self.ask()
-            self.dispatched().sock.sendall(answer("id-1"))
-            self.assertEqual(self.status(client), 200)
+            client = self.send_request()
+            self.next_dispatch().sock.sendall(answer("id-1"))
+            self.assertEqual(self.response_status(client), 200)
 
     def test_the_watch_survives_a_call_for_which_no_socket_can_be_had(self) -> None:
         self.watch.sock.sendall(STREAM)
-        self.watch.say(json.dumps(self.table(0, 1, rev=5)))
+        self.watch.send_chunks(json.dumps(self.server_list(0, 1, rev=5)))
         table = self.program.table
-        self.spin(lambda: table.rev == 5)
+        self.run_until(lambda: table.rev == 5)
         with self.run_out(3):
             self.watch.sock.close()
             again = self.accept(self.discovery)
-        self.spin(lambda: b"after=5 " in again.read())  # nothing that it was told is forgotten
+        self.run_until(lambda: b"after=5 " in again.read())  # nothing that it was told is forgotten
 
 
 class OnTheWayOut(Endings):
@@ -246,37 +248,37 @@
         self.program.shutdown.stop()
 
     def test_a_request_that_is_half_read_when_clients_are_closed_is_answered(self) -> None:
-        client = self.client()
+        client = self.connect()
         self.clients.append(client)
         text = (
             b"POST /api HTTP/1.1\r\nHost: o\r\nReq-Id: id-1\r\nReq-Kind: unsafe\r\nReq-Deadline: 9.0\r\n"
             b"Content-Length: 3\r\n\r\npay"
         )
         self.leave()
-        self.rest(0.6)
+        self.run_for(0.6)
         client.sock.sendall(text[:50])
-        self.spin(lambda: self.program.shutdown.closing_connections)
-        self.rest(0.05)
-        self.assertFalse(self.gone(client))
+        self.run_until(lambda: self.program.shutdown.closing_connections)
+        self.run_for(0.05)
+        self.assertFalse(self.is_closed(client))
         client.sock.sendall(text[50:])
-        self.dispatched().sock.sendall(answer("id-1"))
-        self.assertEqual(self.status(client), 200)
-        self.assertIn(b"Connection: close", client.got)
+        self.next_dispatch().sock.sendall(answer("id-1"))
+        self.assertEqual(self.response_status(client), 200)
+        self.assertIn(b"Connection: close", client.received)
 
     def test_a_connection_that_comes_to_rest_after_the_close_does_not_hold_the_exit(self) -> None:
-        client = self.ask()
-        end = self.dispatched()
-        self.front._closing = True  # this connection was not at rest when the others were closed
+        client = self.send_request()
+        end = self.next_dispatch()
+        self.frontend._closing = True  # this connection was not at rest when the others were closed
         end.sock.sendall(answer("id-1"))
-        self.assertEqual(self.status(client), 200)
-        self.assertNotIn(b"Connection: close", client.got)
+        self.assertEqual(self.response_status(client), 200)
+        self.assertNotIn(b"Connection: close", client.received)
         began = time.monotonic()
-        self.spin(lambda: self.gone(client))
+        self.run_until(lambda: self.is_closed(client))
         self.assertLess(time.monotonic() - began, 4)
 
     def test_a_request_that_crosses_the_close_of_a_resting_connection_meets_no_reset(self) -> None:
-        client = self.client()
-        self.spin(lambda: self.front._unproven)
+        client = self.connect()
+        self.run_until(lambda: self.frontend._unproven)
         is_quiet = Connection.is_quiet
 
         def crossed(resting: Connection) -> bool:
@@ -286,46 +288,46 @@
             return free
 
         with mock.patch.object(Connection, "is_quiet", crossed):
-            self.front._begin_closing()
-        self.rest(0.05)
+            self.frontend._begin_closing()
+        self.run_for(0.05)
         self.assertEqual(client.sock.recv(10), b"")  # not a reset
 
     def test_an_idle_connection_whose_time_is_over_is_closed_without_a_reset(self) -> None:
         with mock.patch("heronstall.net.frontend.REQUEST_TIMEOUT_US", 50_000):
-            client = self.client()
-            self.spin(lambda: self.front._unproven)
+            client = self.connect()
+            self.run_until(lambda: self.frontend._unproven)
             time.sleep(0.1)  # its time is over before its bytes are looked at
             client.sock.send(b"POST /api HTTP/1.1\r\n")
             # The loop sees the event of these bytes one turn after the timeout.
             waiting, self.loop._waiting_tasks = self.loop._waiting_tasks, {}
             self.loop.turn(0.0)
             self.loop._waiting_tasks = waiting
-            self.rest(0.05)
+            self.run_for(0.05)
         self.assertIn(client.sock.recv(10), (b"", b"HTTP/1.1 4"))
 
     def test_requests_sent_behind_another_one_are_answered_before_the_connection_is_closed(self) -> None:
-        client = self.client()
+        client = self.connect()
         self.clients.append(client)
         head = b"POST /api HTTP/1.1\r\nHost: o\r\nReq-Id: id-%d\r\nReq-Kind: unsafe\r\nReq-Deadline: 9.0\r\n"
         one = head + b"Content-Length: 3\r\n\r\npay"
         client.sock.sendall(b"".join(one % n for n in range(3)))
-        first = self.dispatched()
+        first = self.next_dispatch()
         self.leave()
-        self.spin(lambda: self.program.shutdown.closing_connections)
+        self.run_until(lambda: self.program.shutdown.closing_connections)
         for n in range(3):
-            end = first if n == 0 else self.dispatched()
+            end = first if n == 0 else self.next_dispatch()
             end.sock.sendall(answer(f"id-{n}"))
-        self.spin(lambda: self.gone(client))
-        self.assertEqual(client.got.count(b"HTTP/1.1 200 "), 3)
-        self.assertEqual(client.got.count(b"Connection: close"), 1)
+        self.run_until(lambda: self.is_closed(client))
+        self.assertEqual(client.received.count(b"HTTP/1.1 200 "), 3)
+        self.assertEqual(client.received.count(b"Connection: close"), 1)
 
     def test_a_connection_given_up_for_room_keeps_its_last_answer(self) -> None:
-        client = self.client()
+        client = self.connect()
         client.sock.sendall(b"nonsense\r\n\r\n")
-        self.spin(lambda: self.front._lingering)
+        self.run_until(lambda: self.frontend._lingering)
         client.sock.sendall(b"more nonsense that nobody has read")
-        self.assertTrue(self.front._make_room())
-        self.rest(0.02)
+        self.assertTrue(self.frontend._make_room())
+        self.run_for(0.02)
         got = b""
         while more := client.sock.recv(4096):  # a reset would raise
             got += more
@@ -343,9 +345,9 @@
         self.loop.spawn(self.program.signals(ours), "signals")
         with mock.patch("heronstall.__main__.reload", side_effect=RuntimeError("absurd file")):
             self.send(theirs, signal.SIGHUP)
-            self.rest(0.02)
+            self.run_for(0.02)
         self.send(theirs, signal.SIGTERM)
-        self.spin(lambda: self.program.shutdown.unavailable)
+        self.run_until(lambda: self.program.shutdown.unavailable)
         theirs.close()
         ours.close()
 
@@ -353,7 +355,9 @@
 class LoopErrors(Endings):
     def test_a_wait_that_cannot_be_armed_ends_its_coroutine_alone(self) -> None:
         closed: list[str] = []
-        self.ends += [self.accept(*self.servers) for _ in range(2)]  # probes' ends, or they take the numbers
+        self.server_ends += [
+            self.accept(*self.servers) for _ in range(2)
+        ]  # probes' ends, or they take the numbers
         lower = os.dup(0)  # its number goes to the client, so that the node's end gets one that `wait` had
 
         def wait() -> Coroutine[None]:
@@ -370,11 +374,11 @@
                 theirs.close()
 
         self.loop.spawn(wait(), "a wait for a descriptor that is closed")
-        self.rest(0.02)
+        self.run_for(0.02)
         self.assertEqual(closed, ["ended"])
         os.close(lower)
-        self.ask()
-        self.dispatched()
+        self.send_request()
+        self.next_dispatch()
 
 
 class Lists(Endings):
@@ -384,75 +388,75 @@
 
     def test_an_indented_list_is_read_and_one_that_is_cut_is_asked_for_again(self) -> None:
         self.watch.sock.sendall(STREAM)
-        self.watch.say(json.dumps(self.table(2, rev=5), indent=2))
-        self.spin(lambda: self.served() == {"s-2"})
-        text = json.dumps(self.table(0, 2, rev=6), indent=2)
-        self.watch.say(text[:60])  # and then only heartbeats
-        self.watch.say("")
+        self.watch.send_chunks(json.dumps(self.server_list(2, rev=5), indent=2))
+        self.run_until(lambda: self.served() == {"s-2"})
+        text = json.dumps(self.server_list(0, 2, rev=6), indent=2)
+        self.watch.send_chunks(text[:60])  # and then only heartbeats
+        self.watch.send_chunks("")
         again = self.accept(self.discovery)
-        self.spin(lambda: b"watch=1 " in again.read())  # the whole list
+        self.run_until(lambda: b"watch=1 " in again.read())  # the whole list
         again.sock.sendall(STREAM)
         for line in text.splitlines():
-            again.say(line)
-        self.spin(lambda: self.served() == {"s-0", "s-2"})
+            again.send_chunks(line)
+        self.run_until(lambda: self.served() == {"s-0", "s-2"})
 
     def test_a_cut_list_on_a_watch_that_falls_silent_is_asked_for_again(self) -> None:
         self.watch.sock.sendall(STREAM)
         with mock.patch.object(server_table, "WATCH_TIMEOUT_US", 100_000):
-            self.watch.say('{"rev": 7, "all": true, "targets": [')
+            self.watch.send_chunks('{"rev": 7, "all": true, "targets": [')
             again = self.accept(self.discovery)
-            self.spin(lambda: b"watch=1 " in again.read())
+            self.run_until(lambda: b"watch=1 " in again.read())
         self.assertEqual(self.served(), {"s-0", "s-1"})
 
     def test_an_older_list_brings_no_server_back_that_was_told_off(self) -> None:
         self.watch.sock.sendall(STREAM)
-        self.watch.say(json.dumps(self.table(0, 1, 2, rev=8)))
-        self.watch.say(json.dumps(self.table(0, rev=9, whole=False, state="DRAINING")))
-        self.spin(lambda: self.served() == {"s-1", "s-2"})
+        self.watch.send_chunks(json.dumps(self.server_list(0, 1, 2, rev=8)))
+        self.watch.send_chunks(json.dumps(self.server_list(0, rev=9, whole=False, state="DRAINING")))
+        self.run_until(lambda: self.served() == {"s-1", "s-2"})
         self.watch.sock.close()
         again = self.accept(self.discovery)
         again.sock.sendall(STREAM)
-        again.say(json.dumps(self.table(0, 1, 2, rev=8)))  # from a place that lags behind
-        self.rest(0.05)
+        again.send_chunks(json.dumps(self.server_list(0, 1, 2, rev=8)))  # from a place that lags behind
+        self.run_for(0.05)
         self.assertEqual(self.served(), {"s-1", "s-2"})
-        again.say(json.dumps(self.table(0, rev=10, whole=False)))  # the drain is taken back
-        self.spin(lambda: self.served() == {"s-0", "s-1", "s-2"})
+        again.send_chunks(json.dumps(self.server_list(0, rev=10, whole=False)))  # the drain is taken back
+        self.run_until(lambda: self.served() == {"s-0", "s-1", "s-2"})
 
     def test_a_server_that_has_started_anew_is_back_whatever_the_revision(self) -> None:
         self.watch.sock.sendall(STREAM)
-        self.watch.say(json.dumps(self.table(0, rev=9, whole=False, state="DRAINING")))
-        self.spin(lambda: self.served() == {"s-1"})
-        back = self.table(0, rev=3, whole=False)
+        self.watch.send_chunks(json.dumps(self.server_list(0, rev=9, whole=False, state="DRAINING")))
+        self.run_until(lambda: self.served() == {"s-1"})
+        back = self.server_list(0, rev=3, whole=False)
         back["targets"][0]["boot_ms"] = 5
-        self.watch.say(json.dumps(back))
-        self.spin(lambda: self.served() == {"s-0", "s-1"})
+        self.watch.send_chunks(json.dumps(back))
+        self.run_until(lambda: self.served() == {"s-0", "s-1"})
 
 
 class Waiting(Endings):
     def test_a_job_that_waited_when_its_client_left_is_never_sent(self) -> None:
         self.watch.sock.sendall(STREAM)
-        self.watch.say(json.dumps(self.table(0, 1, rev=5, state="DRAINING")))
-        self.spin(lambda: self.program.table.rev == 5)
-        client = self.ask()
-        self.rest(0.05)
+        self.watch.send_chunks(json.dumps(self.server_list(0, 1, rev=5, state="DRAINING")))
+        self.run_until(lambda: self.program.table.rev == 5)
+        client = self.send_request()
+        self.run_for(0.05)
         self.assertEqual(client.read(), b"")  # it waits
         client.sock.close()
-        self.rest(0.02)
-        self.watch.say(json.dumps(self.table(0, 1, rev=6)))
-        self.rest(0.4)
-        self.assertEqual(self.posts(), 0)
+        self.run_for(0.02)
+        self.watch.send_chunks(json.dumps(self.server_list(0, 1, rev=6)))
+        self.run_for(0.4)
+        self.assertEqual(self.count_requests(), 0)
 
     def test_a_further_attempt_tells_its_server_no_more_than_is_left_to_the_client(self) -> None:
-        client = self.ask("keyed", wait="3.0")
-        first = self.dispatched()
-        self.rest(0.5)
+        client = self.send_request("keyed", wait="3.0")
+        first = self.next_dispatch()
+        self.run_for(0.5)
         first.sock.sendall(b"HTTP/1.1 500 broken\r\nContent-Length: 0\r\n\r\n")
-        second = self.dispatched()
-        told = [float(end.job.split(b"Req-Deadline: ")[1].split(b"\r\n")[0]) for end in (first, second)]
+        second = self.next_dispatch()
+        told = [float(end.request.split(b"Req-Deadline: ")[1].split(b"\r\n")[0]) for end in (first, second)]
         self.assertLessEqual(told[0], 3.0)
         self.assertLessEqual(told[1], 2.5)
         second.sock.sendall(answer("id-1"))
-        self.assertEqual(self.status(client), 200)
+        self.assertEqual(self.response_status(client), 200)
 
 
 class Crowded(Endings):
@@ -460,27 +464,27 @@
 
     def test_idle_clients_fill_the_descriptors_while_discovery_is_down_and_service_resumes(self) -> None:
         self.watch.sock.sendall(STREAM)
-        self.watch.say(json.dumps(self.table(0, rev=5)))
-        self.spin(lambda: self.program.table.rev == 5)
+        self.watch.send_chunks(json.dumps(self.server_list(0, rev=5)))
+        self.run_until(lambda: self.program.table.rev == 5)
         host, port = self.discovery.getsockname()
         self.discovery.close()
         self.watch.sock.close()
-        crowd = [self.client() for _ in range(100)]
-        self.rest(0.5)
-        client = self.ask()  # among the crowd, with the list that is held
-        self.dispatched().sock.sendall(answer("id-1"))
-        self.assertEqual(self.status(client), 200)
+        crowd = [self.connect() for _ in range(100)]
+        self.run_for(0.5)
+        client = self.send_request()  # among the crowd, with the list that is held
+        self.next_dispatch().sock.sendall(answer("id-1"))
+        self.assertEqual(self.response_status(client), 200)
         self.discovery = socket.create_server((host, port))
         self.discovery.settimeout(0)
         again = self.accept(self.discovery)
-        self.spin(lambda: b"after=5 " in again.read())
+        self.run_until(lambda: b"after=5 " in again.read())
         again.sock.sendall(STREAM)
-        again.say(json.dumps(self.table(1, rev=6)))
-        self.spin(lambda: self.program.table.rev == 6)
-        client = self.ask(name="id-2")
-        end = self.dispatched()
+        again.send_chunks(json.dumps(self.server_list(1, rev=6)))
+        self.run_until(lambda: self.program.table.rev == 6)
+        client = self.send_request(name="id-2")
+        end = self.next_dispatch()
         self.assertEqual(end.sock.getsockname(), self.servers[1].getsockname())
         end.sock.sendall(answer("id-2"))
-        self.assertEqual(self.status(client), 200)
+        self.assertEqual(self.response_status(client), 200)
         for peer in crowd:
             peer.sock.close()
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -38,7 +38,7 @@
 from tests.test_wire import CONFIG
 
 ROOT = Path(__file__).resolve().parent.parent
-PATIENCE = 20.0  # seconds of real time before a story counts as stuck; none is meant to need them
+STUCK_TIMEOUT_S = 20.0  # seconds of real time before a story counts as stuck; none is meant to need them
 SETTINGS: dict[str, Any] = {
     **CONFIG,
     "areas": ["a", "b"],
@@ -64,14 +64,14 @@
 }
 
 
-def listener() -> socket.socket:
+def open_listener() -> socket.socket:
     """A listening socket on a free loopback port."""
     sock = socket.create_server(("127.0.0.1", 0))
     sock.settimeout(0)
     return sock
 
 
-def at(sock: socket.socket) -> str:
+def address_of(sock: socket.socket) -> str:
     """host:port of a socket."""
     host, port = sock.getsockname()
     return f"{host}:{port}"
@@ -89,11 +89,11 @@
     return {**base, **changes}
 
 
-class Peer:
+class RawConnection:
     """One end of a connection, read without blocking into `got`."""
 
     def __init__(self, sock: socket.socket) -> None:
-        self.sock, self.got, self.job, self.closed = sock, b"", b"", False
+        self.sock, self.received, self.request, self.closed = sock, b"", b"", False
         sock.settimeout(0)
 
     def read(self) -> bytes:
@@ -101,15 +101,15 @@
         try:
             while not self.closed:
                 more = self.sock.recv(65536)
-                self.got += more
+                self.received += more
                 self.closed = not more
         except BlockingIOError:
             pass
         except OSError:
             self.closed = True
-        return self.got
+        return self.received
 
-    def say(self, *lines: str) -> None:
+    def send_chunks(self, *lines: str) -> None:
         """Chunks of a streamed answer, one a line."""
         self.sock.sendall(b"".join(b"%x\r\n%s\n\r\n" % (len(x) + 1, x.encode()) for x in lines))
 
@@ -120,12 +120,12 @@
     host = "127.0.0.1"
 
     def __init__(self, relays: list[socket.socket]) -> None:
-        self._left: list[Address] = [relay.getsockname() for relay in relays]
+        self._relays: list[Address] = [relay.getsockname() for relay in relays]
 
     def next_source(self) -> Coroutine[Address | None]:
         """The next one, without waiting."""
         yield from ()
-        return self._left.pop(0)
+        return self._relays.pop(0)
 
     def client_count(self) -> int:
         """Of the list service."""
@@ -142,44 +142,44 @@
 STREAM = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
-class Story(unittest.TestCase):
+class DispatcherTestCase(unittest.TestCase):
     """A node, its discovery and as many backend servers as a story wants."""
 
     sockets: int = 1024
     memory: float = 192
-    operated = False  # whether operators have a door
+    has_admin_endpoint = False  # whether operators have a door
     settings: dict[str, Any] = SETTINGS
 
     def setUp(self) -> None:
         logging.disable(logging.CRITICAL)
         self.addCleanup(logging.disable, logging.NOTSET)
-        self.discovery = listener()
-        self.servers = [listener() for _ in range(3)]
-        self.clients: list[Peer] = []  # both held, for a socket that nobody holds is closed
-        self.ends: list[Peer] = []
+        self.discovery = open_listener()
+        self.servers = [open_listener() for _ in range(3)]
+        self.clients: list[RawConnection] = []  # both held, for a socket that nobody holds is closed
+        self.server_ends: list[RawConnection] = []
         self.loop = Loop()
         self.raw = raw_config(
-            discovery=at(self.discovery),
-            known=self.table(0, 1),
+            discovery=address_of(self.discovery),
+            known=self.server_list(0, 1),
             limits={"sockets": self.sockets, "memory_mb": self.memory},
             settings=self.settings,
-            operator="127.0.0.1:0" if self.operated else None,
+            operator="127.0.0.1:0" if self.has_admin_endpoint else None,
         )
         self.program = Dispatching(configuration(self.raw), self.loop)
-        self.front: Frontend = self.program.frontend
-        self.address = self.front._listener.getsockname()
-        if self.operated:
+        self.frontend: Frontend = self.program.frontend
+        self.address = self.frontend._listener.getsockname()
+        if self.has_admin_endpoint:
             assert self.program.daily is not None
-            self.door = self.program.daily.door._listener.getsockname()
+            self.admin_address = self.program.daily.door._listener.getsockname()
         self.watch = self.accept(self.discovery)
 
-    def table(
+    def server_list(
         self, *numbers: int, rev: int = 1, whole: bool = True, state: str = "SERVING"
     ) -> dict[str, Any]:
         targets = [
             {
                 "uid": f"s-{n}",
-                "endpoint": at(self.servers[n]),
+                "endpoint": address_of(self.servers[n]),
                 "az": "a",
                 "model": "m",
                 "state": state,
@@ -189,41 +189,41 @@
         ]
         return {"rev": rev, "all": whole, "targets": targets}
 
-    def spin(self, done: Callable[[], Any]) -> Any:
+    def run_until(self, done: Callable[[], Any]) -> Any:
         """Turn the node's loop until something is so."""
-        end = time.monotonic() + PATIENCE
+        end = time.monotonic() + STUCK_TIMEOUT_S
         while not (result := done()):
             if time.monotonic() > end:
                 self.fail("the story got stuck")
             self.loop.turn(0.005)
         return result
 
-    def rest(self, seconds: float) -> None:
+    def run_for(self, seconds: float) -> None:
         end = time.monotonic() + seconds
-        self.spin(lambda: time.monotonic() >= end)
+        self.run_until(lambda: time.monotonic() >= end)
 
-    def accept(self, *listeners: socket.socket) -> Peer:
-        def come() -> Peer | None:
+    def accept(self, *listeners: socket.socket) -> RawConnection:
+        def come() -> RawConnection | None:
             ready = select.select(listeners, [], [], 0)[0]
-            return Peer(ready[0].accept()[0]) if ready else None
+            return RawConnection(ready[0].accept()[0]) if ready else None
 
-        peer = self.spin(come)
-        assert isinstance(peer, Peer)
+        peer = self.run_until(come)
+        assert isinstance(peer, RawConnection)
         return peer
 
-    def gone(self, peer: Peer) -> bool:
+    def is_closed(self, peer: RawConnection) -> bool:
         peer.read()
         return peer.closed
 
-    def client(self) -> Peer:
-        return Peer(socket.create_connection(self.address))
+    def connect(self) -> RawConnection:
+        return RawConnection(socket.create_connection(self.address))
 
-    def ask(
-        self, kind: str = "unsafe", wait: str = "9.0", peer: Peer | None = None, name: str = "id-1"
-    ) -> Peer:
-        peer = peer or self.client()
+    def send_request(
+        self, kind: str = "unsafe", wait: str = "9.0", peer: RawConnection | None = None, name: str = "id-1"
+    ) -> RawConnection:
+        peer = peer or self.connect()
         self.clients.append(peer)
-        peer.got = b""
+        peer.received = b""
         peer.sock.sendall(
             b"POST /api?x=1 HTTP/1.1\r\nHost: o\r\nReq-Id: %s\r\nReq-Kind: %s\r\nReq-Owner: acme\r\n"
             b"Req-Deadline: %s\r\nIdempotency-Key: k1\r\nReq-Extra: slots=1\r\nContent-Length: 3\r\n\r\npay"
@@ -231,37 +231,37 @@
         )
         return peer
 
-    def dispatched(self) -> Peer:
+    def next_dispatch(self) -> RawConnection:
         """The backend server's end of the next dispatch, its request in `job`; probes are answered too."""
 
-        def job() -> Peer | None:
+        def job() -> RawConnection | None:
             for sock in select.select(self.servers, [], [], 0)[0]:
-                self.ends.append(Peer(sock.accept()[0]))
-            for end in self.ends:
+                self.server_ends.append(RawConnection(sock.accept()[0]))
+            for end in self.server_ends:
                 if end.sock.fileno() >= 0 and end.read().startswith(b"GET "):
-                    end.got = b""
+                    end.received = b""
                     end.sock.sendall(b'HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\n{"x0":4}')
-                elif end.got.endswith(b"pay"):
-                    end.job, end.got = end.got, b""
+                elif end.received.endswith(b"pay"):
+                    end.request, end.received = end.received, b""
                     return end
             return None
 
-        found = self.spin(job)
-        assert isinstance(found, Peer)
+        found = self.run_until(job)
+        assert isinstance(found, RawConnection)
         return found
 
-    def status(self, client: Peer) -> int:
-        self.spin(lambda: b"\r\n\r\n" in client.read() or client.closed)
-        return int(client.got.split()[1])
+    def response_status(self, client: RawConnection) -> int:
+        self.run_until(lambda: b"\r\n\r\n" in client.read() or client.closed)
+        return int(client.received.split()[1])
 
 
-class Serving(Story):
+class Serving(DispatcherTestCase):
     def test_a_job_passes_through_and_its_result_comes_back_on_connections_that_stay(self) -> None:
-        client = self.client()
+        client = self.connect()
         for name in ("id-1", "id-2"):
-            self.ask(peer=client, name=name)
-            server = self.dispatched()
-            head = server.job
+            self.send_request(peer=client, name=name)
+            server = self.next_dispatch()
+            head = server.request
             self.assertTrue(head.startswith(b"POST /api?x=1 HTTP/1.1\r\n"))
             for passed in (
                 b"Req-Id: " + name.encode(),
@@ -271,18 +271,18 @@
             ):
                 self.assertIn(passed, head)
             server.sock.sendall(STREAM)
-            server.say(
+            server.send_chunks(
                 *(f'{{"id":"{name}",{x}}}' for x in ('"state":"started"', '"state":"running","share":1'))
             )
             # A line in two pieces, and the result before the end of the message.
             last = b'{"id":"%s","state":"done","result":"paid \\u00e9","load":{"x0":2}}\n' % name.encode()
             server.sock.sendall(b"%x\r\n%s" % (len(last), last[:9]))
-            self.rest(0.02)
+            self.run_for(0.02)
             server.sock.sendall(last[9:] + b"\r\n")
-            self.assertEqual(self.status(client), 200)
-            self.assertTrue(client.got.endswith("\r\n\r\npaid é".encode()))
+            self.assertEqual(self.response_status(client), 200)
+            self.assertTrue(client.received.endswith("\r\n\r\npaid é".encode()))
             server.sock.sendall(b"0\r\n\r\n")
-            self.rest(0.02)
+            self.run_for(0.02)
 
     def test_bad_input_is_told_apart_and_reaches_no_backend_server(self) -> None:
         good = b"Req-Id: i\r\nReq-Kind: unsafe\r\nReq-Deadline: 1.0\r\n"
@@ -300,91 +300,91 @@
             (b"POST /else HTTP/1.1\r\nHost: o\r\n\r\n", 404),
             (b"GET /api HTTP/1.1\r\nHost: o\r\n\r\n", 405),
         ):
-            client = self.client()
+            client = self.connect()
             client.sock.settimeout(5)
             client.sock.sendall(text)
             client.sock.settimeout(0)
-            self.assertEqual(self.status(client), status, text[:90])
-        self.assertFalse(self.front._dispatcher._sessions)
+            self.assertEqual(self.response_status(client), status, text[:90])
+        self.assertFalse(self.frontend._dispatcher._sessions)
 
     def test_expect_is_answered_and_a_request_may_come_in_pieces(self) -> None:
-        client = self.client()
+        client = self.connect()
         head = b"POST /api HTTP/1.1\r\nHost: o\r\nReq-Id: id-1\r\nReq-Kind: unsafe\r\nReq-Deadline: 9\r\n"
         client.sock.sendall(head[:31])
-        self.rest(0.02)
+        self.run_for(0.02)
         client.sock.sendall(head[31:] + b"Expect: 100-continue\r\nContent-Length: 3\r\n\r\n")
-        self.assertEqual(self.status(client), 100)
+        self.assertEqual(self.response_status(client), 100)
         client.sock.sendall(b"pay")
-        self.assertNotIn(b"xpect", self.dispatched().job)
+        self.assertNotIn(b"xpect", self.next_dispatch().request)
 
     def test_health_turns_good_with_the_watch_and_bad_with_a_drain(self) -> None:
         for expected in (503, 200, 503):
-            client = self.client()
+            client = self.connect()
             client.sock.sendall(b"GET /healthz HTTP/1.1\r\nHost: o\r\n\r\n")
-            self.assertEqual(self.status(client), expected)
+            self.assertEqual(self.response_status(client), expected)
             if expected == 503:
                 self.watch.sock.sendall(STREAM)
-                self.watch.say(json.dumps(self.table(0, 1, rev=2)))
-                self.rest(0.05)
+                self.watch.send_chunks(json.dumps(self.server_list(0, 1, rev=2)))
+                self.run_for(0.05)
             else:
                 self.program.shutdown.stop()
 
     def test_a_drain_still_accepts_then_closes_idle_clients_and_finishes_what_was_taken(self) -> None:
         stopped = mock.Mock()
-        self.front._on_finished = stopped
-        idle = self.client()
-        taken = self.ask()
-        server = self.dispatched()
+        self.frontend._on_finished = stopped
+        idle = self.connect()
+        taken = self.send_request()
+        server = self.next_dispatch()
         self.program.shutdown.stop()
-        self.rest(0.3)
-        late = self.client()
+        self.run_for(0.3)
+        late = self.connect()
         late.sock.sendall(b"GET /healthz HTTP/1.1\r\nHost: o\r\n\r\n")
-        self.assertEqual(self.status(late), 503)
-        self.spin(lambda: idle.read() == b"" and idle.closed)
+        self.assertEqual(self.response_status(late), 503)
+        self.run_until(lambda: idle.read() == b"" and idle.closed)
         self.assertFalse(stopped.called)
         server.sock.sendall(STREAM)
-        server.say('{"id":"id-1","state":"done","result":"ok"}')
-        self.assertEqual(self.status(taken), 200)
-        self.assertIn(b"connection: close", taken.got.lower())
+        server.send_chunks('{"id":"id-1","state":"done","result":"ok"}')
+        self.assertEqual(self.response_status(taken), 200)
+        self.assertIn(b"connection: close", taken.received.lower())
         taken.sock.close()
-        self.spin(lambda: stopped.called)
+        self.run_until(lambda: stopped.called)
 
     def test_what_the_way_to_an_heir_refuses_is_handed_over_later(self) -> None:
-        self.front._on_finished = mock.Mock()
+        self.frontend._on_finished = mock.Mock()
         tries: list[bool] = []
 
         def pass_on(_: socket.socket, proven: bool) -> bool:
             tries.append(proven)
             return len(tries) > 1
 
-        client = self.ask()
-        server = self.dispatched()
-        self.front.hand_over(pass_on)
+        client = self.send_request()
+        server = self.next_dispatch()
+        self.frontend.hand_over(pass_on)
         server.sock.sendall(STREAM)
-        server.say('{"id":"id-1","state":"done","result":"ok"}')
-        self.assertEqual(self.status(client), 200)
-        self.spin(lambda: tries == [True, True])
+        server.send_chunks('{"id":"id-1","state":"done","result":"ok"}')
+        self.assertEqual(self.response_status(client), 200)
+        self.run_until(lambda: tries == [True, True])
 
     def test_who_comes_late_in_a_drain_has_an_answer_before_the_kill(self) -> None:
         with (
             mock.patch("heronstall.net.frontend.LATE_AFTER_US", 0),
             mock.patch.object(
-                self.front, "_answer_within", 1_000_000
+                self.frontend, "_answer_within", 1_000_000
             ),  # µs from the signal to shortly before the kill
         ):
-            early = self.ask()
-            self.dispatched()
+            early = self.send_request()
+            self.next_dispatch()
             self.program.shutdown.stop()
-            late = self.ask(name="id-2")
-            self.dispatched()
-            self.assertEqual(self.status(late), 500)
+            late = self.send_request(name="id-2")
+            self.next_dispatch()
+            self.assertEqual(self.response_status(late), 500)
             self.assertLess(
-                self.loop.now, self.program.shutdown.signalled_at + self.front._answer_within + 200_000
+                self.loop.now, self.program.shutdown.signalled_at + self.frontend._answer_within + 200_000
             )
         self.assertEqual(early.read(), b"")
 
 
-class Failing(Story):
+class Failing(DispatcherTestCase):
     def test_each_word_of_a_backend_server_gets_the_ending_it_proves(self) -> None:
         def last(state: str) -> bytes:
             line = b'{"id":"id-1","state":"%s"}\n' % state.encode()
@@ -407,94 +407,94 @@
         ):
             self.tearDown()
             self.setUp()
-            client = self.ask()
-            server = self.dispatched()
+            client = self.send_request()
+            server = self.next_dispatch()
             server.sock.sendall(word)
             server.sock.close()
             if again:
-                self.dispatched()
+                self.next_dispatch()
                 self.assertEqual(client.read(), b"", word)
             else:
-                self.assertEqual(self.status(client), 500, word)
+                self.assertEqual(self.response_status(client), 500, word)
 
     def test_a_request_that_a_backend_server_cannot_use_speaks_not_against_the_server(self) -> None:
         for n, status in enumerate((b"400 x", b"404 x", b"413 x")):
-            client = self.ask(name=f"id-{n}", kind=("unsafe", "keyed")[n % 2])
-            server = self.dispatched()
+            client = self.send_request(name=f"id-{n}", kind=("unsafe", "keyed")[n % 2])
+            server = self.next_dispatch()
             server.sock.sendall(b"HTTP/1.1 " + status + b"\r\nContent-Length: 0\r\n\r\n")
-            self.assertEqual(self.status(client), 400)
-            self.rest(0.02)
-        workers = cast(Balancer, self.front._dispatcher._balancer)._workers.values()
+            self.assertEqual(self.response_status(client), 400)
+            self.run_for(0.02)
+        workers = cast(Balancer, self.frontend._dispatcher._balancer)._workers.values()
         self.assertTrue(all(w.ejected_until < 0 and not w.failures and not w.trial for w in workers))
-        self.assertFalse(self.front._dispatcher._sessions)
+        self.assertFalse(self.frontend._dispatcher._sessions)
 
     def test_what_was_made_for_another_request_is_served_to_nobody(self) -> None:
-        client = self.ask()
-        server = self.dispatched()
+        client = self.send_request()
+        server = self.next_dispatch()
         server.sock.sendall(STREAM)
-        server.say('{"id":"id-2","state":"done","result":"not yours"}')
-        self.assertEqual(self.status(client), 500)
-        self.assertNotIn(b"not yours", client.got)
+        server.send_chunks('{"id":"id-2","state":"done","result":"not yours"}')
+        self.assertEqual(self.response_status(client), 500)
+        self.assertNotIn(b"not yours", client.received)
 
     def test_a_silent_backend_server_costs_the_client_one_answer_in_time(self) -> None:
         began = time.monotonic()
-        client = self.ask(wait="0.4")
-        self.dispatched()
-        self.assertEqual(self.status(client), 500)  # it may have run: no refusal
+        client = self.send_request(wait="0.4")
+        self.next_dispatch()
+        self.assertEqual(self.response_status(client), 500)  # it may have run: no refusal
         self.assertGreater(time.monotonic() - began, 0.3)
-        self.rest(0.1)
+        self.run_for(0.1)
         self.assertEqual(client.read().count(b"HTTP/1.1"), 1)
 
     def test_a_refused_connection_proves_that_nothing_ran(self) -> None:
-        live = json.dumps(self.table(2, rev=2))
+        live = json.dumps(self.server_list(2, rev=2))
         for _ in range(2):
             self.servers.pop(0).close()
-        client = self.ask()
-        self.rest(0.1)
+        client = self.send_request()
+        self.run_for(0.1)
         self.assertEqual(client.read(), b"")  # not failed: the decisions still look for a server
         self.watch.sock.sendall(STREAM)
-        self.watch.say(live)
-        self.dispatched()
+        self.watch.send_chunks(live)
+        self.next_dispatch()
 
     def test_a_client_that_leaves_ends_its_dispatch(self) -> None:
-        client = self.ask()
-        server = self.dispatched()
+        client = self.send_request()
+        server = self.next_dispatch()
         client.sock.close()
-        self.spin(lambda: server.read() == b"" and server.closed)
-        self.assertFalse(self.front._dispatcher._sessions)
+        self.run_until(lambda: server.read() == b"" and server.closed)
+        self.assertFalse(self.frontend._dispatcher._sessions)
 
     def test_a_refusal_says_when_to_come_back(self) -> None:
         self.watch.sock.sendall(STREAM)
-        self.watch.say(json.dumps(self.table(rev=2)))  # nobody left
-        self.rest(0.05)
-        client = self.ask(wait="0.2")
-        self.assertEqual(self.status(client), 503)
-        self.assertIn(b"retry-after: 1.500\r\n", client.got.lower())
+        self.watch.send_chunks(json.dumps(self.server_list(rev=2)))  # nobody left
+        self.run_for(0.05)
+        client = self.send_request(wait="0.2")
+        self.assertEqual(self.response_status(client), 503)
+        self.assertIn(b"retry-after: 1.500\r\n", client.received.lower())
 
     def test_an_unexpected_error_ends_its_coroutine_alone(self) -> None:
         with mock.patch("heronstall.net.backend.Dispatch._handle_line", side_effect=RuntimeError("bug")):
-            client = self.ask()
-            server = self.dispatched()
+            client = self.send_request()
+            server = self.next_dispatch()
             server.sock.sendall(STREAM)
-            server.say("{}")
-            self.assertEqual(self.status(client), 500)
+            server.send_chunks("{}")
+            self.assertEqual(self.response_status(client), 500)
         failing = RuntimeError("bug")
         with mock.patch("heronstall.net.client_request.RequestParser._parse_headers", side_effect=failing):
-            broken = self.ask(name="id-2")
-            self.spin(lambda: broken.read() == b"" and broken.closed)
+            broken = self.send_request(name="id-2")
+            self.run_until(lambda: broken.read() == b"" and broken.closed)
         with mock.patch.object(
-            self.front._dispatcher, "_send", side_effect=[RuntimeError("bug"), None]
+            self.frontend._dispatcher, "_send", side_effect=[RuntimeError("bug"), None]
         ) as send:
-            self.front._dispatcher.post(i.Arrival(901, 0, 9_000_000))
-            self.front._dispatcher.post(i.Arrival(902, 0, 9_000_000))
-            self.spin(lambda: send.call_count == 2)  # the second action is carried out all the same
-        self.ask(name="id-3")
-        self.dispatched()
+            self.frontend._dispatcher.post(i.Arrival(901, 0, 9_000_000))
+            self.frontend._dispatcher.post(i.Arrival(902, 0, 9_000_000))
+            self.run_until(lambda: send.call_count == 2)  # the second action is carried out all the same
+        self.send_request(name="id-3")
+        self.next_dispatch()
 
 
-class BadClients(Story):
-    def say(self, text: bytes) -> Peer:
-        client = self.client()
+class BadClients(DispatcherTestCase):
+    def say(self, text: bytes) -> RawConnection:
+        client = self.connect()
         self.clients.append(client)
         client.sock.sendall(text)
         return client
@@ -513,47 +513,47 @@
             (b"Cookie: obj=1; obj=2\r\n\r\n", True),
         ):
             client = self.say(post + b"Req-Id: id-1\r\n" + odd + (b"" if stays else hidden))
-            self.assertEqual(self.status(client), 400, odd)
+            self.assertEqual(self.response_status(client), 400, odd)
             if not stays:
-                self.spin(partial(self.gone, client))
-            self.assertEqual(client.got.count(b"HTTP/1.1"), 1, odd)
-        self.assertFalse(self.front._dispatcher._sessions)
+                self.run_until(partial(self.is_closed, client))
+            self.assertEqual(client.received.count(b"HTTP/1.1"), 1, odd)
+        self.assertFalse(self.frontend._dispatcher._sessions)
 
     def test_the_id_of_an_earlier_request_is_bad_input(self) -> None:
-        first = self.ask()
-        server = self.dispatched()
-        self.assertEqual(self.status(self.ask(name="id-1")), 400)
+        first = self.send_request()
+        server = self.next_dispatch()
+        self.assertEqual(self.response_status(self.send_request(name="id-1")), 400)
         server.sock.sendall(STREAM)
-        server.say('{"id":"id-1","state":"done","result":"ok"}')
-        self.assertEqual(self.status(first), 200)
-        self.assertEqual(self.status(self.ask(name="id-1")), 400)
+        server.send_chunks('{"id":"id-1","state":"done","result":"ok"}')
+        self.assertEqual(self.response_status(first), 200)
+        self.assertEqual(self.response_status(self.send_request(name="id-1")), 400)
 
     def test_a_deadline_beyond_the_class_is_cut_to_it(self) -> None:
-        self.ask(wait="9999999")
-        self.assertRegex(self.dispatched().job, rb"Req-Deadline: [89]\.")
+        self.send_request(wait="9999999")
+        self.assertRegex(self.next_dispatch().request, rb"Req-Deadline: [89]\.")
 
     def test_who_never_speaks_or_ends_is_given_up_and_who_served_well_is_kept(self) -> None:
         with mock.patch("heronstall.net.frontend.REQUEST_TIMEOUT_US", 300_000):
-            usual = self.ask()
-            server = self.dispatched()
+            usual = self.send_request()
+            server = self.next_dispatch()
             server.sock.sendall(STREAM)
-            server.say('{"id":"id-1","state":"done","result":"ok"}')
-            self.assertEqual(self.status(usual), 200)
-            mute, half = self.client(), self.say(b"POST /api HTTP/1.1\r\nHo")
+            server.send_chunks('{"id":"id-1","state":"done","result":"ok"}')
+            self.assertEqual(self.response_status(usual), 200)
+            mute, half = self.connect(), self.say(b"POST /api HTTP/1.1\r\nHo")
             wrong = self.say(b"POST /else HTTP/1.1\r\nHost: o\r\n\r\n")
             short = self.say(b"POST /api HTTP/1.1\r\nHost: o\r\nContent-Length: 9\r\n\r\n1234")
-            self.assertEqual(self.status(half), 408)
-            self.assertEqual(self.status(short), 408)
-            self.assertEqual(self.status(wrong), 404)
-            self.spin(lambda: mute.read() == b"" and mute.closed and wrong.read() and wrong.closed)
+            self.assertEqual(self.response_status(half), 408)
+            self.assertEqual(self.response_status(short), 408)
+            self.assertEqual(self.response_status(wrong), 404)
+            self.run_until(lambda: mute.read() == b"" and mute.closed and wrong.read() and wrong.closed)
             self.assertFalse(usual.closed)
-            self.ask(peer=usual, name="id-2")
-            self.assertIn(b"id-2", self.dispatched().job)
+            self.send_request(peer=usual, name="id-2")
+            self.assertIn(b"id-2", self.next_dispatch().request)
 
     def test_a_body_is_refused_by_its_announced_size_and_its_sender_cannot_hold_the_loop(self) -> None:
         client = self.say(b"POST /api HTTP/1.1\r\nHost: o\r\nContent-Length: 60000000\r\n\r\n")
-        self.assertEqual(self.status(client), 413)
-        (connection,) = self.front._clients
+        self.assertEqual(self.response_status(client), 413)
+        (connection,) = self.frontend._clients
         endless = mock.Mock(wraps=connection.sock)
         endless.recv_into.side_effect = [65536] * 200 + [AssertionError("one turn read on and on")]
         with mock.patch.object(connection, "sock", endless):
@@ -565,42 +565,42 @@
 
     def test_a_pipeline_of_nonsense_is_answered_in_order_a_share_at_a_time(self) -> None:
         client = self.say(b"GET /else HTTP/1.1\r\nHost: o\r\n\r\n" * 100)
-        self.spin(lambda: client.read())
-        self.assertLess(client.got.count(b"HTTP/1.1 404"), 50)  # the others had their turn in between
-        self.spin(lambda: client.read().count(b"HTTP/1.1 404") == 100)
+        self.run_until(lambda: client.read())
+        self.assertLess(client.received.count(b"HTTP/1.1 404"), 50)  # the others had their turn in between
+        self.run_until(lambda: client.read().count(b"HTTP/1.1 404") == 100)
 
 
-class Connections(Story):
+class Connections(DispatcherTestCase):
     sockets = 64  # 12 on either side
 
     def test_a_full_house_closes_the_longest_idle_client_first(self) -> None:
-        idle = [self.client() for _ in range(12)]
-        self.spin(lambda: len(self.front._clients) == 12)
-        self.ask()
-        self.dispatched()
-        self.spin(lambda: idle[0].read() == b"" and idle[0].closed)
+        idle = [self.connect() for _ in range(12)]
+        self.run_until(lambda: len(self.frontend._clients) == 12)
+        self.send_request()
+        self.next_dispatch()
+        self.run_until(lambda: idle[0].read() == b"" and idle[0].closed)
         self.assertFalse(any(peer.read() or peer.closed for peer in idle[1:]))
 
     def test_a_full_house_gives_up_the_mute_before_those_that_served(self) -> None:
-        usual = self.ask()
-        server = self.dispatched()
+        usual = self.send_request()
+        server = self.next_dispatch()
         server.sock.sendall(STREAM)
-        server.say('{"id":"id-1","state":"done","result":"ok"}')
-        self.assertEqual(self.status(usual), 200)
-        mute = [self.client() for _ in range(self.front._limit)]
-        self.spin(lambda: mute[0].read() == b"" and mute[0].closed)
-        self.ask(name="id-2")
-        self.dispatched()
+        server.send_chunks('{"id":"id-1","state":"done","result":"ok"}')
+        self.assertEqual(self.response_status(usual), 200)
+        mute = [self.connect() for _ in range(self.frontend._limit)]
+        self.run_until(lambda: mute[0].read() == b"" and mute[0].closed)
+        self.send_request(name="id-2")
+        self.next_dispatch()
         self.assertFalse(usual.read() and usual.closed)
 
     def test_accept_survives_running_out_of_descriptors(self) -> None:
-        failing = mock.Mock(wraps=self.front._listener)
+        failing = mock.Mock(wraps=self.frontend._listener)
         failing.accept.side_effect = OSError(24, "EMFILE")
-        with mock.patch.object(self.front, "_listener", failing):
-            client = self.ask()
-            self.rest(0.1)
+        with mock.patch.object(self.frontend, "_listener", failing):
+            client = self.send_request()
+            self.run_for(0.1)
             self.assertLess(failing.accept.call_count, 30)  # it pauses rather than spins
-        self.dispatched()
+        self.next_dispatch()
         self.assertEqual(client.read(), b"")
 
     def pool(self, server: BackendServer) -> tuple[ConnectionPool, Callable[[], Any]]:
@@ -616,7 +616,7 @@
                     taken.append(ended.ending)
 
             self.loop.spawn(run(), "take")
-            return self.spin(lambda: taken)[0]
+            return self.run_until(lambda: taken)[0]
 
         return pool, take
 
@@ -639,7 +639,7 @@
         fresh = take()
         fresh.idle_since = self.loop.now
         pool._idle[1] = [fresh]
-        self.rest(1.2)  # keepalive is 1 s
+        self.run_for(1.2)  # keepalive is 1 s
         self.assertEqual(pool._idle, {})
 
     def test_how_long_an_idle_connection_can_be_used_is_learned_from_those_that_break(self) -> None:
@@ -648,7 +648,7 @@
 
         def use_again(idle: int, breaks: bool) -> None:
             connection, far = take(), self.accept(self.servers[2])
-            self.ends.append(far)
+            self.server_ends.append(far)
             connection.idle_since = self.loop.now - idle
             if breaks:
                 far.sock.close()
@@ -660,17 +660,17 @@
 
             done: list[bool] = []
             self.loop.spawn(run(), "use")
-            self.spin(lambda: done)
+            self.run_until(lambda: done)
             pool.close(connection)
 
         def still_used(idle: int) -> bool:
             kept = take()
-            self.ends.append(self.accept(self.servers[2]))
+            self.server_ends.append(self.accept(self.servers[2]))
             kept.idle_since = self.loop.now - idle
             pool._idle[1] = [kept]
             again = take()
             if again is not kept:
-                self.ends.append(self.accept(self.servers[2]))
+                self.server_ends.append(self.accept(self.servers[2]))
             pool.close(again)
             return again is kept
 
@@ -694,53 +694,53 @@
         self.assertIs(take(), Ending.WITHDRAWN)
 
 
-class Memory(Story):
+class Memory(DispatcherTestCase):
     sockets, memory = 64, 24
 
     def test_all_bodies_together_are_bounded_and_small_ones_pass(self) -> None:
-        self.front._max_total_body_bytes = 100_000  # an even share is 8 KB
+        self.frontend._max_total_body_bytes = 100_000  # an even share is 8 KB
         head = b"POST /api HTTP/1.1\r\nHost: o\r\nReq-Id: %d\r\nReq-Kind: unsafe\r\nReq-Deadline: 9\r\n"
         large = head + b"Content-Length: 65536\r\n\r\n"
-        halves = [self.client() for _ in range(2)]
+        halves = [self.connect() for _ in range(2)]
         for n, half in enumerate(halves):
             half.sock.sendall(large % n + bytes(40_000))
-        self.spin(lambda: self.front._total_body_bytes == 80_000)
-        third = self.client()
+        self.run_until(lambda: self.frontend._total_body_bytes == 80_000)
+        third = self.connect()
         third.sock.sendall(large % 3 + bytes(40_000))
-        self.assertEqual(self.status(third), 413)
-        self.assertEqual(self.front._total_body_bytes, 80_000)
-        small = self.client()
+        self.assertEqual(self.response_status(third), 413)
+        self.assertEqual(self.frontend._total_body_bytes, 80_000)
+        small = self.connect()
         small.sock.sendall(head % 4 + b"Content-Length: 3\r\n\r\npay")
-        self.assertIn(b"Req-Id: 4", self.dispatched().job)
+        self.assertIn(b"Req-Id: 4", self.next_dispatch().request)
         for peer in (*halves, small):
             peer.sock.close()
-        self.spin(lambda: self.front._total_body_bytes == 0)
+        self.run_until(lambda: self.frontend._total_body_bytes == 0)
 
 
-class Discovery(Story):
+class Discovery(DispatcherTestCase):
     def test_the_watch_survives_heartbeats_pieces_breaks_and_nonsense(self) -> None:
-        self.spin(lambda: self.watch.read().endswith(b"\r\n\r\n"))
-        self.assertIn(b"GET /v1/servers?watch=1&after=1 ", self.watch.got)
+        self.run_until(lambda: self.watch.read().endswith(b"\r\n\r\n"))
+        self.assertIn(b"GET /v1/servers?watch=1&after=1 ", self.watch.received)
         self.watch.sock.sendall(STREAM + b"1\r\n\n\r\n")
-        line = json.dumps(self.table(2, rev=7, whole=False)) + "\n"
+        line = json.dumps(self.server_list(2, rev=7, whole=False)) + "\n"
         self.watch.sock.sendall(b"%x\r\n%s" % (len(line), line[:20].encode()))
-        self.rest(0.02)
+        self.run_for(0.02)
         self.watch.sock.sendall(line[20:].encode() + b"\r\n")
-        table = self.front._dispatcher.table
-        self.spin(lambda: len(table.by_number) == 3)
+        table = self.frontend._dispatcher.table
+        self.run_until(lambda: len(table.by_number) == 3)
         self.watch.sock.close()
         again = self.accept(self.discovery)
-        self.spin(lambda: b"after=7 " in again.read())
+        self.run_until(lambda: b"after=7 " in again.read())
         again.sock.sendall(STREAM + b'8\r\n{"rev":\n\r\n')
         whole = self.accept(self.discovery)  # after nonsense, the whole list is asked for
-        self.spin(lambda: b"watch=1 " in whole.read())
+        self.run_until(lambda: b"watch=1 " in whole.read())
         self.assertEqual(len(table.by_number), 3)
         whole.sock.sendall(STREAM)
-        whole.say(json.dumps(self.table(1, rev=9)))
-        self.spin(lambda: sum(s.off_since is None for s in table.by_number.values()) == 1)
-        self.ask()
+        whole.send_chunks(json.dumps(self.server_list(1, rev=9)))
+        self.run_until(lambda: sum(s.off_since is None for s in table.by_number.values()) == 1)
+        self.send_request()
         self.servers = [self.servers[1]]
-        self.dispatched()
+        self.next_dispatch()
 
     def test_a_call_without_an_answer_in_time_is_left_open_beside_the_next_one(self) -> None:
         self.watch.sock.close()
@@ -749,46 +749,46 @@
             slow = self.accept(self.discovery)
             later = self.accept(self.discovery)  # nothing came to the first
             another = self.accept(self.discovery)  # nor to the second, which is not kept, too
-            self.spin(partial(self.gone, later))
-            self.assertFalse(self.gone(slow))
+            self.run_until(partial(self.is_closed, later))
+            self.assertFalse(self.is_closed(slow))
         slow.sock.sendall(STREAM)
-        slow.say(json.dumps(self.table(1, rev=8)))
-        table = self.front._dispatcher.table
+        slow.send_chunks(json.dumps(self.server_list(1, rev=8)))
+        table = self.frontend._dispatcher.table
         assert isinstance(table, server_table.ServerTable)
-        self.spin(lambda: table.rev == 8)
-        self.spin(partial(self.gone, another))
-        slow.say(json.dumps(self.table(2, rev=9)))  # it is the watch from here on
-        self.spin(lambda: table.rev == 9)
+        self.run_until(lambda: table.rev == 8)
+        self.run_until(partial(self.is_closed, another))
+        slow.send_chunks(json.dumps(self.server_list(2, rev=9)))  # it is the watch from here on
+        self.run_until(lambda: table.rev == 9)
         slow.sock.close()
         with mock.patch("heronstall.net.server_table.WATCH_TIMEOUT_US", 60_000):
             slow, later = self.accept(self.discovery), self.accept(self.discovery)
         slow.sock.sendall(busy)  # of no use, and no reason to give up the other
-        self.spin(partial(self.gone, slow))
+        self.run_until(partial(self.is_closed, slow))
         later.sock.sendall(STREAM)
-        later.say(json.dumps(self.table(0, rev=10)))
-        self.spin(lambda: table.rev == 10)
+        later.send_chunks(json.dumps(self.server_list(0, rev=10)))
+        self.run_until(lambda: table.rev == 10)
 
     def test_two_silent_relays_in_turn_keep_news_back_for_less_than_two_seconds(
         self,
     ) -> None:
-        relays = [listener() for _ in range(3)]
-        table = self.front._dispatcher.table
+        relays = [open_listener() for _ in range(3)]
+        table = self.frontend._dispatcher.table
         assert isinstance(table, server_table.ServerTable)
         table.sources = RelaysInTurn(relays)
         table.restart_watch()
         speaks, silent, tells = relays
         first = self.accept(speaks)
         first.sock.sendall(STREAM)
-        first.say(json.dumps(self.table(0, 1, rev=4)))
-        self.spin(lambda: table.rev == 4)
+        first.send_chunks(json.dumps(self.server_list(0, 1, rev=4)))
+        self.run_until(lambda: table.rev == 4)
         since = time.monotonic()
         held = self.accept(silent)  # its connection opens, and nothing more comes
         last = self.accept(tells)
         last.sock.sendall(STREAM)
-        last.say(json.dumps(self.table(1, 2, rev=5)))
-        self.spin(lambda: table.rev == 5)
+        last.send_chunks(json.dumps(self.server_list(1, 2, rev=5)))
+        self.run_until(lambda: table.rev == 5)
         self.assertLess(time.monotonic() - since, 2.0)
-        self.spin(partial(self.gone, held))
+        self.run_until(partial(self.is_closed, held))
 
     def test_an_overbooked_discovery_is_asked_again_the_later_the_more_ask_it_and_never_in_step(self) -> None:
         def pauses(nodes: int, seed: str, header: bytes = b"") -> list[int]:
@@ -805,7 +805,7 @@
                 for _ in range(7):
                     watch = self.accept(self.discovery)
                     watch.sock.sendall(b"HTTP/1.1 503 busy\r\n" + header + b"Content-Length: 0\r\n\r\n")
-                    self.spin(partial(self.gone, watch))
+                    self.run_until(partial(self.is_closed, watch))
             assert table._watch is not None and table._watch.task is not None
             table._watch.task.kill()
             return asked[:6]
@@ -825,11 +825,11 @@
         self.assertLessEqual(FIRST_LIST, 500_000)
 
         def healthy() -> bool:
-            client = self.client()
+            client = self.connect()
             client.sock.sendall(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
-            return self.status(client) == 200
+            return self.response_status(client) == 200
 
-        self.spin(healthy)
+        self.run_until(healthy)
         self.assertFalse(self.program.table.answered)
 
     def test_a_watch_that_misses_a_heartbeat_is_opened_again_where_it_ended(self) -> None:
@@ -837,12 +837,12 @@
         self.assertGreater(server_table.WATCH_TIMEOUT_US, server_table.HEARTBEAT_US)
         with mock.patch("heronstall.net.server_table.WATCH_TIMEOUT_US", 300_000):
             self.watch.sock.sendall(STREAM)
-            self.watch.say(json.dumps(self.table(0, 1, rev=5)))
+            self.watch.send_chunks(json.dumps(self.server_list(0, 1, rev=5)))
             again = self.accept(self.discovery)
-            self.spin(lambda: b"after=5 " in again.read())
-        self.assertTrue(self.gone(self.watch))
-        self.ask()  # the table stays valid meanwhile
-        self.dispatched()
+            self.run_until(lambda: b"after=5 " in again.read())
+        self.assertTrue(self.is_closed(self.watch))
+        self.send_request()  # the table stays valid meanwhile
+        self.next_dispatch()
 
     def reload(self, **changes: Any) -> list[str]:
         """SIGHUP with a changed file, under a NODE_DISCOVERY that told of the start; what was logged."""
@@ -851,7 +851,7 @@
             file.flush()
             logging.disable(logging.NOTSET)
             with self.assertLogs("heronstall") as logs:
-                self.program.reload({"NODE_CONFIG": file.name, "NODE_DISCOVERY": at(self.discovery)})
+                self.program.reload({"NODE_CONFIG": file.name, "NODE_DISCOVERY": address_of(self.discovery)})
         logging.disable(logging.CRITICAL)
         return logs.output
 
@@ -860,33 +860,33 @@
     ) -> None:
         table = self.program.table
         self.watch.sock.sendall(STREAM)
-        self.watch.say(json.dumps(self.table(0, 1, rev=5)))
-        self.spin(lambda: table.answered)
-        middle, new = listener(), listener()
-        new_at = at(new)
-        self.reload(discovery=at(middle))
+        self.watch.send_chunks(json.dumps(self.server_list(0, 1, rev=5)))
+        self.run_until(lambda: table.answered)
+        middle, new = open_listener(), open_listener()
+        new_at = address_of(new)
+        self.reload(discovery=address_of(middle))
         never_answers = self.accept(middle)
         new.close()
         self.reload(discovery=new_at)  # a second one before the first was heard; nobody listens there yet
-        self.spin(lambda: self.gone(never_answers))
+        self.run_until(lambda: self.is_closed(never_answers))
         host, port = new_at.split(":")
         new = socket.create_server((host, int(port)))
         new.settimeout(0)
         began = time.monotonic()
         fresh = self.accept(new)
         self.assertLess(time.monotonic() - began, 5)  # not the long pause of an address that has answered
-        self.spin(lambda: b"\r\n\r\n" in fresh.read())
-        self.assertIn(b"GET /v1/servers?watch=1 ", fresh.got)  # another's revision means nothing here
+        self.run_until(lambda: b"\r\n\r\n" in fresh.read())
+        self.assertIn(b"GET /v1/servers?watch=1 ", fresh.received)  # another's revision means nothing here
         self.assertFalse(self.watch.closed)
-        self.watch.say(json.dumps(self.table(2, rev=6, whole=False)))  # still listened to
-        self.spin(lambda: len(table.by_number) == 3)
+        self.watch.send_chunks(json.dumps(self.server_list(2, rev=6, whole=False)))  # still listened to
+        self.run_until(lambda: len(table.by_number) == 3)
         fresh.sock.sendall(STREAM)
-        fresh.say(json.dumps(self.table(2, rev=1)))
-        self.spin(lambda: sum(s.off_since is None for s in table.by_number.values()) == 1)
-        self.spin(lambda: self.gone(self.watch))
+        fresh.send_chunks(json.dumps(self.server_list(2, rev=1)))
+        self.run_until(lambda: sum(s.off_since is None for s in table.by_number.values()) == 1)
+        self.run_until(lambda: self.is_closed(self.watch))
         fresh.sock.close()
         again = self.accept(new)
-        self.spin(lambda: b"after=1 " in again.read())
+        self.run_until(lambda: b"after=1 " in again.read())
         self.assertFalse(select.select([self.discovery, middle], [], [], 0)[0])
 
     def test_a_wrong_or_unchanged_file_changes_nothing_and_what_takes_a_restart_is_named(self) -> None:
@@ -897,18 +897,18 @@
             ({"listen": "127.0.0.1:1", "settings": {**SETTINGS, "tick": 7}}, "listen has changed"),
         ):
             self.assertIn(said, "\n".join(self.reload(**changes)))
-        self.rest(0.05)
-        self.assertFalse(self.gone(self.watch))
+        self.run_for(0.05)
+        self.assertFalse(self.is_closed(self.watch))
         self.assertFalse(select.select([self.discovery], [], [], 0)[0])
 
     def test_one_uid_may_come_back_at_another_address(self) -> None:
-        server = next(s for s in self.front._dispatcher.table.by_number.values() if s.uid == "s-0")
-        moved = self.table(0, rev=2, whole=False)
-        moved["targets"][0] |= {"endpoint": at(self.servers[2]), "boot_ms": int(time.time() * 1000)}
+        server = next(s for s in self.frontend._dispatcher.table.by_number.values() if s.uid == "s-0")
+        moved = self.server_list(0, rev=2, whole=False)
+        moved["targets"][0] |= {"endpoint": address_of(self.servers[2]), "boot_ms": int(time.time() * 1000)}
         self.watch.sock.sendall(STREAM)
-        self.watch.say(json.dumps(moved))
-        self.spin(lambda: server.endpoint == self.servers[2].getsockname())
-        worker = cast(Balancer, self.front._dispatcher._balancer)._workers[server.number]
+        self.watch.send_chunks(json.dumps(moved))
+        self.run_until(lambda: server.endpoint == self.servers[2].getsockname())
+        worker = cast(Balancer, self.frontend._dispatcher._balancer)._workers[server.number]
         self.assertLess(
             abs(worker.started_at - self.loop.now), 60_000_000
         )  # Unix time on the program's clock
--- a/tests/test_replacement.py
+++ b/tests/test_replacement.py
@@ -20,7 +20,16 @@
 
 from heronstall.ops.bans import KEPT, Bans, Word
 from heronstall.ops.handover import Folder, State, Wrong, pack, unpack
-from tests.test_net import PATIENCE, ROOT, SETTINGS, STREAM, Peer, at, listener, raw_config
+from tests.test_net import (
+    ROOT,
+    SETTINGS,
+    STREAM,
+    STUCK_TIMEOUT_S,
+    RawConnection,
+    address_of,
+    open_listener,
+    raw_config,
+)
 
 CROWD = 400  # connections: more than the way between two processes holds at a time
 
@@ -30,21 +39,21 @@
 
     def setUp(self) -> None:
         self.folder = Path(self.enterContext(tempfile.TemporaryDirectory()))
-        self.server, self.discovery = listener(), listener()
-        with listener() as free:
+        self.server, self.discovery = open_listener(), open_listener()
+        with open_listener() as free:
             self.address = free.getsockname()
-        self.ends: list[Peer] = []
-        self.clients: list[Peer] = []
+        self.ends: list[RawConnection] = []
+        self.clients: list[RawConnection] = []
         self.logs: dict[int, Path] = {}
 
     def start(self, **environ: str) -> tuple[Any, Any]:
         """A program and its door."""
-        with listener() as free:
+        with open_listener() as free:
             door = free.getsockname()
         targets = [
             {
                 "uid": "s-0",
-                "endpoint": at(self.server),
+                "endpoint": address_of(self.server),
                 "az": "a",
                 "model": "m",
                 "state": "SERVING",
@@ -55,7 +64,7 @@
         known = {"rev": 1, "all": True, "targets": targets}
         raw = raw_config(
             listen="{}:{}".format(*self.address),
-            discovery=at(self.discovery),
+            discovery=address_of(self.discovery),
             known=known,
             operator="127.0.0.1:1",
             settings={
@@ -84,17 +93,20 @@
         return program, door
 
     def spin(self, done: Callable[[], Any]) -> Any:
-        end = time.monotonic() + PATIENCE
+        end = time.monotonic() + STUCK_TIMEOUT_S
         while not (result := done()):
             if time.monotonic() > end:
-                told = [client.got for client in self.clients], [p.read_text() for p in self.logs.values()]
+                told = (
+                    [client.received for client in self.clients],
+                    [p.read_text() for p in self.logs.values()],
+                )
                 self.fail(f"the story got stuck: {told}")
             time.sleep(0.005)
         return result
 
     def call(self, door: tuple[str, int], line: str) -> str:
         try:
-            with socket.create_connection(door, PATIENCE) as caller:
+            with socket.create_connection(door, STUCK_TIMEOUT_S) as caller:
                 caller.sendall(line.encode() + b"\n")
                 return caller.makefile().read()
         except OSError:
@@ -105,51 +117,51 @@
         assert found is not None
         return int(found[1])
 
-    def client(self) -> Peer:
-        self.clients.append(Peer(socket.create_connection(self.address)))
+    def client(self) -> RawConnection:
+        self.clients.append(RawConnection(socket.create_connection(self.address)))
         return self.clients[-1]
 
-    def ask(self, client: Peer, name: str) -> None:
-        client.got = b""
+    def ask(self, client: RawConnection, name: str) -> None:
+        client.received = b""
         client.sock.sendall(
             b"POST /api HTTP/1.1\r\nHost: o\r\nReq-Id: %s\r\nReq-Kind: unsafe\r\nReq-Owner: acme\r\n"
             b"Req-Deadline: 9.0\r\nContent-Length: 3\r\n\r\npay" % name.encode()
         )
 
-    def dispatched(self, name: str) -> Peer:
+    def dispatched(self, name: str) -> RawConnection:
         """The backend server's end of the dispatch of a job."""
 
-        def job() -> Peer | None:
+        def job() -> RawConnection | None:
             while select.select([self.server], [], [], 0)[0]:
-                self.ends.append(Peer(self.server.accept()[0]))
+                self.ends.append(RawConnection(self.server.accept()[0]))
             for end in self.ends:
                 if end.read().startswith(b"GET "):
-                    end.got = b""
+                    end.received = b""
                     with contextlib.suppress(OSError):
                         end.sock.sendall(b'HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\n{"x0":4}')
-                elif end.got.endswith(b"pay") and name.encode() in end.got:
-                    end.got = b""
+                elif end.received.endswith(b"pay") and name.encode() in end.received:
+                    end.received = b""
                     return end
             return None
 
         found = self.spin(job)
-        assert isinstance(found, Peer)
+        assert isinstance(found, RawConnection)
         return found
 
-    def serve(self, client: Peer, name: str, end: Peer) -> None:
+    def serve(self, client: RawConnection, name: str, end: RawConnection) -> None:
         end.sock.sendall(STREAM)
-        end.say(f'{{"id":"{name}","state":"done","result":"of {name}"}}')
+        end.send_chunks(f'{{"id":"{name}","state":"done","result":"of {name}"}}')
         end.sock.sendall(b"0\r\n\r\n")
         self.spin(lambda: client.read().endswith(f"of {name}".encode()))
-        self.assertIn(b" 200 ", client.got)
-        self.assertNotIn(b"connection: close", client.got.lower())
+        self.assertIn(b" 200 ", client.received)
+        self.assertNotIn(b"connection: close", client.received.lower())
 
-    def whole(self, client: Peer, name: str) -> None:
+    def whole(self, client: RawConnection, name: str) -> None:
         """A job, there and back."""
         self.ask(client, name)
         self.serve(client, name, self.dispatched(name))
 
-    def two_clients(self) -> tuple[Peer, Peer, Peer]:
+    def two_clients(self) -> tuple[RawConnection, RawConnection, RawConnection]:
         """One that idles, one whose job id-2 is under way, and that job's end at the server."""
         idle, busy = self.client(), self.client()
         self.whole(idle, "id-1")
@@ -170,7 +182,7 @@
         self.whole(self.client(), "id-4")
         self.assertIsNone(first.poll())
         self.serve(busy, "id-2", end)  # by the first, which took it
-        self.assertEqual(first.wait(PATIENCE), 0)
+        self.assertEqual(first.wait(STUCK_TIMEOUT_S), 0)
         self.whole(busy, "id-5")
         self.assertEqual(self.figure(later, "succeeded.unsafe"), 3)
         self.ask(idle, "id-1")  # had by the first
@@ -182,7 +194,7 @@
         self.whole(crowd[0], "id-1")
         _, later = self.start()
         first.send_signal(signal.SIGTERM)
-        self.assertEqual(first.wait(PATIENCE), 0)
+        self.assertEqual(first.wait(STUCK_TIMEOUT_S), 0)
         self.assertFalse(any(self.gone(client) for client in crowd[::30]))
         self.whole(crowd[0], "id-2")
         log = next(path for pid, path in self.logs.items() if pid != first.pid)
@@ -196,18 +208,18 @@
         first.send_signal(signal.SIGTERM)
         third, _ = self.start()
         second.send_signal(signal.SIGTERM)
-        self.assertEqual(second.wait(PATIENCE), 0)
+        self.assertEqual(second.wait(STUCK_TIMEOUT_S), 0)
         self.whole(idle, "id-3")
         self.whole(self.client(), "id-4")
         # The first has outlived its heir: what it took it answers itself, and its client comes again.
         end.sock.sendall(STREAM)
-        end.say('{"id":"id-2","state":"done","result":"of id-2"}')
+        end.send_chunks('{"id":"id-2","state":"done","result":"of id-2"}')
         end.sock.sendall(b"0\r\n\r\n")
         self.spin(lambda: busy.read().endswith(b"of id-2"))
-        self.assertEqual(first.wait(PATIENCE), 0)
+        self.assertEqual(first.wait(STUCK_TIMEOUT_S), 0)
         self.start()  # by the third, though the first has lost its heir since
         third.send_signal(signal.SIGTERM)
-        self.assertEqual(third.wait(PATIENCE), 0)
+        self.assertEqual(third.wait(STUCK_TIMEOUT_S), 0)
         self.whole(idle, "id-5")
 
     def test_a_drain_comes_along_and_is_taken_back_at_either_door(self) -> None:
@@ -220,7 +232,7 @@
         self.assertEqual(self.call(door, "LAMEDUCK"), "YES draining\n")
         self.spin(lambda: self.call(later, "PING") == "YES drained\n")
         first.send_signal(signal.SIGTERM)  # whoever comes after both learns it from the second
-        self.assertEqual(first.wait(PATIENCE), 0)
+        self.assertEqual(first.wait(STUCK_TIMEOUT_S), 0)
         _, last = self.start()
         self.assertEqual(self.call(last, "PING"), "YES drained\n")
 
@@ -257,7 +269,7 @@
         _, last = self.start()  # alone, and a ban holds until it is called back
         self.assertEqual(self.figure(last, "ejected"), 1)
 
-    def gone(self, peer: Peer) -> bool:
+    def gone(self, peer: RawConnection) -> bool:
         time.sleep(0.05)
         peer.read()
         return peer.closed
