--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -1,4 +1,4 @@
-"""What is still owed when something ends: each bad order is forced, on real connections."""
+"""Tests of connections, clients and processes that end at a bad moment, forced on real connections."""
 
 from __future__ import annotations
 
@@ -23,41 +23,43 @@
 
 
 def answer(name: str) -> bytes:
-    """A whole answer to a job."""
+    """Returns a complete response to a job."""
     line = (DONE % (name, name)).encode() + b"\n"
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(line), line)
 
 
-class HeldConnects:
-    """Holds connects to backend servers back until they are let go."""
+class DelayedConnects:
+    """Delays connects to backend servers until they are released."""
 
     def __init__(self) -> None:
-        self.held = 0
-        self.free = False
-
-    def connect(self, loop: Loop, to: Address, until: int, host: str = "") -> Coroutine[Connection]:
-        """In the place of `heronstall.net.backend.connect`."""
-        self.held += 1
-        while not self.free:
+        self.count = 0
+        self.released = False
+
+    def connect(
+        self, loop: Loop, address: Address, until: int, source_host: str = ""
+    ) -> Coroutine[Connection]:
+        """Replaces `heronstall.net.backend.connect`."""
+        self.count += 1
+        while not self.released:
             yield -1, 0, loop.now + 1_000
-        return (yield from connection.connect(loop, to, until + 1_000_000, host))
+        return (yield from connection.connect(loop, address, until + 1_000_000, source_host))
 
 
-class Endings(DispatcherTestCase):
+class EndingsTestCase(DispatcherTestCase):
     def open_idle_connections(self, count: int = 2) -> None:
-        """Have one connection idle to each of so many servers."""
-        held: dict[Any, RawConnection] = {}
+        """Opens an idle connection to each of `count` servers."""
+        by_server: dict[Any, RawConnection] = {}
         clients: list[tuple[RawConnection, str]] = []
-        while len(held) < count:
+        while len(by_server) < count:
             name = f"warm-{len(clients)}"
             client = self.send_request(name=name)
             clients.append((client, name))
             end = self.next_dispatch()
-            held.setdefault(end.sock.getsockname(), end)
+            by_server.setdefault(end.sock.getsockname(), end)
             end.sock.sendall(STREAM)
             end.name = name  # type: ignore[attr-defined]
             if len(clients) > 20:
-                self.fail("the draw never took another server")
+                self.fail("the worker selection never chose another server")
         for end in self.server_ends:
             name = getattr(end, "name", "")
             if name:
@@ -69,7 +71,7 @@
         self.run_for(0.01)
 
     def count_requests(self) -> int:
-        """Jobs that have been written to servers and not looked at yet."""
+        """Counts the jobs that have been written to servers and not taken by `next_dispatch`."""
         for sock in self.servers:
             with contextlib.suppress(BlockingIOError):
                 while True:
@@ -77,70 +79,69 @@
         return sum(end.read().count(b"POST ") for end in self.server_ends if end.sock.fileno() >= 0)
 
 
-class GoneClients(Endings):
-    def test_no_attempt_begins_for_a_client_that_has_closed_before_it_is_read(self) -> None:
+class LeavingClients(EndingsTestCase):
+    def test_starts_no_attempt_for_a_client_that_closes_before_it_is_accepted(self) -> None:
         self.open_idle_connections()
         client = self.connect()
         self.send_request(peer=client)
-        client.sock.close()  # request and close lie in the kernel before the node takes the connection
+        client.sock.close()  # request and close are in the kernel before the connection is accepted
         self.run_for(0.1)
         self.assertEqual(self.count_requests(), 0)
 
-    def test_no_attempt_begins_for_a_client_that_leaves_while_its_connection_is_made(self) -> None:
-        held = HeldConnects()
-        with mock.patch.object(backend, "connect", held.connect):
+    def test_starts_no_attempt_for_a_client_that_leaves_during_the_connect(self) -> None:
+        delayed = DelayedConnects()
+        with mock.patch.object(backend, "connect", delayed.connect):
             client = self.send_request()
-            self.run_until(lambda: held.held)
-            # The end of the connect and the client's close are told in one batch, that of the close last.
+            self.run_until(lambda: delayed.count)
+            # The loop receives the end of the connect and the client's close in one batch, the close last.
             with mock.patch.object(self.frontend._dispatcher, "client_gone", lambda session: None):
                 client.sock.close()
-                held.free = True
+                delayed.released = True
                 self.run_for(0.1)
         self.assertEqual(self.count_requests(), 0)
 
 
-class Uncancelled(Endings):
+class WithoutCancelling(EndingsTestCase):
     settings = {**SETTINGS, "policyLimits": {**SETTINGS["policyLimits"], "cancelling": False}}
 
-    def test_where_nothing_may_be_cancelled_no_attempt_begins_for_a_client_that_has_left(self) -> None:
-        held = HeldConnects()
-        with mock.patch.object(backend, "connect", held.connect):
+    def test_starts_no_attempt_for_a_client_that_has_left(self) -> None:
+        delayed = DelayedConnects()
+        with mock.patch.object(backend, "connect", delayed.connect):
             client = self.send_request()
-            self.run_until(lambda: held.held)
+            self.run_until(lambda: delayed.count)
             client.sock.close()
             self.run_for(0.05)
-            held.free = True
+            delayed.released = True
             self.run_for(0.1)
         self.assertEqual(self.count_requests(), 0)
 
 
-class ShortWindow(Endings):
+class ShortWindow(EndingsTestCase):
     settings = {
         **SETTINGS,
         "policyLimits": {**SETTINGS["policyLimits"], "connectTimeout": 3_000_000},
         "services": [SETTINGS["services"][0], {**SETTINGS["services"][1], "repeatWindow": 600_000}],
     }
 
-    def test_a_keyed_job_is_not_written_again_after_its_window_though_it_was_decided_on_before(self) -> None:
-        began = time.monotonic()
+    def test_writes_no_second_attempt_after_the_window_even_if_decided_before(self) -> None:
+        started_at = time.monotonic()
         client = self.send_request("keyed")
         first = self.next_dispatch()
-        self.run_for(0.05)  # what else was asked of the servers is over
+        self.run_for(0.05)  # the probes are answered
         self.program._pool.close_idle()  # the next attempt needs a new connection
-        held = HeldConnects()
-        with mock.patch.object(backend, "connect", held.connect):
+        delayed = DelayedConnects()
+        with mock.patch.object(backend, "connect", delayed.connect):
             first.sock.sendall(b"HTTP/1.1 500 broken\r\nContent-Length: 0\r\n\r\n")
-            self.run_until(lambda: held.held)  # another server is decided on, within the window
-            self.assertLess(time.monotonic() - began, 0.5)
-            self.run_for(began + 0.65 - time.monotonic())
-            held.free = True
-            self.assertEqual(
-                self.response_status(client), 503
-            )  # of group `all`: to hand it in anew is harmless
+            self.run_until(lambda: delayed.count)  # another server is chosen, within the window
+            self.assertLess(time.monotonic() - started_at, 0.5)
+            self.run_for(started_at + 0.65 - time.monotonic())
+            delayed.released = True
+            # Of group `all`: the client may send it again.
+            self.assertEqual(self.response_status(client), 503)
         self.run_for(0.05)
         self.assertEqual(self.count_requests(), 0)
 
-    def test_a_keyed_job_goes_again_within_its_window(self) -> None:
+    def test_repeats_a_keyed_job_within_its_window(self) -> None:
         client = self.send_request("keyed")
         self.next_dispatch().sock.sendall(b"HTTP/1.1 500 broken\r\nContent-Length: 0\r\n\r\n")
         second = self.next_dispatch()
@@ -148,23 +149,23 @@
         self.assertEqual(self.response_status(client), 200)
 
 
-class SecondCopies(Endings):
+class ConcurrentAttempts(EndingsTestCase):
     settings = {**SETTINGS, "familyInfo": {**SETTINGS["familyInfo"], "tellsStart": False}}
 
-    def test_an_attempt_is_told_off_before_the_next_one_is_written_within_one_batch(self) -> None:
+    def test_ends_an_attempt_before_the_next_one_is_written_in_the_same_turn(self) -> None:
         self.open_idle_connections()
-        with mock.patch.object(self.loop, "_close_pending", lambda: None):  # the batch never comes to its end
+        with mock.patch.object(self.loop, "_close_pending", lambda: None):  # the turn never ends
             self.send_request("keyed", wait="0.8")
             first = self.next_dispatch()
-            second = self.next_dispatch()  # after the first one's time-out
+            second = self.next_dispatch()  # after the timeout of the first one
             self.assertIsNot(first, second)
             self.assertTrue(self.is_closed(first))
 
 
-class StaleAnswers(Endings):
-    def test_an_answer_behind_the_answer_is_not_read_as_the_next_requests(self) -> None:
+class StaleAnswers(EndingsTestCase):
+    def test_a_second_response_is_not_read_as_that_of_the_next_request(self) -> None:
         self.watch.sock.sendall(STREAM)
-        self.watch.send_chunks(json.dumps(self.server_list(0, rev=5)))  # no other server to draw
+        self.watch.send_chunks(json.dumps(self.server_list(0, rev=5)))  # no other server to select
         self.run_until(lambda: self.program.table.rev == 5)
         first = self.send_request(name="id-1")
         end = self.next_dispatch()
@@ -179,23 +180,23 @@
         other.sock.sendall(answer("id-2"))
         self.assertEqual(self.response_status(second), 200)
 
-    def test_a_second_answer_some_milliseconds_late_is_not_read_as_the_next_requests(self) -> None:
+    def test_a_late_second_response_is_not_read_as_that_of_the_next_request(self) -> None:
         first = self.send_request(name="id-1")
         end = self.next_dispatch()
         end.sock.sendall(b"HTTP/1.1 503 full\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n")
         other = self.next_dispatch()
         other.sock.sendall(answer("id-1"))
         self.assertEqual(self.response_status(first), 200)
-        # Whatever goes out before the late answer comes must not be on that connection.
-        asked = [self.send_request(name=f"id-{n}") for n in range(2, 6)]
-        for _ in asked:
-            written = self.next_dispatch()
-            self.assertIsNot(written, end)
+        # No request that is sent before the late response arrives may be on that connection.
+        clients = [self.send_request(name=f"id-{n}") for n in range(2, 6)]
+        for _ in clients:
+            dispatch = self.next_dispatch()
+            self.assertIsNot(dispatch, end)
         end.sock.sendall(b"HTTP/1.1 503 full\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n")
 
 
-class Spoilt(Endings):
-    def test_absurd_lines_spoil_their_own_job_at_the_most(self) -> None:
+class MalformedLines(EndingsTestCase):
+    def test_malformed_lines_affect_at_most_their_own_job(self) -> None:
         client = self.send_request(name="id-1")
         end = self.next_dispatch()
         end.sock.sendall(STREAM)
@@ -213,48 +214,51 @@
                 self.assertEqual([call.args[1].name for call in logged.call_args_list], ["backend.malformed"])
 
 
-class NoDescriptors(Endings):
-    def run_out(self, failures: int) -> contextlib.AbstractContextManager[object]:
-        """Fail the node's next calls for a socket of its own."""
-        left = [None] * failures
+class NoDescriptors(EndingsTestCase):
+    def fail_sockets(self, failures: int) -> contextlib.AbstractContextManager[object]:
+        """Makes the dispatcher's next calls for a client socket fail."""
+        remaining = [None] * failures
 
-        def make(*args: Any, **options: Any) -> socket.socket:
-            if left:
-                left.pop()
+        def make_socket(*args: Any, **options: Any) -> socket.socket:
+            if remaining:
+                remaining.pop()
                 raise OSError(errno.EMFILE, "too many open files")
             return socket.socket(*args, **options)
 
-        return mock.patch.object(connection, "socket", SimpleNamespace(**{**vars(socket), "socket": make}))
+        return mock.patch.object(
+            connection, "socket", SimpleNamespace(**{**vars(socket), "socket": make_socket})
+        )
 
-    def test_an_attempt_for_which_no_socket_can_be_had_has_not_run_and_goes_again(self) -> None:
-        with self.run_out(1):
+    def test_repeats_an_attempt_that_got_no_socket(self) -> None:
+        with self.fail_sockets(1):
             client = self.send_request()
             self.next_dispatch().sock.sendall(answer("id-1"))
             self.assertEqual(self.response_status(client), 200)
 
-    def test_the_watch_survives_a_call_for_which_no_socket_can_be_had(self) -> None:
+    def test_watch_survives_a_call_that_got_no_socket(self) -> None:
         self.watch.sock.sendall(STREAM)
         self.watch.send_chunks(json.dumps(self.server_list(0, 1, rev=5)))
         table = self.program.table
         self.run_until(lambda: table.rev == 5)
-        with self.run_out(3):
+        with self.fail_sockets(3):
             self.watch.sock.close()
             again = self.accept(self.discovery)
-        self.run_until(lambda: b"after=5 " in again.read())  # nothing that it was told is forgotten
+        self.run_until(lambda: b"after=5 " in again.read())  # the watch continues at its revision
 
 
-class OnTheWayOut(Endings):
-    def leave(self) -> None:
+class Shutdown(EndingsTestCase):
+    def begin_shutdown(self) -> None:
+        """Starts the shutdown, as a signal does."""
         self.program.shutdown.stop()
 
-    def test_a_request_that_is_half_read_when_clients_are_closed_is_answered(self) -> None:
+    def test_answers_a_request_that_is_incomplete_when_clients_are_closed(self) -> None:
         client = self.connect()
         self.clients.append(client)
         text = (
             b"POST /api HTTP/1.1\r\nHost: o\r\nReq-Id: id-1\r\nReq-Kind: unsafe\r\nReq-Deadline: 9.0\r\n"
             b"Content-Length: 3\r\n\r\npay"
         )
-        self.leave()
+        self.begin_shutdown()
         self.run_for(0.6)
         client.sock.sendall(text[:50])
         self.run_until(lambda: self.program.shutdown.closing_connections)
@@ -265,38 +269,38 @@
         self.assertEqual(self.response_status(client), 200)
         self.assertIn(b"Connection: close", client.received)
 
-    def test_a_connection_that_comes_to_rest_after_the_close_does_not_hold_the_exit(self) -> None:
+    def test_connection_that_becomes_idle_while_closing_does_not_delay_the_exit(self) -> None:
         client = self.send_request()
         end = self.next_dispatch()
-        self.frontend._closing = True  # this connection was not at rest when the others were closed
+        self.frontend._closing = True  # this connection was not idle when the others were closed
         end.sock.sendall(answer("id-1"))
         self.assertEqual(self.response_status(client), 200)
         self.assertNotIn(b"Connection: close", client.received)
-        began = time.monotonic()
+        started_at = time.monotonic()
         self.run_until(lambda: self.is_closed(client))
-        self.assertLess(time.monotonic() - began, 4)
+        self.assertLess(time.monotonic() - started_at, 4)
 
-    def test_a_request_that_crosses_the_close_of_a_resting_connection_meets_no_reset(self) -> None:
+    def test_request_that_crosses_the_close_of_an_idle_connection_gets_no_reset(self) -> None:
         client = self.connect()
         self.run_until(lambda: self.frontend._unproven)
         is_quiet = Connection.is_quiet
 
-        def crossed(resting: Connection) -> bool:
-            free = is_quiet(resting)
+        def check_then_receive(connection: Connection) -> bool:
+            quiet = is_quiet(connection)
             with contextlib.suppress(OSError):
-                client.sock.send(b"POST /api HTTP/1.1\r\n")  # after the look, before the close
-            return free
+                client.sock.send(b"POST /api HTTP/1.1\r\n")  # after the check, before the close
+            return quiet
 
-        with mock.patch.object(Connection, "is_quiet", crossed):
+        with mock.patch.object(Connection, "is_quiet", check_then_receive):
             self.frontend._begin_closing()
         self.run_for(0.05)
         self.assertEqual(client.sock.recv(10), b"")  # not a reset
 
-    def test_an_idle_connection_whose_time_is_over_is_closed_without_a_reset(self) -> None:
+    def test_timed_out_idle_connection_is_closed_without_a_reset(self) -> None:
         with mock.patch("heronstall.net.frontend.REQUEST_TIMEOUT_US", 50_000):
             client = self.connect()
             self.run_until(lambda: self.frontend._unproven)
-            time.sleep(0.1)  # its time is over before its bytes are looked at
+            time.sleep(0.1)  # the timeout passes before the data is read
             client.sock.send(b"POST /api HTTP/1.1\r\n")
             # The loop sees the event of these bytes one turn after the timeout.
             waiting, self.loop._waiting_tasks = self.loop._waiting_tasks, {}
@@ -305,14 +309,14 @@
             self.run_for(0.05)
         self.assertIn(client.sock.recv(10), (b"", b"HTTP/1.1 4"))
 
-    def test_requests_sent_behind_another_one_are_answered_before_the_connection_is_closed(self) -> None:
+    def test_answers_pipelined_requests_before_closing_their_connection(self) -> None:
         client = self.connect()
         self.clients.append(client)
         head = b"POST /api HTTP/1.1\r\nHost: o\r\nReq-Id: id-%d\r\nReq-Kind: unsafe\r\nReq-Deadline: 9.0\r\n"
-        one = head + b"Content-Length: 3\r\n\r\npay"
-        client.sock.sendall(b"".join(one % n for n in range(3)))
+        request = head + b"Content-Length: 3\r\n\r\npay"
+        client.sock.sendall(b"".join(request % n for n in range(3)))
         first = self.next_dispatch()
-        self.leave()
+        self.begin_shutdown()
         self.run_until(lambda: self.program.shutdown.closing_connections)
         for n in range(3):
             end = first if n == 0 else self.next_dispatch()
@@ -321,59 +325,59 @@
         self.assertEqual(client.received.count(b"HTTP/1.1 200 "), 3)
         self.assertEqual(client.received.count(b"Connection: close"), 1)
 
-    def test_a_connection_given_up_for_room_keeps_its_last_answer(self) -> None:
+    def test_connection_closed_to_make_room_still_delivers_its_last_answer(self) -> None:
         client = self.connect()
         client.sock.sendall(b"nonsense\r\n\r\n")
         self.run_until(lambda: self.frontend._lingering)
-        client.sock.sendall(b"more nonsense that nobody has read")
+        client.sock.sendall(b"more nonsense that is not read")
         self.assertTrue(self.frontend._make_room())
         self.run_for(0.02)
-        got = b""
-        while more := client.sock.recv(4096):  # a reset would raise
-            got += more
-        self.assertTrue(got.startswith(b"HTTP/1.1 400 "))
-        self.assertEqual(client.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR), 0)  # no reset came
-
-
-class Signals(Endings):
-    def send(self, waker: socket.socket, number: int) -> None:
-        waker.send(bytes([number]))
-
-    def test_a_reload_that_fails_unexpectedly_leaves_later_signals_their_effect(self) -> None:
-        ours, theirs = socket.socketpair()
-        ours.setblocking(False)
-        self.loop.spawn(self.program.signals(ours), "signals")
-        with mock.patch("heronstall.__main__.reload", side_effect=RuntimeError("absurd file")):
-            self.send(theirs, signal.SIGHUP)
+        received = b""
+        while data := client.sock.recv(4096):  # a reset would raise
+            received += data
+        self.assertTrue(received.startswith(b"HTTP/1.1 400 "))
+        self.assertEqual(client.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR), 0)  # no reset arrived
+
+
+class Signals(EndingsTestCase):
+    def send(self, sender: socket.socket, number: int) -> None:
+        sender.send(bytes([number]))
+
+    def test_signals_work_after_a_reload_that_fails_unexpectedly(self) -> None:
+        wakeup, sender = socket.socketpair()
+        wakeup.setblocking(False)
+        self.loop.spawn(self.program.signals(wakeup), "signals")
+        with mock.patch("heronstall.__main__.reload", side_effect=RuntimeError("unexpected")):
+            self.send(sender, signal.SIGHUP)
             self.run_for(0.02)
-        self.send(theirs, signal.SIGTERM)
+        self.send(sender, signal.SIGTERM)
         self.run_until(lambda: self.program.shutdown.unavailable)
-        theirs.close()
-        ours.close()
+        sender.close()
+        wakeup.close()
 
 
-class LoopErrors(Endings):
-    def test_a_wait_that_cannot_be_armed_ends_its_coroutine_alone(self) -> None:
+class LoopErrors(EndingsTestCase):
+    def test_wait_that_epoll_rejects_ends_only_its_coroutine(self) -> None:
         closed: list[str] = []
-        self.server_ends += [
-            self.accept(*self.servers) for _ in range(2)
-        ]  # probes' ends, or they take the numbers
-        lower = os.dup(0)  # its number goes to the client, so that the node's end gets one that `wait` had
+        # Ends of probes, which would take the descriptors otherwise.
+        self.server_ends += [self.accept(*self.servers) for _ in range(2)]
+        # Freed for the client, so that the dispatcher's end gets a descriptor that `wait` had.
+        lower = os.dup(0)
 
         def wait() -> Coroutine[None]:
             ours, theirs = socket.socketpair()
             theirs.send(b"x")
             try:
-                yield ours.fileno(), READ, None  # resumed by an event, not by a call of the loop
+                yield ours.fileno(), READ, None  # resumed by an event, not by a callback
                 number = os.dup(0)
                 os.close(number)
                 yield number, READ, None
             finally:
                 closed.append("ended")
-                self.loop.close(ours)  # what waited is closed through the loop, or its number stays "known"
+                self.loop.close(ours)  # through the loop, which must forget the registered descriptor
                 theirs.close()
 
-        self.loop.spawn(wait(), "a wait for a descriptor that is closed")
+        self.loop.spawn(wait(), "a wait for a closed descriptor")
         self.run_for(0.02)
         self.assertEqual(closed, ["ended"])
         os.close(lower)
@@ -381,97 +385,101 @@
         self.next_dispatch()
 
 
-class Lists(Endings):
-    def served(self) -> set[str]:
+class ServerLists(EndingsTestCase):
+    def serving(self) -> set[str]:
+        """Returns the ids of the servers that may get requests."""
         table = self.program.table
         return {server.uid for server in table.by_number.values() if server.off_since is None}
 
-    def test_an_indented_list_is_read_and_one_that_is_cut_is_asked_for_again(self) -> None:
+    def test_reads_an_indented_list_and_requests_an_incomplete_one_again(self) -> None:
         self.watch.sock.sendall(STREAM)
         self.watch.send_chunks(json.dumps(self.server_list(2, rev=5), indent=2))
-        self.run_until(lambda: self.served() == {"s-2"})
+        self.run_until(lambda: self.serving() == {"s-2"})
         text = json.dumps(self.server_list(0, 2, rev=6), indent=2)
-        self.watch.send_chunks(text[:60])  # and then only heartbeats
+        self.watch.send_chunks(text[:60])  # followed only by heartbeats
         self.watch.send_chunks("")
         again = self.accept(self.discovery)
-        self.run_until(lambda: b"watch=1 " in again.read())  # the whole list
+        self.run_until(lambda: b"watch=1 " in again.read())  # the complete list
         again.sock.sendall(STREAM)
         for line in text.splitlines():
             again.send_chunks(line)
-        self.run_until(lambda: self.served() == {"s-0", "s-2"})
+        self.run_until(lambda: self.serving() == {"s-0", "s-2"})
 
-    def test_a_cut_list_on_a_watch_that_falls_silent_is_asked_for_again(self) -> None:
+    def test_requests_the_list_again_if_a_watch_falls_silent_inside_it(self) -> None:
         self.watch.sock.sendall(STREAM)
         with mock.patch.object(server_table, "WATCH_TIMEOUT_US", 100_000):
             self.watch.send_chunks('{"rev": 7, "all": true, "targets": [')
             again = self.accept(self.discovery)
             self.run_until(lambda: b"watch=1 " in again.read())
-        self.assertEqual(self.served(), {"s-0", "s-1"})
+        self.assertEqual(self.serving(), {"s-0", "s-1"})
 
-    def test_an_older_list_brings_no_server_back_that_was_told_off(self) -> None:
+    def test_an_older_list_does_not_reactivate_a_server(self) -> None:
         self.watch.sock.sendall(STREAM)
         self.watch.send_chunks(json.dumps(self.server_list(0, 1, 2, rev=8)))
-        self.watch.send_chunks(json.dumps(self.server_list(0, rev=9, whole=False, state="DRAINING")))
-        self.run_until(lambda: self.served() == {"s-1", "s-2"})
+        self.watch.send_chunks(json.dumps(self.server_list(0, rev=9, complete=False, state="DRAINING")))
+        self.run_until(lambda: self.serving() == {"s-1", "s-2"})
         self.watch.sock.close()
         again = self.accept(self.discovery)
         again.sock.sendall(STREAM)
-        again.send_chunks(json.dumps(self.server_list(0, 1, 2, rev=8)))  # from a place that lags behind
+        # From an instance of discovery that lags behind.
+        again.send_chunks(json.dumps(self.server_list(0, 1, 2, rev=8)))
         self.run_for(0.05)
-        self.assertEqual(self.served(), {"s-1", "s-2"})
-        again.send_chunks(json.dumps(self.server_list(0, rev=10, whole=False)))  # the drain is taken back
-        self.run_until(lambda: self.served() == {"s-0", "s-1", "s-2"})
+        self.assertEqual(self.serving(), {"s-1", "s-2"})
+        again.send_chunks(json.dumps(self.server_list(0, rev=10, complete=False)))  # the drain has ended
+        self.run_until(lambda: self.serving() == {"s-0", "s-1", "s-2"})
 
-    def test_a_server_that_has_started_anew_is_back_whatever_the_revision(self) -> None:
+    def test_a_restarted_server_is_active_whatever_the_revision(self) -> None:
         self.watch.sock.sendall(STREAM)
-        self.watch.send_chunks(json.dumps(self.server_list(0, rev=9, whole=False, state="DRAINING")))
-        self.run_until(lambda: self.served() == {"s-1"})
-        back = self.server_list(0, rev=3, whole=False)
-        back["targets"][0]["boot_ms"] = 5
-        self.watch.send_chunks(json.dumps(back))
-        self.run_until(lambda: self.served() == {"s-0", "s-1"})
+        self.watch.send_chunks(json.dumps(self.server_list(0, rev=9, complete=False, state="DRAINING")))
+        self.run_until(lambda: self.serving() == {"s-1"})
+        restarted = self.server_list(0, rev=3, complete=False)
+        restarted["targets"][0]["boot_ms"] = 5
+        self.watch.send_chunks(json.dumps(restarted))
+        self.run_until(lambda: self.serving() == {"s-0", "s-1"})
 
 
-class Waiting(Endings):
-    def test_a_job_that_waited_when_its_client_left_is_never_sent(self) -> None:
+class WaitingRequests(EndingsTestCase):
+    def test_never_sends_a_waiting_job_whose_client_has_left(self) -> None:
         self.watch.sock.sendall(STREAM)
         self.watch.send_chunks(json.dumps(self.server_list(0, 1, rev=5, state="DRAINING")))
         self.run_until(lambda: self.program.table.rev == 5)
         client = self.send_request()
         self.run_for(0.05)
-        self.assertEqual(client.read(), b"")  # it waits
+        self.assertEqual(client.read(), b"")  # the request waits
         client.sock.close()
         self.run_for(0.02)
         self.watch.send_chunks(json.dumps(self.server_list(0, 1, rev=6)))
         self.run_for(0.4)
         self.assertEqual(self.count_requests(), 0)
 
-    def test_a_further_attempt_tells_its_server_no_more_than_is_left_to_the_client(self) -> None:
+    def test_a_further_attempt_gets_the_time_that_is_left_to_the_client(self) -> None:
         client = self.send_request("keyed", wait="3.0")
         first = self.next_dispatch()
         self.run_for(0.5)
         first.sock.sendall(b"HTTP/1.1 500 broken\r\nContent-Length: 0\r\n\r\n")
         second = self.next_dispatch()
-        told = [float(end.request.split(b"Req-Deadline: ")[1].split(b"\r\n")[0]) for end in (first, second)]
-        self.assertLessEqual(told[0], 3.0)
-        self.assertLessEqual(told[1], 2.5)
+        deadlines = [
+            float(end.request.split(b"Req-Deadline: ")[1].split(b"\r\n")[0]) for end in (first, second)
+        ]
+        self.assertLessEqual(deadlines[0], 3.0)
+        self.assertLessEqual(deadlines[1], 2.5)
         second.sock.sendall(answer("id-1"))
         self.assertEqual(self.response_status(client), 200)
 
 
-class Crowded(Endings):
-    sockets = 64  # 12 on either side
+class FullDescriptors(EndingsTestCase):
+    sockets = 64  # 12 on each side
 
-    def test_idle_clients_fill_the_descriptors_while_discovery_is_down_and_service_resumes(self) -> None:
+    def test_serves_while_idle_clients_fill_the_descriptors_and_discovery_is_down(self) -> None:
         self.watch.sock.sendall(STREAM)
         self.watch.send_chunks(json.dumps(self.server_list(0, rev=5)))
         self.run_until(lambda: self.program.table.rev == 5)
         host, port = self.discovery.getsockname()
         self.discovery.close()
         self.watch.sock.close()
-        crowd = [self.connect() for _ in range(100)]
+        idle_clients = [self.connect() for _ in range(100)]
         self.run_for(0.5)
-        client = self.send_request()  # among the crowd, with the list that is held
+        client = self.send_request()  # among the idle clients, with the current list
         self.next_dispatch().sock.sendall(answer("id-1"))
         self.assertEqual(self.response_status(client), 200)
         self.discovery = socket.create_server((host, port))
@@ -486,5 +494,5 @@
         self.assertEqual(end.sock.getsockname(), self.servers[1].getsockname())
         end.sock.sendall(answer("id-2"))
         self.assertEqual(self.response_status(client), 200)
-        for peer in crowd:
+        for peer in idle_clients:
             peer.sock.close()
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -1,6 +1,6 @@
-"""Stories over loopback sockets: the real dispatcher between scripted clients, backend servers and discovery.
+"""Tests of the dispatcher over loopback sockets, with scripted clients, backend servers and discovery.
 
-The node runs in this process, one turn of its loop at a time, so every peer is a plain socket of the test.
+The dispatcher runs in this process, one turn of its event loop at a time; its counterparts are plain sockets.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 from tests.test_wire import CONFIG
 
 ROOT = Path(__file__).resolve().parent.parent
-STUCK_TIMEOUT_S = 20.0  # seconds of real time before a story counts as stuck; none is meant to need them
+STUCK_TIMEOUT_S = 20.0  # real seconds before a test counts as stuck; no test needs them
 SETTINGS: dict[str, Any] = {
     **CONFIG,
     "areas": ["a", "b"],
@@ -65,20 +65,20 @@
 
 
 def open_listener() -> socket.socket:
-    """A listening socket on a free loopback port."""
+    """Returns a listening socket on a free loopback port."""
     sock = socket.create_server(("127.0.0.1", 0))
     sock.settimeout(0)
     return sock
 
 
 def address_of(sock: socket.socket) -> str:
-    """host:port of a socket."""
+    """Returns host:port of a socket."""
     host, port = sock.getsockname()
     return f"{host}:{port}"
 
 
 def raw_config(**changes: Any) -> dict[str, Any]:
-    """All that a node is told, to be completed with addresses."""
+    """Returns a dispatcher's configuration, to be completed with addresses."""
     base = {
         "name": "n",
         "listen": "127.0.0.1:0",
@@ -90,19 +90,19 @@
 
 
 class RawConnection:
-    """One end of a connection, read without blocking into `got`."""
+    """One end of a connection, read without blocking into `received`."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock, self.received, self.request, self.closed = sock, b"", b"", False
         sock.settimeout(0)
 
     def read(self) -> bytes:
-        """All that came so far."""
+        """Reads what is available and returns everything received so far."""
         try:
             while not self.closed:
-                more = self.sock.recv(65536)
-                self.received += more
-                self.closed = not more
+                data = self.sock.recv(65536)
+                self.received += data
+                self.closed = not data
         except BlockingIOError:
             pass
         except OSError:
@@ -110,7 +110,7 @@
         return self.received
 
     def send_chunks(self, *lines: str) -> None:
-        """Chunks of a streamed answer, one a line."""
+        """Sends chunks of a streamed response, one for each line."""
         self.sock.sendall(b"".join(b"%x\r\n%s\n\r\n" % (len(x) + 1, x.encode()) for x in lines))
 
 
@@ -123,19 +123,19 @@
         self._relays: list[Address] = [relay.getsockname() for relay in relays]
 
     def next_source(self) -> Coroutine[Address | None]:
-        """The next one, without waiting."""
+        """Returns the next relay without waiting."""
         yield from ()
         return self._relays.pop(0)
 
     def client_count(self) -> int:
-        """Of the list service."""
+        """Returns the number of clients of discovery."""
         return 1
 
     def relay_ended(self, relay: Address) -> None:
-        """A relay has been left."""
+        """Ignores the end of a call."""
 
     def accept(self, message: Any, rev: int, relay: Address | None) -> list[Any]:
-        """All that is told counts."""
+        """Accepts every message."""
         return [] if message is None else [message]
 
 
@@ -143,11 +143,11 @@
 
 
 class DispatcherTestCase(unittest.TestCase):
-    """A node, its discovery and as many backend servers as a story wants."""
+    """A dispatcher, its discovery and three backend servers."""
 
     sockets: int = 1024
     memory: float = 192
-    has_admin_endpoint = False  # whether operators have a door
+    has_admin_endpoint = False  # whether the dispatcher has an admin endpoint
     settings: dict[str, Any] = SETTINGS
 
     def setUp(self) -> None:
@@ -155,7 +155,7 @@
         self.addCleanup(logging.disable, logging.NOTSET)
         self.discovery = open_listener()
         self.servers = [open_listener() for _ in range(3)]
-        self.clients: list[RawConnection] = []  # both held, for a socket that nobody holds is closed
+        self.clients: list[RawConnection] = []  # held, since an unreferenced socket is closed
         self.server_ends: list[RawConnection] = []
         self.loop = Loop()
         self.raw = raw_config(
@@ -174,8 +174,9 @@
         self.watch = self.accept(self.discovery)
 
     def server_list(
-        self, *numbers: int, rev: int = 1, whole: bool = True, state: str = "SERVING"
+        self, *numbers: int, rev: int = 1, complete: bool = True, state: str = "SERVING"
     ) -> dict[str, Any]:
+        """Returns a server list with these servers."""
         targets = [
             {
                 "uid": f"s-{n}",
@@ -187,40 +188,46 @@
             }
             for n in numbers
         ]
-        return {"rev": rev, "all": whole, "targets": targets}
+        return {"rev": rev, "all": complete, "targets": targets}
 
-    def run_until(self, done: Callable[[], Any]) -> Any:
-        """Turn the node's loop until something is so."""
+    def run_until(self, condition: Callable[[], Any]) -> Any:
+        """Runs the event loop until a condition is true; returns its value."""
         end = time.monotonic() + STUCK_TIMEOUT_S
-        while not (result := done()):
+        while not (result := condition()):
             if time.monotonic() > end:
-                self.fail("the story got stuck")
+                self.fail("the test is stuck")
             self.loop.turn(0.005)
         return result
 
     def run_for(self, seconds: float) -> None:
+        """Runs the event loop for a time."""
         end = time.monotonic() + seconds
         self.run_until(lambda: time.monotonic() >= end)
 
     def accept(self, *listeners: socket.socket) -> RawConnection:
-        def come() -> RawConnection | None:
+        """Accepts the next connection to one of these listeners."""
+
+        def accept_ready() -> RawConnection | None:
             ready = select.select(listeners, [], [], 0)[0]
             return RawConnection(ready[0].accept()[0]) if ready else None
 
-        peer = self.run_until(come)
+        peer = self.run_until(accept_ready)
         assert isinstance(peer, RawConnection)
         return peer
 
     def is_closed(self, peer: RawConnection) -> bool:
+        """Returns whether the dispatcher has closed the connection."""
         peer.read()
         return peer.closed
 
     def connect(self) -> RawConnection:
+        """Returns a new client connection."""
         return RawConnection(socket.create_connection(self.address))
 
     def send_request(
         self, kind: str = "unsafe", wait: str = "9.0", peer: RawConnection | None = None, name: str = "id-1"
     ) -> RawConnection:
+        """Sends a job request, on a new connection if none is given."""
         peer = peer or self.connect()
         self.clients.append(peer)
         peer.received = b""
@@ -232,9 +239,9 @@
         return peer
 
     def next_dispatch(self) -> RawConnection:
-        """The backend server's end of the next dispatch, its request in `job`; probes are answered too."""
+        """Returns the server's end of the next dispatch, with its request in `request`. Answers probes."""
 
-        def job() -> RawConnection | None:
+        def find_job() -> RawConnection | None:
             for sock in select.select(self.servers, [], [], 0)[0]:
                 self.server_ends.append(RawConnection(sock.accept()[0]))
             for end in self.server_ends:
@@ -246,17 +253,18 @@
                     return end
             return None
 
-        found = self.run_until(job)
+        found = self.run_until(find_job)
         assert isinstance(found, RawConnection)
         return found
 
     def response_status(self, client: RawConnection) -> int:
+        """Waits for a response and returns its status."""
         self.run_until(lambda: b"\r\n\r\n" in client.read() or client.closed)
         return int(client.received.split()[1])
 
 
 class Serving(DispatcherTestCase):
-    def test_a_job_passes_through_and_its_result_comes_back_on_connections_that_stay(self) -> None:
+    def test_forwards_jobs_and_results_over_persistent_connections(self) -> None:
         client = self.connect()
         for name in ("id-1", "id-2"):
             self.send_request(peer=client, name=name)
@@ -274,7 +282,7 @@
             server.send_chunks(
                 *(f'{{"id":"{name}",{x}}}' for x in ('"state":"started"', '"state":"running","share":1'))
             )
-            # A line in two pieces, and the result before the end of the message.
+            # The last line arrives in two pieces, and the result before the end of the message.
             last = b'{"id":"%s","state":"done","result":"paid \\u00e9","load":{"x0":2}}\n' % name.encode()
             server.sock.sendall(b"%x\r\n%s" % (len(last), last[:9]))
             self.run_for(0.02)
@@ -284,7 +292,7 @@
             server.sock.sendall(b"0\r\n\r\n")
             self.run_for(0.02)
 
-    def test_bad_input_is_told_apart_and_reaches_no_backend_server(self) -> None:
+    def test_rejects_invalid_requests_without_forwarding_them(self) -> None:
         good = b"Req-Id: i\r\nReq-Kind: unsafe\r\nReq-Deadline: 1.0\r\n"
         post = b"POST /api HTTP/1.1\r\nHost: o\r\n"
         for text, status in (
@@ -307,7 +315,7 @@
             self.assertEqual(self.response_status(client), status, text[:90])
         self.assertFalse(self.frontend._dispatcher._sessions)
 
-    def test_expect_is_answered_and_a_request_may_come_in_pieces(self) -> None:
+    def test_answers_expect_and_accepts_requests_in_pieces(self) -> None:
         client = self.connect()
         head = b"POST /api HTTP/1.1\r\nHost: o\r\nReq-Id: id-1\r\nReq-Kind: unsafe\r\nReq-Deadline: 9\r\n"
         client.sock.sendall(head[:31])
@@ -317,7 +325,7 @@
         client.sock.sendall(b"pay")
         self.assertNotIn(b"xpect", self.next_dispatch().request)
 
-    def test_health_turns_good_with_the_watch_and_bad_with_a_drain(self) -> None:
+    def test_health_depends_on_the_watch_and_on_the_shutdown(self) -> None:
         for expected in (503, 200, 503):
             client = self.connect()
             client.sock.sendall(b"GET /healthz HTTP/1.1\r\nHost: o\r\n\r\n")
@@ -329,7 +337,7 @@
             else:
                 self.program.shutdown.stop()
 
-    def test_a_drain_still_accepts_then_closes_idle_clients_and_finishes_what_was_taken(self) -> None:
+    def test_shutdown_closes_idle_clients_and_finishes_accepted_requests(self) -> None:
         stopped = mock.Mock()
         self.frontend._on_finished = stopped
         idle = self.connect()
@@ -349,13 +357,13 @@
         taken.sock.close()
         self.run_until(lambda: stopped.called)
 
-    def test_what_the_way_to_an_heir_refuses_is_handed_over_later(self) -> None:
+    def test_retries_the_handover_of_a_rejected_connection(self) -> None:
         self.frontend._on_finished = mock.Mock()
-        tries: list[bool] = []
+        attempts: list[bool] = []
 
         def pass_on(_: socket.socket, proven: bool) -> bool:
-            tries.append(proven)
-            return len(tries) > 1
+            attempts.append(proven)
+            return len(attempts) > 1
 
         client = self.send_request()
         server = self.next_dispatch()
@@ -363,14 +371,13 @@
         server.sock.sendall(STREAM)
         server.send_chunks('{"id":"id-1","state":"done","result":"ok"}')
         self.assertEqual(self.response_status(client), 200)
-        self.run_until(lambda: tries == [True, True])
+        self.run_until(lambda: attempts == [True, True])
 
-    def test_who_comes_late_in_a_drain_has_an_answer_before_the_kill(self) -> None:
+    def test_answers_late_requests_of_a_shutdown_before_the_kill(self) -> None:
+        # The limit is the time, in microseconds, from the signal to shortly before the kill.
         with (
             mock.patch("heronstall.net.frontend.LATE_AFTER_US", 0),
-            mock.patch.object(
-                self.frontend, "_answer_within", 1_000_000
-            ),  # µs from the signal to shortly before the kill
+            mock.patch.object(self.frontend, "_answer_within", 1_000_000),
         ):
             early = self.send_request()
             self.next_dispatch()
@@ -385,21 +392,21 @@
 
 
 class Failing(DispatcherTestCase):
-    def test_each_word_of_a_backend_server_gets_the_ending_it_proves(self) -> None:
-        def last(state: str) -> bytes:
+    def test_repeats_a_job_only_if_the_response_proves_that_it_did_not_run(self) -> None:
+        def final_line(state: str) -> bytes:
             line = b'{"id":"id-1","state":"%s"}\n' % state.encode()
             return STREAM + b"%x\r\n%s\r\n0\r\n\r\n" % (len(line), line)
 
         empty = b"Content-Length: 0\r\n\r\n"
-        # A job that must not run twice: only a proof that it never ran lets it go out again.
-        for word, again in (
+        # A job that must not run twice is sent again only if the response proves that it never ran.
+        for response, sent_again in (
             (b"HTTP/1.1 503 x\r\nSrv-Declined: 1\r\n" + empty, True),
             (b"HTTP/1.1 504 x\r\nSrv-Declined: 1\r\n" + empty, True),
-            (last("returned"), True),
+            (final_line("returned"), True),
             (b"HTTP/1.1 503 x\r\n" + empty, False),
             (b'HTTP/1.1 500 x\r\nSrv-Load: {"x0":1}\r\n' + empty, False),
-            (last("failed"), False),
-            (last("lost"), False),
+            (final_line("failed"), False),
+            (final_line("lost"), False),
             (STREAM, False),  # closed before the last line
             (b"SMTP ready\r\n\r\n", False),
             (STREAM + b"5\r\n{{{{\n\r\n", False),
@@ -409,15 +416,15 @@
             self.setUp()
             client = self.send_request()
             server = self.next_dispatch()
-            server.sock.sendall(word)
+            server.sock.sendall(response)
             server.sock.close()
-            if again:
+            if sent_again:
                 self.next_dispatch()
-                self.assertEqual(client.read(), b"", word)
+                self.assertEqual(client.read(), b"", response)
             else:
-                self.assertEqual(self.response_status(client), 500, word)
+                self.assertEqual(self.response_status(client), 500, response)
 
-    def test_a_request_that_a_backend_server_cannot_use_speaks_not_against_the_server(self) -> None:
+    def test_unusable_requests_do_not_count_against_the_server(self) -> None:
         for n, status in enumerate((b"400 x", b"404 x", b"413 x")):
             client = self.send_request(name=f"id-{n}", kind=("unsafe", "keyed")[n % 2])
             server = self.next_dispatch()
@@ -428,7 +435,7 @@
         self.assertTrue(all(w.ejected_until < 0 and not w.failures and not w.trial for w in workers))
         self.assertFalse(self.frontend._dispatcher._sessions)
 
-    def test_what_was_made_for_another_request_is_served_to_nobody(self) -> None:
+    def test_never_serves_the_result_of_another_request(self) -> None:
         client = self.send_request()
         server = self.next_dispatch()
         server.sock.sendall(STREAM)
@@ -436,42 +443,42 @@
         self.assertEqual(self.response_status(client), 500)
         self.assertNotIn(b"not yours", client.received)
 
-    def test_a_silent_backend_server_costs_the_client_one_answer_in_time(self) -> None:
-        began = time.monotonic()
+    def test_answers_once_in_time_if_the_server_is_silent(self) -> None:
+        started_at = time.monotonic()
         client = self.send_request(wait="0.4")
         self.next_dispatch()
-        self.assertEqual(self.response_status(client), 500)  # it may have run: no refusal
-        self.assertGreater(time.monotonic() - began, 0.3)
+        self.assertEqual(self.response_status(client), 500)  # the job may have run, so it must not be refused
+        self.assertGreater(time.monotonic() - started_at, 0.3)
         self.run_for(0.1)
         self.assertEqual(client.read().count(b"HTTP/1.1"), 1)
 
-    def test_a_refused_connection_proves_that_nothing_ran(self) -> None:
+    def test_refused_connection_proves_that_the_job_did_not_run(self) -> None:
         live = json.dumps(self.server_list(2, rev=2))
         for _ in range(2):
             self.servers.pop(0).close()
         client = self.send_request()
         self.run_for(0.1)
-        self.assertEqual(client.read(), b"")  # not failed: the decisions still look for a server
+        self.assertEqual(client.read(), b"")  # not failed: the decision module still looks for a server
         self.watch.sock.sendall(STREAM)
         self.watch.send_chunks(live)
         self.next_dispatch()
 
-    def test_a_client_that_leaves_ends_its_dispatch(self) -> None:
+    def test_ends_the_dispatch_of_a_client_that_leaves(self) -> None:
         client = self.send_request()
         server = self.next_dispatch()
         client.sock.close()
         self.run_until(lambda: server.read() == b"" and server.closed)
         self.assertFalse(self.frontend._dispatcher._sessions)
 
-    def test_a_refusal_says_when_to_come_back(self) -> None:
+    def test_refusal_has_a_retry_after(self) -> None:
         self.watch.sock.sendall(STREAM)
-        self.watch.send_chunks(json.dumps(self.server_list(rev=2)))  # nobody left
+        self.watch.send_chunks(json.dumps(self.server_list(rev=2)))  # no server left
         self.run_for(0.05)
         client = self.send_request(wait="0.2")
         self.assertEqual(self.response_status(client), 503)
         self.assertIn(b"retry-after: 1.500\r\n", client.received.lower())
 
-    def test_an_unexpected_error_ends_its_coroutine_alone(self) -> None:
+    def test_unexpected_error_ends_only_its_coroutine(self) -> None:
         with mock.patch("heronstall.net.backend.Dispatch._handle_line", side_effect=RuntimeError("bug")):
             client = self.send_request()
             server = self.next_dispatch()
@@ -487,39 +494,40 @@
         ) as send:
             self.frontend._dispatcher.post(i.Arrival(901, 0, 9_000_000))
             self.frontend._dispatcher.post(i.Arrival(902, 0, 9_000_000))
-            self.run_until(lambda: send.call_count == 2)  # the second action is carried out all the same
+            self.run_until(lambda: send.call_count == 2)  # the second action is still executed
         self.send_request(name="id-3")
         self.next_dispatch()
 
 
 class BadClients(DispatcherTestCase):
-    def say(self, text: bytes) -> RawConnection:
+    def send_raw(self, text: bytes) -> RawConnection:
+        """Sends bytes on a new client connection."""
         client = self.connect()
         self.clients.append(client)
         client.sock.sendall(text)
         return client
 
-    def test_a_request_that_two_readers_may_read_differently_is_passed_to_nobody(self) -> None:
+    def test_rejects_ambiguous_requests(self) -> None:
         post = b"POST /api HTTP/1.1\r\nHost: o\r\nReq-Kind: unsafe\r\nReq-Deadline: 9\r\n"
         hidden = post + b"Req-Id: hidden\r\n\r\n"
-        for odd, stays in (
+        for ambiguity, stays_open in (
             (b"Content-Length: %d\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" % (len(hidden) + 5), False),
             (b"Content-Length: 0\r\ncontent-length : 0\r\n\r\n", False),
-            (b"Content-Length: 0\r\ncontent-length: 0\r\n\r\n", False),  # h11 folds these into one
+            (b"Content-Length: 0\r\ncontent-length: 0\r\n\r\n", False),  # h11 merges these into one
             (b"Content-Length: 0, 0\r\n\r\n", False),
             (b"Req-Id: other\r\n\r\n", True),
             (b"Req-Deadline: 9\r\n\r\n", True),
             (b"Idempotency-Key: a\r\nIdempotency-Key: a\r\n\r\n", True),
             (b"Cookie: obj=1; obj=2\r\n\r\n", True),
         ):
-            client = self.say(post + b"Req-Id: id-1\r\n" + odd + (b"" if stays else hidden))
-            self.assertEqual(self.response_status(client), 400, odd)
-            if not stays:
+            client = self.send_raw(post + b"Req-Id: id-1\r\n" + ambiguity + (b"" if stays_open else hidden))
+            self.assertEqual(self.response_status(client), 400, ambiguity)
+            if not stays_open:
                 self.run_until(partial(self.is_closed, client))
-            self.assertEqual(client.received.count(b"HTTP/1.1"), 1, odd)
+            self.assertEqual(client.received.count(b"HTTP/1.1"), 1, ambiguity)
         self.assertFalse(self.frontend._dispatcher._sessions)
 
-    def test_the_id_of_an_earlier_request_is_bad_input(self) -> None:
+    def test_rejects_a_repeated_request_id(self) -> None:
         first = self.send_request()
         server = self.next_dispatch()
         self.assertEqual(self.response_status(self.send_request(name="id-1")), 400)
@@ -528,34 +536,34 @@
         self.assertEqual(self.response_status(first), 200)
         self.assertEqual(self.response_status(self.send_request(name="id-1")), 400)
 
-    def test_a_deadline_beyond_the_class_is_cut_to_it(self) -> None:
+    def test_limits_the_deadline_to_that_of_the_class(self) -> None:
         self.send_request(wait="9999999")
         self.assertRegex(self.next_dispatch().request, rb"Req-Deadline: [89]\.")
 
-    def test_who_never_speaks_or_ends_is_given_up_and_who_served_well_is_kept(self) -> None:
+    def test_closes_connections_without_usable_requests_and_keeps_proven_ones(self) -> None:
         with mock.patch("heronstall.net.frontend.REQUEST_TIMEOUT_US", 300_000):
             usual = self.send_request()
             server = self.next_dispatch()
             server.sock.sendall(STREAM)
             server.send_chunks('{"id":"id-1","state":"done","result":"ok"}')
             self.assertEqual(self.response_status(usual), 200)
-            mute, half = self.connect(), self.say(b"POST /api HTTP/1.1\r\nHo")
-            wrong = self.say(b"POST /else HTTP/1.1\r\nHost: o\r\n\r\n")
-            short = self.say(b"POST /api HTTP/1.1\r\nHost: o\r\nContent-Length: 9\r\n\r\n1234")
+            silent, half = self.connect(), self.send_raw(b"POST /api HTTP/1.1\r\nHo")
+            wrong = self.send_raw(b"POST /else HTTP/1.1\r\nHost: o\r\n\r\n")
+            short = self.send_raw(b"POST /api HTTP/1.1\r\nHost: o\r\nContent-Length: 9\r\n\r\n1234")
             self.assertEqual(self.response_status(half), 408)
             self.assertEqual(self.response_status(short), 408)
             self.assertEqual(self.response_status(wrong), 404)
-            self.run_until(lambda: mute.read() == b"" and mute.closed and wrong.read() and wrong.closed)
+            self.run_until(lambda: silent.read() == b"" and silent.closed and wrong.read() and wrong.closed)
             self.assertFalse(usual.closed)
             self.send_request(peer=usual, name="id-2")
             self.assertIn(b"id-2", self.next_dispatch().request)
 
-    def test_a_body_is_refused_by_its_announced_size_and_its_sender_cannot_hold_the_loop(self) -> None:
-        client = self.say(b"POST /api HTTP/1.1\r\nHost: o\r\nContent-Length: 60000000\r\n\r\n")
+    def test_rejects_a_body_by_its_length_and_limits_reading_per_turn(self) -> None:
+        client = self.send_raw(b"POST /api HTTP/1.1\r\nHost: o\r\nContent-Length: 60000000\r\n\r\n")
         self.assertEqual(self.response_status(client), 413)
         (connection,) = self.frontend._clients
         endless = mock.Mock(wraps=connection.sock)
-        endless.recv_into.side_effect = [65536] * 200 + [AssertionError("one turn read on and on")]
+        endless.recv_into.side_effect = [65536] * 200 + [AssertionError("one turn read without limit")]
         with mock.patch.object(connection, "sock", endless):
             client.sock.sendall(b"x")
             before = endless.recv_into.call_count
@@ -563,17 +571,17 @@
             self.assertLess(endless.recv_into.call_count - before, 10)
             self.assertGreater(endless.recv_into.call_count - before, 0)
 
-    def test_a_pipeline_of_nonsense_is_answered_in_order_a_share_at_a_time(self) -> None:
-        client = self.say(b"GET /else HTTP/1.1\r\nHost: o\r\n\r\n" * 100)
+    def test_answers_pipelined_bad_requests_in_order_over_several_turns(self) -> None:
+        client = self.send_raw(b"GET /else HTTP/1.1\r\nHost: o\r\n\r\n" * 100)
         self.run_until(lambda: client.read())
-        self.assertLess(client.received.count(b"HTTP/1.1 404"), 50)  # the others had their turn in between
+        self.assertLess(client.received.count(b"HTTP/1.1 404"), 50)  # other connections are served in between
         self.run_until(lambda: client.read().count(b"HTTP/1.1 404") == 100)
 
 
 class Connections(DispatcherTestCase):
-    sockets = 64  # 12 on either side
+    sockets = 64  # 12 on each side
 
-    def test_a_full_house_closes_the_longest_idle_client_first(self) -> None:
+    def test_closes_the_longest_idle_client_when_full(self) -> None:
         idle = [self.connect() for _ in range(12)]
         self.run_until(lambda: len(self.frontend._clients) == 12)
         self.send_request()
@@ -581,77 +589,78 @@
         self.run_until(lambda: idle[0].read() == b"" and idle[0].closed)
         self.assertFalse(any(peer.read() or peer.closed for peer in idle[1:]))
 
-    def test_a_full_house_gives_up_the_mute_before_those_that_served(self) -> None:
+    def test_closes_silent_clients_before_proven_ones_when_full(self) -> None:
         usual = self.send_request()
         server = self.next_dispatch()
         server.sock.sendall(STREAM)
         server.send_chunks('{"id":"id-1","state":"done","result":"ok"}')
         self.assertEqual(self.response_status(usual), 200)
-        mute = [self.connect() for _ in range(self.frontend._limit)]
-        self.run_until(lambda: mute[0].read() == b"" and mute[0].closed)
+        silent = [self.connect() for _ in range(self.frontend._limit)]
+        self.run_until(lambda: silent[0].read() == b"" and silent[0].closed)
         self.send_request(name="id-2")
         self.next_dispatch()
         self.assertFalse(usual.read() and usual.closed)
 
-    def test_accept_survives_running_out_of_descriptors(self) -> None:
+    def test_accept_survives_lack_of_descriptors(self) -> None:
         failing = mock.Mock(wraps=self.frontend._listener)
         failing.accept.side_effect = OSError(24, "EMFILE")
         with mock.patch.object(self.frontend, "_listener", failing):
             client = self.send_request()
             self.run_for(0.1)
-            self.assertLess(failing.accept.call_count, 30)  # it pauses rather than spins
+            self.assertLess(failing.accept.call_count, 30)  # it pauses instead of looping
         self.next_dispatch()
         self.assertEqual(client.read(), b"")
 
-    def pool(self, server: BackendServer) -> tuple[ConnectionPool, Callable[[], Any]]:
+    def make_pool(self, server: BackendServer) -> tuple[ConnectionPool, Callable[[], Any]]:
+        """Returns a pool, and a function that acquires a connection, or the ending, from it."""
         pool = ConnectionPool(self.loop, configuration(self.raw), 4)
 
-        def take() -> Any:
-            taken: list[Any] = []
+        def acquire() -> Any:
+            acquired: list[Any] = []
 
             def run() -> Coroutine[None]:
                 try:
-                    taken.append((yield from pool.acquire(server, self.loop.now + 1_000_000)))
+                    acquired.append((yield from pool.acquire(server, self.loop.now + 1_000_000)))
                 except ConnectionEnded as ended:
-                    taken.append(ended.ending)
+                    acquired.append(ended.ending)
 
-            self.loop.spawn(run(), "take")
-            return self.run_until(lambda: taken)[0]
+            self.loop.spawn(run(), "acquire")
+            return self.run_until(lambda: acquired)[0]
 
-        return pool, take
+        return pool, acquire
 
-    def test_idle_connections_are_retired_before_the_far_end_does_and_checked_for_its_close(self) -> None:
+    def test_retires_idle_server_connections_in_time_and_checks_them_for_a_close(self) -> None:
         server = BackendServer(1, "s", self.servers[2].getsockname(), 0)
-        pool, take = self.pool(server)
-        first = take()
-        far = self.accept(self.servers[2])
+        pool, acquire = self.make_pool(server)
+        first = acquire()
+        server_end = self.accept(self.servers[2])
         first.idle_since = self.loop.now
         pool._idle[1] = [first]
-        young = take()
-        self.assertIsNot(young, first)  # a second answer may be on the way to it
+        young = acquire()
+        self.assertIsNot(young, first)  # a second response may still arrive on it
         pool.close(young)
         self.accept(self.servers[2])
         first.idle_since = self.loop.now - REUSE_DELAY_US
-        self.assertIs(take(), first)
+        self.assertIs(acquire(), first)
         pool._idle[1] = [first]
-        far.sock.close()
-        self.assertIsNot(take(), first)
-        fresh = take()
-        fresh.idle_since = self.loop.now
-        pool._idle[1] = [fresh]
+        server_end.sock.close()
+        self.assertIsNot(acquire(), first)
+        new = acquire()
+        new.idle_since = self.loop.now
+        pool._idle[1] = [new]
         self.run_for(1.2)  # keepalive is 1 s
         self.assertEqual(pool._idle, {})
 
-    def test_how_long_an_idle_connection_can_be_used_is_learned_from_those_that_break(self) -> None:
+    def test_learns_the_usable_idle_time_from_breaks(self) -> None:
         server = BackendServer(1, "s", self.servers[2].getsockname(), 0)
-        pool, take = self.pool(server)
+        pool, acquire = self.make_pool(server)
 
-        def use_again(idle: int, breaks: bool) -> None:
-            connection, far = take(), self.accept(self.servers[2])
-            self.server_ends.append(far)
+        def use_after_idling(idle: int, breaks: bool) -> None:
+            connection, server_end = acquire(), self.accept(self.servers[2])
+            self.server_ends.append(server_end)
             connection.idle_since = self.loop.now - idle
             if breaks:
-                far.sock.close()
+                server_end.sock.close()
 
             def run() -> Coroutine[None]:
                 with contextlib.suppress(ConnectionEnded):
@@ -663,41 +672,41 @@
             self.run_until(lambda: done)
             pool.close(connection)
 
-        def still_used(idle: int) -> bool:
-            kept = take()
+        def is_reused(idle: int) -> bool:
+            connection = acquire()
             self.server_ends.append(self.accept(self.servers[2]))
-            kept.idle_since = self.loop.now - idle
-            pool._idle[1] = [kept]
-            again = take()
-            if again is not kept:
+            connection.idle_since = self.loop.now - idle
+            pool._idle[1] = [connection]
+            again = acquire()
+            if again is not connection:
                 self.server_ends.append(self.accept(self.servers[2]))
             pool.close(again)
-            return again is kept
+            return again is connection
 
-        use_again(400_000, breaks=False)  # slow, not broken
-        use_again(10_000, breaks=True)  # broken, but not for its idling
-        self.assertTrue(still_used(700_000))
-        use_again(400_000, breaks=True)
-        self.assertTrue(still_used(200_000))
-        self.assertFalse(still_used(350_000))
+        use_after_idling(400_000, breaks=False)  # slow, but not broken
+        use_after_idling(10_000, breaks=True)  # broken, but not because it was idle
+        self.assertTrue(is_reused(700_000))
+        use_after_idling(400_000, breaks=True)
+        self.assertTrue(is_reused(200_000))
+        self.assertFalse(is_reused(350_000))
 
-    def test_nothing_is_first_written_to_a_server_long_told_off(self) -> None:
+    def test_writes_nothing_to_a_server_after_the_drain_grace(self) -> None:
         server = BackendServer(1, "s", self.servers[2].getsockname(), 0)
-        _, take = self.pool(server)
-        server.listed_off_since = self.loop.now  # told just now: the grace lasts
-        self.assertIsInstance(take(), Connection)
+        _, acquire = self.make_pool(server)
+        server.listed_off_since = self.loop.now  # draining since now: within the grace
+        self.assertIsInstance(acquire(), Connection)
         server.listed_off_since = self.loop.now - 2_000_000
-        self.assertIs(take(), Ending.WITHDRAWN)
+        self.assertIs(acquire(), Ending.WITHDRAWN)
         server.listed_off_since = None
-        self.assertIsInstance(take(), Connection)
-        server.banned_since = self.loop.now - 2_000_000  # out by hand, whatever the list says
-        self.assertIs(take(), Ending.WITHDRAWN)
+        self.assertIsInstance(acquire(), Connection)
+        server.banned_since = self.loop.now - 2_000_000  # banned by an operator, whatever the list says
+        self.assertIs(acquire(), Ending.WITHDRAWN)
 
 
 class Memory(DispatcherTestCase):
     sockets, memory = 64, 24
 
-    def test_all_bodies_together_are_bounded_and_small_ones_pass(self) -> None:
+    def test_limits_the_total_size_of_bodies_but_accepts_small_ones(self) -> None:
         self.frontend._max_total_body_bytes = 100_000  # an even share is 8 KB
         head = b"POST /api HTTP/1.1\r\nHost: o\r\nReq-Id: %d\r\nReq-Kind: unsafe\r\nReq-Deadline: 9\r\n"
         large = head + b"Content-Length: 65536\r\n\r\n"
@@ -718,11 +727,11 @@
 
 
 class Discovery(DispatcherTestCase):
-    def test_the_watch_survives_heartbeats_pieces_breaks_and_nonsense(self) -> None:
+    def test_watch_survives_heartbeats_fragments_breaks_and_invalid_data(self) -> None:
         self.run_until(lambda: self.watch.read().endswith(b"\r\n\r\n"))
         self.assertIn(b"GET /v1/servers?watch=1&after=1 ", self.watch.received)
         self.watch.sock.sendall(STREAM + b"1\r\n\n\r\n")
-        line = json.dumps(self.server_list(2, rev=7, whole=False)) + "\n"
+        line = json.dumps(self.server_list(2, rev=7, complete=False)) + "\n"
         self.watch.sock.sendall(b"%x\r\n%s" % (len(line), line[:20].encode()))
         self.run_for(0.02)
         self.watch.sock.sendall(line[20:].encode() + b"\r\n")
@@ -732,23 +741,23 @@
         again = self.accept(self.discovery)
         self.run_until(lambda: b"after=7 " in again.read())
         again.sock.sendall(STREAM + b'8\r\n{"rev":\n\r\n')
-        whole = self.accept(self.discovery)  # after nonsense, the whole list is asked for
-        self.run_until(lambda: b"watch=1 " in whole.read())
+        complete = self.accept(self.discovery)  # after invalid data the complete list is requested
+        self.run_until(lambda: b"watch=1 " in complete.read())
         self.assertEqual(len(table.by_number), 3)
-        whole.sock.sendall(STREAM)
-        whole.send_chunks(json.dumps(self.server_list(1, rev=9)))
+        complete.sock.sendall(STREAM)
+        complete.send_chunks(json.dumps(self.server_list(1, rev=9)))
         self.run_until(lambda: sum(s.off_since is None for s in table.by_number.values()) == 1)
         self.send_request()
         self.servers = [self.servers[1]]
         self.next_dispatch()
 
-    def test_a_call_without_an_answer_in_time_is_left_open_beside_the_next_one(self) -> None:
+    def test_keeps_an_unanswered_call_open_beside_the_next_one(self) -> None:
         self.watch.sock.close()
         busy = STREAM.replace(b"200 OK", b"503 busy")
         with mock.patch("heronstall.net.server_table.WATCH_TIMEOUT_US", 60_000):
             slow = self.accept(self.discovery)
-            later = self.accept(self.discovery)  # nothing came to the first
-            another = self.accept(self.discovery)  # nor to the second, which is not kept, too
+            later = self.accept(self.discovery)  # the first call got no answer
+            another = self.accept(self.discovery)  # nor did the second, which is closed
             self.run_until(partial(self.is_closed, later))
             self.assertFalse(self.is_closed(slow))
         slow.sock.sendall(STREAM)
@@ -757,18 +766,18 @@
         assert isinstance(table, server_table.ServerTable)
         self.run_until(lambda: table.rev == 8)
         self.run_until(partial(self.is_closed, another))
-        slow.send_chunks(json.dumps(self.server_list(2, rev=9)))  # it is the watch from here on
+        slow.send_chunks(json.dumps(self.server_list(2, rev=9)))  # it is the watch from now on
         self.run_until(lambda: table.rev == 9)
         slow.sock.close()
         with mock.patch("heronstall.net.server_table.WATCH_TIMEOUT_US", 60_000):
             slow, later = self.accept(self.discovery), self.accept(self.discovery)
-        slow.sock.sendall(busy)  # of no use, and no reason to give up the other
+        slow.sock.sendall(busy)  # unusable, and no reason to close the other call
         self.run_until(partial(self.is_closed, slow))
         later.sock.sendall(STREAM)
         later.send_chunks(json.dumps(self.server_list(0, rev=10)))
         self.run_until(lambda: table.rev == 10)
 
-    def test_two_silent_relays_in_turn_keep_news_back_for_less_than_two_seconds(
+    def test_two_silent_relays_delay_changes_by_less_than_two_seconds(
         self,
     ) -> None:
         relays = [open_listener() for _ in range(3)]
@@ -776,31 +785,31 @@
         assert isinstance(table, server_table.ServerTable)
         table.sources = RelaysInTurn(relays)
         table.restart_watch()
-        speaks, silent, tells = relays
-        first = self.accept(speaks)
+        working, silent, updated = relays
+        first = self.accept(working)
         first.sock.sendall(STREAM)
         first.send_chunks(json.dumps(self.server_list(0, 1, rev=4)))
         self.run_until(lambda: table.rev == 4)
         since = time.monotonic()
-        held = self.accept(silent)  # its connection opens, and nothing more comes
-        last = self.accept(tells)
+        silent_call = self.accept(silent)  # its connection opens, but nothing is received on it
+        last = self.accept(updated)
         last.sock.sendall(STREAM)
         last.send_chunks(json.dumps(self.server_list(1, 2, rev=5)))
         self.run_until(lambda: table.rev == 5)
         self.assertLess(time.monotonic() - since, 2.0)
-        self.run_until(partial(self.is_closed, held))
+        self.run_until(partial(self.is_closed, silent_call))
 
-    def test_an_overbooked_discovery_is_asked_again_the_later_the_more_ask_it_and_never_in_step(self) -> None:
+    def test_backoff_from_an_overloaded_discovery_grows_with_the_clients_and_is_spread(self) -> None:
         def pauses(nodes: int, seed: str, header: bytes = b"") -> list[int]:
-            asked: list[int] = []
+            recorded: list[int] = []
 
-            def nap(until: int) -> Coroutine[None]:
-                asked.append(until - self.loop.now)
+            def record_sleep(until: int) -> Coroutine[None]:
+                recorded.append(until - self.loop.now)
                 yield -1, 0, self.loop.now + 1
 
             raw = {**self.raw, "seed": seed, "settings": {**SETTINGS, "balancers": nodes}}
-            with mock.patch("heronstall.net.server_table.sleep", nap):
-                table = server_table.ServerTable(configuration(raw), self.loop, 0, lambda told: None)
+            with mock.patch("heronstall.net.server_table.sleep", record_sleep):
+                table = server_table.ServerTable(configuration(raw), self.loop, 0, lambda event: None)
                 table.start()
                 for _ in range(7):
                     watch = self.accept(self.discovery)
@@ -808,20 +817,20 @@
                     self.run_until(partial(self.is_closed, watch))
             assert table._watch is not None and table._watch.task is not None
             table._watch.task.kill()
-            return asked[:6]
+            return recorded[:6]
 
         many, others, few = pauses(40, "1"), pauses(40, "2"), pauses(3, "1")
-        self.assertGreater(sum(many) / len(many), 40 * 50_000)  # together no more than some twenty a second
-        self.assertLess(max(few), 2_000_000)  # few dispatchers need not wait so long
+        self.assertGreater(sum(many) / len(many), 40 * 50_000)  # together at most about twenty calls a second
+        self.assertLess(max(few), 2_000_000)  # a few dispatchers need not wait so long
         self.assertEqual(len({*many, *others}), len(many) + len(others))
         self.assertGreater(max(many) - min(many), 500_000)
-        told = pauses(40, "1", b"Retry-After: 7\r\n")
-        # The first refusal may be one call's alone, and news counts as told within six seconds.
-        self.assertTrue(2_000_000 < told[0] <= 4_500_000, told)
-        self.assertTrue(min(told[1:]) >= 7_000_000 and max(told) <= 10_500_000, told)
+        hinted = pauses(40, "1", b"Retry-After: 7\r\n")
+        # The first refusal may affect only one call, and changes must be known within six seconds.
+        self.assertTrue(2_000_000 < hinted[0] <= 4_500_000, hinted)
+        self.assertTrue(min(hinted[1:]) >= 7_000_000 and max(hinted) <= 10_500_000, hinted)
         self.assertLess(max(pauses(3, "1", b"Retry-After: soon\r\n")), 2_000_000)
 
-    def test_a_list_that_is_known_serves_though_discovery_says_nothing(self) -> None:
+    def test_serves_with_the_known_list_if_discovery_is_silent(self) -> None:
         self.assertLessEqual(FIRST_LIST, 500_000)
 
         def healthy() -> bool:
@@ -832,7 +841,7 @@
         self.run_until(healthy)
         self.assertFalse(self.program.table.answered)
 
-    def test_a_watch_that_misses_a_heartbeat_is_opened_again_where_it_ended(self) -> None:
+    def test_reopens_a_watch_that_misses_a_heartbeat_at_its_revision(self) -> None:
         self.assertLess(server_table.WATCH_TIMEOUT_US, 2 * server_table.HEARTBEAT_US)
         self.assertGreater(server_table.WATCH_TIMEOUT_US, server_table.HEARTBEAT_US)
         with mock.patch("heronstall.net.server_table.WATCH_TIMEOUT_US", 300_000):
@@ -841,11 +850,11 @@
             again = self.accept(self.discovery)
             self.run_until(lambda: b"after=5 " in again.read())
         self.assertTrue(self.is_closed(self.watch))
-        self.send_request()  # the table stays valid meanwhile
+        self.send_request()  # the table stays valid
         self.next_dispatch()
 
     def reload(self, **changes: Any) -> list[str]:
-        """SIGHUP with a changed file, under a NODE_DISCOVERY that told of the start; what was logged."""
+        """Reloads a changed file, with NODE_DISCOVERY as at the start; returns the log lines."""
         with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
             file.write(json.dumps({**self.raw, **changes}))
             file.flush()
@@ -855,7 +864,7 @@
         logging.disable(logging.CRITICAL)
         return logs.output
 
-    def test_a_reload_follows_another_discovery_and_keeps_the_table_and_the_old_watch_until_it_answers(
+    def test_reload_keeps_the_table_and_the_old_watch_until_a_new_discovery_answers(
         self,
     ) -> None:
         table = self.program.table
@@ -867,51 +876,54 @@
         self.reload(discovery=address_of(middle))
         never_answers = self.accept(middle)
         new.close()
-        self.reload(discovery=new_at)  # a second one before the first was heard; nobody listens there yet
+        # A second reload before the first has an answer; nothing listens there yet.
+        self.reload(discovery=new_at)
         self.run_until(lambda: self.is_closed(never_answers))
         host, port = new_at.split(":")
         new = socket.create_server((host, int(port)))
         new.settimeout(0)
-        began = time.monotonic()
-        fresh = self.accept(new)
-        self.assertLess(time.monotonic() - began, 5)  # not the long pause of an address that has answered
-        self.run_until(lambda: b"\r\n\r\n" in fresh.read())
-        self.assertIn(b"GET /v1/servers?watch=1 ", fresh.received)  # another's revision means nothing here
+        started_at = time.monotonic()
+        new_watch = self.accept(new)
+        # The long pause applies only to an address that has answered.
+        self.assertLess(time.monotonic() - started_at, 5)
+        self.run_until(lambda: b"\r\n\r\n" in new_watch.read())
+        # A revision of another service is not sent.
+        self.assertIn(b"GET /v1/servers?watch=1 ", new_watch.received)
         self.assertFalse(self.watch.closed)
-        self.watch.send_chunks(json.dumps(self.server_list(2, rev=6, whole=False)))  # still listened to
+        # The old watch still counts.
+        self.watch.send_chunks(json.dumps(self.server_list(2, rev=6, complete=False)))
         self.run_until(lambda: len(table.by_number) == 3)
-        fresh.sock.sendall(STREAM)
-        fresh.send_chunks(json.dumps(self.server_list(2, rev=1)))
+        new_watch.sock.sendall(STREAM)
+        new_watch.send_chunks(json.dumps(self.server_list(2, rev=1)))
         self.run_until(lambda: sum(s.off_since is None for s in table.by_number.values()) == 1)
         self.run_until(lambda: self.is_closed(self.watch))
-        fresh.sock.close()
+        new_watch.sock.close()
         again = self.accept(new)
         self.run_until(lambda: b"after=1 " in again.read())
         self.assertFalse(select.select([self.discovery, middle], [], [], 0)[0])
 
-    def test_a_wrong_or_unchanged_file_changes_nothing_and_what_takes_a_restart_is_named(self) -> None:
-        for changes, said in (
+    def test_reload_ignores_an_invalid_file_and_names_keys_that_need_a_restart(self) -> None:
+        for changes, message in (
             ({"discovery": "nowhere"}, "discovery: 'nowhere' is not host:port"),
             ({"settings": {**SETTINGS, "tick": 0}}, "settings.tick"),
             ({"limits": {"sockets": 99}}, "limits.sockets has changed"),
             ({"listen": "127.0.0.1:1", "settings": {**SETTINGS, "tick": 7}}, "listen has changed"),
         ):
-            self.assertIn(said, "\n".join(self.reload(**changes)))
+            self.assertIn(message, "\n".join(self.reload(**changes)))
         self.run_for(0.05)
         self.assertFalse(self.is_closed(self.watch))
         self.assertFalse(select.select([self.discovery], [], [], 0)[0])
 
-    def test_one_uid_may_come_back_at_another_address(self) -> None:
+    def test_a_server_may_return_at_another_address(self) -> None:
         server = next(s for s in self.frontend._dispatcher.table.by_number.values() if s.uid == "s-0")
-        moved = self.server_list(0, rev=2, whole=False)
+        moved = self.server_list(0, rev=2, complete=False)
         moved["targets"][0] |= {"endpoint": address_of(self.servers[2]), "boot_ms": int(time.time() * 1000)}
         self.watch.sock.sendall(STREAM)
         self.watch.send_chunks(json.dumps(moved))
         self.run_until(lambda: server.endpoint == self.servers[2].getsockname())
         worker = cast(Balancer, self.frontend._dispatcher._balancer)._workers[server.number]
-        self.assertLess(
-            abs(worker.started_at - self.loop.now), 60_000_000
-        )  # Unix time on the program's clock
+        # The start time is converted from Unix time to the event loop's time.
+        self.assertLess(abs(worker.started_at - self.loop.now), 60_000_000)
 
 
 class Program(unittest.TestCase):
@@ -931,32 +943,31 @@
         self.addCleanup(ran.kill)
         return ran
 
-    def test_it_ends_with_0_after_sigterm_and_with_2_for_a_wrong_configuration(self) -> None:
+    def test_exits_with_0_after_sigterm_and_with_2_for_an_invalid_configuration(self) -> None:
         ran = self.run_with(raw_config())
         assert ran.stderr is not None
         self.assertIn("listens on", ran.stderr.readline())
         for number in (signal.SIGHUP, signal.SIGHUP, signal.SIGTERM, signal.SIGHUP):
-            ran.send_signal(number)  # a reload neither ends it nor keeps it from ending
-        said = ran.communicate(timeout=60)[1]
+            ran.send_signal(number)  # a reload neither ends the process nor prevents its end
+        output = ran.communicate(timeout=60)[1]
         self.assertEqual(ran.returncode, 0)
-        self.assertIn("configuration read again", said)
-        self.assertIn("has answered everything", said)
+        self.assertIn("configuration read again", output)
+        self.assertIn("has answered everything", output)
         ran = self.run_with(raw_config(listen="nowhere"))
         self.assertIn("listen:", ran.communicate(timeout=60)[1])
         self.assertEqual(ran.returncode, 2)
 
 
-class Parts(unittest.TestCase):
-    def test_an_event_of_a_closed_descriptor_never_reaches_the_next_owner_of_its_number(self) -> None:
+class Components(unittest.TestCase):
+    def test_event_of_a_closed_descriptor_never_reaches_a_new_owner_of_its_number(self) -> None:
         loop, seen = Loop(), []
         (a, far_a), (b, far_b) = socket.socketpair(), socket.socketpair()
 
         def reader(name: str, sock: socket.socket, other: socket.socket) -> Coroutine[None]:
-            got = yield sock.fileno(), READ, None
+            mask = yield sock.fileno(), READ, None
             seen.append(name)
-            if (
-                got and other.fileno() >= 0
-            ):  # the first to run closes the other, whose event is in the same batch
+            # The first reader to run closes the other one, whose event is in the same batch.
+            if mask and other.fileno() >= 0:
                 loop.close(other)
                 opened = socket.socketpair()
                 for end in opened:
@@ -973,7 +984,7 @@
         for sock in (a, b, far_a, far_b):
             sock.close()
 
-    def test_the_buffer_grows_and_is_compacted_in_place(self) -> None:
+    def test_buffer_grows_and_is_compacted_in_place(self) -> None:
         near, far = socket.socketpair()
         near.settimeout(0)
         buffer, parser, sent = Buffer(), mock.Mock(), os.urandom(50_000)
@@ -990,26 +1001,26 @@
         near.close()
         far.close()
 
-    def test_an_endless_line_ends_its_connection(self) -> None:
+    def test_line_over_the_limit_ends_its_connection(self) -> None:
         lines = LineSplitter(10)
         self.assertEqual(lines.feed(b"ab\n\ncd"), [b"ab"])
         self.assertEqual(lines.feed(b"ef\n"), [b"cdef"])
         with self.assertRaises(ConnectionEnded):
             lines.feed(b"x" * 11)
 
-    def test_reports_go_by_the_names_that_the_settings_give_and_by_those_on_the_sockets(self) -> None:
+    def test_reads_reports_by_configured_and_by_default_names(self) -> None:
         slots = configuration(raw_config()).report_slots
-        for told in (
+        for values in (
             {"inflight": 7, "util": 0.6, "x0": 2},
             {"busy_reqs": 7, "cpu_share": 0.6, "x0": 2, "new": 1},
         ):
-            report = read_report(slots, told)
+            report = read_report(slots, values)
             assert report is not None
             self.assertEqual((report.inflight, report.util, report.free_slots), (7.0, 0.6, 2.0))
-        for absurd in ({"x0": -1}, {"x0": "2"}, {"x0": True}, {}, [2], None):
-            self.assertIsNone(read_report(slots, absurd))
+        for invalid in ({"x0": -1}, {"x0": "2"}, {"x0": True}, {}, [2], None):
+            self.assertIsNone(read_report(slots, invalid))
 
-    def test_a_wrong_configuration_names_its_key(self) -> None:
+    def test_invalid_configuration_names_its_key(self) -> None:
         for changes, key in (
             ({"listen": "nowhere"}, "listen"),
             ({"seed": "xyz"}, "seed"),
@@ -1028,23 +1039,23 @@
             self.assertTrue(str(caught.exception).startswith(f"{key}:"), str(caught.exception))
 
 
-class Observing(unittest.TestCase):
-    def test_an_observer_sees_each_turn_after_its_actions_and_one_that_fails_is_told_no_more(self) -> None:
+class Observers(unittest.TestCase):
+    def test_observers_see_every_turn_after_its_actions_and_failing_ones_are_removed(self) -> None:
         seen: list[str] = []
         decisions = mock.Mock()
-        decisions.handle.side_effect = lambda now, batch: [i.Log("carried out")]
+        decisions.handle.side_effect = lambda now, batch: [i.Log("executed")]
         loop = Loop()
         dispatcher = Dispatcher(configuration(raw_config()), loop, decisions)
-        failing, well = mock.Mock(), mock.Mock()
-        dispatcher.observers += [failing, well]
-        failing.observe.side_effect = lambda now, told, said: seen.append("told")
+        failing, working = mock.Mock(), mock.Mock()
+        dispatcher.observers += [failing, working]
+        failing.observe.side_effect = lambda now, batch, actions: seen.append("observed")
         with self.assertLogs("heronstall.dispatcher") as logs:
             for failure in (None, RuntimeError("full"), None):
                 if failure is not None:
                     failing.observe.side_effect = failure
                 dispatcher.post(i.Timer())
                 loop.turn(0)
-        self.assertEqual(seen, ["told"])
-        self.assertEqual(dispatcher.observers, [well])
-        self.assertEqual(well.observe.call_count, 3)
-        self.assertEqual(sum("carried out" in line for line in logs.output), 3)
+        self.assertEqual(seen, ["observed"])
+        self.assertEqual(dispatcher.observers, [working])
+        self.assertEqual(working.observe.call_count, 3)
+        self.assertEqual(sum("executed" in line for line in logs.output), 3)
