--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -329,7 +329,7 @@
         client = self.connect()
         client.sock.sendall(b"nonsense\r\n\r\n")
         self.run_until(lambda: self.frontend._lingering)
-        client.sock.sendall(b"more nonsense that is not read")
+        client.sock.sendall(b"more nonsense that nobody has read")
         self.assertTrue(self.frontend._make_room())
         self.run_for(0.02)
         received = b""
--- a/tests/world.py
+++ b/tests/world.py
@@ -1,4 +1,4 @@
-"""A rule keeper around a Balancer: feeds it events and checks the four rules after every step."""
+"""A test harness for the Balancer: passes events to it and checks the four rules after every step."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 
 def make_settings(**changes: object) -> Settings:
-    """Settings with everything allowed and reports by probe; the named ones changed."""
+    """Returns settings that allow everything, with reports by probe; `changes` replaces some of them."""
     base: dict[str, object] = {
         "classes": CLASSES,
         "nodes": 2,
@@ -66,8 +66,8 @@
 
 
 @dataclass
-class Try:
-    """One attempt as the world sees it."""
+class Attempt:
+    """An attempt, as the actions and events describe it."""
 
     worker: int
     sent: int
@@ -76,145 +76,158 @@
 
 
 @dataclass
-class Client:
-    """One request as the world sees it."""
+class RequestState:
+    """A request, as the actions and events describe it."""
 
     cls: int
     give_up: int
-    tries: list[Try] = field(default_factory=list)
+    tries: list[Attempt] = field(default_factory=list)
     answer: str = ""
 
 
 class World:
-    """Holds one Balancer; every `step` checks what it does against the rules."""
+    """Drives one Balancer; every `step` checks its actions against the rules."""
 
     def __init__(self, settings: Settings | None = None, seed: int = 7) -> None:
         self.settings = settings or make_settings()
         self.balancer = Balancer(self.settings, seed)
         self.now = 1_000 * S
-        self.clients: dict[int, Client] = {}
+        self.clients: dict[int, RequestState] = {}
         self.entries: dict[int, WorkerEntry] = {}
         self.probes: list[int] = []
         self.wakes: list[int] = []
         self.last: list[Action] = []
 
     def wait_for_a_probe(self, within: int = 20 * S) -> None:
-        """Let time pass in which nothing happens, until there is one."""
+        """Lets time pass without events until the Balancer sends a probe."""
         until = self.now + within
         while not self.probes and self.now < until:
             self.step(after=200 * MS)
 
     def step(self, *events: Event, after: int = 0) -> list[Action]:
-        """Let time pass, feed the events (and a due timer), check and return the actions."""
+        """Lets time pass, passes the events (and a due timer) on, checks the actions and returns them."""
         self.now += after
-        given = list(events)
+        batch = list(events)
         if any(w <= self.now for w in self.wakes):
             self.wakes = [w for w in self.wakes if w > self.now]
-            given.append(Timer())
-        for e in given:
-            self._note(e)
-        self.last = self.balancer.handle(self.now, given)
-        for a in self.last:
-            self._check(a)
-        for c in self.clients.values():
-            assert c.answer or self.now <= c.give_up + self.settings.answer_grace, "a request was lost"
+            batch.append(Timer())
+        for event in batch:
+            self._record(event)
+        self.last = self.balancer.handle(self.now, batch)
+        for action in self.last:
+            self._check(action)
+        for client in self.clients.values():
+            assert client.answer or self.now <= client.give_up + self.settings.answer_grace, (
+                "a request was lost"
+            )
         return self.last
 
     def run(self, duration: int, pace: int = 4 * MS) -> list[Action]:
-        """Steps without outside events, on timers alone, tick by tick where a timer is due."""
-        seen: list[Action] = []
+        """Runs the Balancer's timers for a time, without other events; returns all actions."""
+        actions: list[Action] = []
         end = self.now + duration
         while self.now < end:
             self.now += pace
             if any(w <= self.now for w in self.wakes):
-                seen += self.step()
-        return seen
-
-    def _note(self, e: Event) -> None:
-        if isinstance(e, Arrival):
-            self.clients[e.request] = Client(e.cls, self.now + e.time_left)
-        elif isinstance(e, Outcome):
-            c = self.clients[e.request]
-            t = c.tries[e.attempt]
-            t.out, t.maybe_ran = False, e.status not in PROVES_NOT_RUN
-            if e.ended and not c.answer:
-                c.answer = "served" if e.status == "ok" else "ended"
-        elif isinstance(e, WorkerList) and e.scope != "error":
-            if e.scope != "changes":
+                actions += self.step()
+        return actions
+
+    def _record(self, event: Event) -> None:
+        """Updates the state of requests and workers by an event."""
+        if isinstance(event, Arrival):
+            self.clients[event.request] = RequestState(event.cls, self.now + event.time_left)
+        elif isinstance(event, Outcome):
+            client = self.clients[event.request]
+            attempt = client.tries[event.attempt]
+            attempt.out, attempt.maybe_ran = False, event.status not in PROVES_NOT_RUN
+            if event.ended and not client.answer:
+                client.answer = "served" if event.status == "ok" else "ended"
+        elif isinstance(event, WorkerList) and event.scope != "error":
+            if event.scope != "changes":
                 self.entries = {}
-            self.entries.update({x.worker: x for x in e.entries})
-
-    def _check(self, a: Action) -> None:
-        if isinstance(a, WakeAt):
-            assert a.at > self.now
-            self.wakes.append(a.at)
-        elif isinstance(a, Probe):
-            self.probes.append(a.worker)
-        elif isinstance(a, Cancel):
+            self.entries.update({entry.worker: entry for entry in event.entries})
+
+    def _check(self, action: Action) -> None:
+        """Checks an action and updates the state of its request."""
+        if isinstance(action, WakeAt):
+            assert action.at > self.now
+            self.wakes.append(action.at)
+        elif isinstance(action, Probe):
+            self.probes.append(action.worker)
+        elif isinstance(action, Cancel):
             assert self.settings.cancelling
-        elif isinstance(a, Send):
-            self._check_send(a)
-        elif isinstance(a, (Refuse, Fail)):
-            c = self.clients[a.request]
-            assert not c.answer, "answered twice"
-            c.answer = "refused" if isinstance(a, Refuse) else "failed"
-            k = self.settings.classes[c.cls]
-            if isinstance(a, Refuse) and (k.effect == "unsafe" or (k.effect == "keyed" and k.group != "all")):
-                assert not any(t.maybe_ran for t in c.tries), "refused what may have run"
-
-    def _check_send(self, a: Send) -> None:
-        c = self.clients[a.request]
-        k = self.settings.classes[c.cls]
-        entry = self.entries.get(a.worker)
-        assert entry is not None and entry.state == "active", "sent to a worker that drains or is gone"
-        assert not c.answer, "sent after the end"
-        assert len(c.tries) < self.settings.max_attempts
-        assert self.settings.second_copies or not any(t.out for t in c.tries), "two at once"
-        maybe = [t for t in c.tries if t.maybe_ran]
-        if maybe and k.effect != "safe":
-            assert k.effect == "keyed", "an unsafe job sent again"
-            assert self.now <= maybe[0].sent + k.repeat_window, "sent after the repeat window"
-            first = self.entries.get(maybe[0].worker)
-            if k.group != "all" and first is not None:
-                same = first.zone == entry.zone if k.group == "zone" else first.cell == entry.cell
+        elif isinstance(action, Send):
+            self._check_send(action)
+        elif isinstance(action, (Refuse, Fail)):
+            client = self.clients[action.request]
+            assert not client.answer, "answered twice"
+            client.answer = "refused" if isinstance(action, Refuse) else "failed"
+            cls = self.settings.classes[client.cls]
+            if isinstance(action, Refuse) and (
+                cls.effect == "unsafe" or (cls.effect == "keyed" and cls.group != "all")
+            ):
+                assert not any(attempt.maybe_ran for attempt in client.tries), (
+                    "refused a job that may have run"
+                )
+
+    def _check_send(self, action: Send) -> None:
+        """Checks a send and adds its attempt to the request."""
+        client = self.clients[action.request]
+        cls = self.settings.classes[client.cls]
+        entry = self.entries.get(action.worker)
+        assert entry is not None and entry.state == "active", "sent to a worker that is draining or gone"
+        assert not client.answer, "sent after the final answer"
+        assert len(client.tries) < self.settings.max_attempts
+        assert self.settings.second_copies or not any(attempt.out for attempt in client.tries), (
+            "two attempts at once"
+        )
+        possible_runs = [attempt for attempt in client.tries if attempt.maybe_ran]
+        if possible_runs and cls.effect != "safe":
+            assert cls.effect == "keyed", "an unsafe job was sent again"
+            assert self.now <= possible_runs[0].sent + cls.repeat_window, "sent after the repeat window"
+            first = self.entries.get(possible_runs[0].worker)
+            if cls.group != "all" and first is not None:
+                same = first.zone == entry.zone if cls.group == "zone" else first.cell == entry.cell
                 assert same, "sent outside the group"
-        c.tries.append(Try(a.worker, self.now))
+        client.tries.append(Attempt(action.worker, self.now))
 
-    # ------------------------------------------------------------- short hands
+    # ------------------------------------------------------------- shortcuts
 
     def fleet(self, *entries: WorkerEntry, free: float = 4.0) -> None:
-        """A complete list, and a fresh report of every worker."""
+        """Sends a complete list, and a new report of every worker."""
         self.step(WorkerList("complete", entries))
         self.report(*(x.worker for x in entries), free=free)
 
     def report(self, *workers: int, free: float = 4.0, util: float = 0.2) -> None:
-        """Fresh reports."""
-        given = [
-            ProbeResult(w, True, 1000, Report(util=util, inflight=4.0 - free, free_slots=free))
-            for w in workers
+        """Sends new reports of these workers."""
+        results = [
+            ProbeResult(worker, True, 1000, Report(util=util, inflight=4.0 - free, free_slots=free))
+            for worker in workers
         ]
-        self.step(*given)
+        self.step(*results)
 
-    def request(self, number: int, cls: int = 0, work: int = 200 * MS, **more: object) -> list[Action]:
-        """One request arrives."""
-        left = more.pop("time_left", self.settings.classes[cls].deadline)
-        return self.step(Arrival(number, cls, left, work=work, **more))  # type: ignore[arg-type]
+    def request(self, number: int, cls: int = 0, work: int = 200 * MS, **options: object) -> list[Action]:
+        """Sends the arrival of a request."""
+        time_left = options.pop("time_left", self.settings.classes[cls].deadline)
+        return self.step(Arrival(number, cls, time_left, work=work, **options))  # type: ignore[arg-type]
 
     def started(self, number: int) -> list[Action]:
-        """Its newest attempt tells that it has started."""
+        """Sends the start of a request's latest attempt."""
         tries = self.clients[number].tries
         return self.step(JobNote(number, tries[-1].worker, len(tries) - 1))
 
     def outcome(self, number: int, status: Status, attempt: int = -1) -> list[Action]:
-        """Its newest attempt ends."""
+        """Sends the end of an attempt, by default the latest one."""
         tries = self.clients[number].tries
-        n = attempt % len(tries)
-        return self.step(Outcome(number, tries[n].worker, n, status == "ok", status, 1000))
+        index = attempt % len(tries)
+        return self.step(Outcome(number, tries[index].worker, index, status == "ok", status, 1000))
 
-    def serve(self, number: int, cls: int = 0, work: int = 200 * MS, delay: int = 0, **more: object) -> int:
-        """All report; one request is sent, starts after a delay and is served: by whom, 0 where refused."""
+    def serve(
+        self, number: int, cls: int = 0, work: int = 200 * MS, delay: int = 0, **options: object
+    ) -> int:
+        """Serves a request after reports of all workers; returns its worker, 0 if it is refused."""
         self.report(*self.entries)
-        self.request(number, cls, work, **more)
+        self.request(number, cls, work, **options)
         if self.answer(number) == "refused":
             return 0
         (send,) = self.sends()
@@ -224,14 +237,14 @@
         return send.worker
 
     def sends(self) -> list[Send]:
-        """The sends of the last step."""
+        """Returns the sends of the last step."""
         return [a for a in self.last if isinstance(a, Send)]
 
     def answer(self, number: int) -> str:
-        """How it ended, or the empty string."""
+        """Returns the answer to a request; empty if there is none."""
         return self.clients[number].answer
 
 
-def workers(count: int, **more: object) -> list[WorkerEntry]:
-    """Workers 1 to `count`, in zones and cells by turns of two and three."""
-    return [WorkerEntry(n, zone=n % 2, cell=n % 3, **more) for n in range(1, count + 1)]  # type: ignore[arg-type]
+def workers(count: int, **options: object) -> list[WorkerEntry]:
+    """Returns workers 1 to `count`, distributed over two zones and three cells."""
+    return [WorkerEntry(n, zone=n % 2, cell=n % 3, **options) for n in range(1, count + 1)]  # type: ignore[arg-type]
