--- a/heronstall/model/serving/fleet.py
+++ b/heronstall/model/serving/fleet.py
@@ -17,14 +17,14 @@
 import numpy as np
 
 from heronstall.dataplane.admission import Admission
-from heronstall.dataplane.prefixes import SharedPrefix, shared_prefix
-from heronstall.dataplane.subset import Seat
+from heronstall.dataplane.prefixes import SharedPrefix, parse_shared_prefix
+from heronstall.dataplane.subset import DispatcherPosition
 from heronstall.dataplane.workers import WorkerPool, WorkerState
 from heronstall.model.kernel import VirtualTime
 from heronstall.model.serving.engine import MICROSECONDS, Engine, EngineRequest, PromptPart
 from heronstall.model.serving.load import Deployment, Draws, RequestKind
-from heronstall.placement.reading import Load, Prompt, ReadingPlanner
-from heronstall.sessions.loads import pack
+from heronstall.placement.prefill import Load, PrefillPlanner, Prompt
+from heronstall.sessions.loads import pack_loads
 from heronstall.sessions.table import Sessions
 from heronstall.transport.messages import Session, Worker
 
@@ -93,16 +93,16 @@
         self.pool = WorkerPool()
         zone = f"z{number % fleet.deployment.zones}"
         self.admission = Admission(self.pool, rng, zone, lambda: fleet.time.now / MICROSECONDS)
-        self.admission.items.began = -100.0
+        self.admission.item_slots.started_at = -100.0
         self.pool.update(fleet.entries())
-        self.pool.seat = Seat(number + 1, fleet.deployment.dispatchers)
+        self.pool.position = DispatcherPosition(number + 1, fleet.deployment.dispatchers)
         self.items: list[tuple[int, int, ModelRequest]] = []  # leased and not yet sent
         self.held = 0
 
     def send(self, request: ModelRequest, worker: WorkerState) -> None:
         """Send a request to a worker."""
         fleet, engine = self._fleet, self._fleet.engines[worker.entry.id]
-        self.admission.sent(worker)
+        self.admission.record_sent(worker)
         worker.items += request.job is not None
         sent_at = fleet.time.now
 
@@ -111,27 +111,27 @@
             if request.job is None:
                 seconds = (fleet.time.now - sent_at) / MICROSECONDS
                 tokens = sum(part.tokens for part in request.prompt[:-1])
-                self.admission.first_event(worker, tokens, seconds)
-                fleet.planner.heard(request.placed_tokens, seconds)
+                self.admission.record_first_event(worker, tokens, seconds)
+                fleet.planner.record_prefill(request.placed_tokens, seconds)
 
         def done() -> None:
             worker.items -= request.job is not None
             self.held -= request.job is not None
-            self.admission.done(worker, True)
+            self.admission.record_finished(worker, True)
             fleet.ended(request, at_engine.longest_gap)
 
         at_engine = EngineRequest(request.prompt, request.output, first, done)
         if not engine.submit(at_engine):
             worker.items -= request.job is not None
-            self.admission.done(worker, False)
-            self.admission.full(worker)
+            self.admission.record_finished(worker, False)
+            self.admission.record_overload(worker)
             request.tried.add(worker.entry.id)
             self.offer(request)
 
     def offer(self, request: ModelRequest) -> None:
         """Find a worker for a request."""
         header = ",".join(f"{part.name}:{part.tokens}" for part in request.prompt)
-        prefix = shared_prefix(header)
+        prefix = parse_shared_prefix(header)
         if request.job is None and not request.tried and prefix.is_large:
             self.send(request, self._fleet.place(self, request, prefix))
             return
@@ -148,7 +148,7 @@
 
     def look(self) -> None:
         """Send leased items as long as a worker has room."""
-        while self.items and self.admission.room_for_item(SERVICE):
+        while self.items and self.admission.can_start_item(SERVICE):
             waiting = len(self.items)
             self.offer(heapq.heappop(self.items)[2])
             if len(self.items) == waiting:
@@ -171,7 +171,7 @@
         self._windows: defaultdict[int, list[float]] = defaultdict(lambda: [0.0, 0.0])
         self._ended: list[tuple[ModelRequest, float]] = []
         self.spread: list[float] = []
-        self.planner = ReadingPlanner()
+        self.planner = PrefillPlanner()
         self._open_tokens = 0
         self.turned_away = 0  # items of jobs that were over the quota
 
@@ -256,13 +256,13 @@
     def place(self, dispatcher: ModelDispatcher, request: ModelRequest, prefix: SharedPrefix) -> WorkerState:
         """The worker that the planner names for a large prompt."""
         tokens = sum(part.tokens for part in request.prompt)
-        prompt = Prompt(prefix.part, prefix.largest, tokens - prefix.largest)
+        prompt = Prompt(prefix.segment, prefix.segment_tokens, tokens - prefix.segment_tokens)
         places = self.deployment.engine.places
         placed = self.planner.place(
             self.time.now / MICROSECONDS,
             prompt,
             list(self.engines),
-            lambda name: Load(self._sessions.at_worker(name), places),
+            lambda name: Load(self._sessions.total_at_worker(name), places),
         )
         assert placed is not None
         request.placed_tokens = placed.tokens
@@ -270,12 +270,12 @@
 
     def _pull(self, dispatcher: ModelDispatcher, number: int) -> None:
         now, name = self.time.now / MICROSECONDS, str(number)
-        session = Session(name=name, machine_class="edge", loads=pack(dispatcher.pool.loads()))
+        session = Session(name=name, machine_class="edge", loads=pack_loads(dispatcher.pool.own_loads()))
         self._sessions.renew(now, session)
-        dispatcher.pool.take_loads({load.worker: load for load in self._sessions.loads(now, name)})
+        dispatcher.pool.update_peer_loads({load.worker: load for load in self._sessions.loads(now, name)})
 
     def _lease(self, dispatcher: ModelDispatcher) -> None:
-        want = dispatcher.admission.items_to_lease(SERVICE) - dispatcher.held
+        want = dispatcher.admission.max_leased_items(SERVICE) - dispatcher.held
         left = []
         wanted = want
         while want > 0 and self._waiting:
@@ -286,7 +286,7 @@
             heapq.heappush(dispatcher.items, leased)
         if wanted > 0:
             in_time = (part for part in left if part > 0)
-            dispatcher.admission.items.leased(min(in_time, default=1.0), backlog=not want)
+            dispatcher.admission.item_slots.record_lease(min(in_time, default=1.0), backlog=not want)
 
     def _watch_spread(self) -> None:
         loads = [engine.load for engine in self.engines.values()]
--- a/heronstall/net/dispatcher.py
+++ b/heronstall/net/dispatcher.py
@@ -19,11 +19,11 @@
 from heronstall.net.connection import STATUS_BY_ENDING, Ending
 from heronstall.net.loop import Coroutine, Task
 from heronstall.net.server_table import BackendServer
-from heronstall.ops.figures import Fate, Figures
+from heronstall.ops.counters import JobCounters, JobResult
 
 LOG_INTERVAL_US = 10_000_000  # between log lines with counts
 # The result counted for each kind of answer. A client that has left counts as failed: it was not served.
-RESULT_BY_ANSWER: dict[str, Fate] = {
+RESULT_BY_ANSWER: dict[str, JobResult] = {
     "served": "succeeded",
     "refused": "declined",
     "failed": "aborted",
@@ -92,7 +92,7 @@
     def handle(self, now: int, events: Sequence[i.Event]) -> list[i.Action]:
         """Handles the events of one turn and returns the actions to execute."""
 
-    def avoided(self, now: int) -> list[int]:
+    def ejected_workers(self, now: int) -> list[int]:
         """Returns the listed servers that the decision module currently ejects."""
 
 
@@ -171,7 +171,7 @@
         self._timer: ScheduledCall | None = None
         self._next_number = 1
         self._counts: Counter[str] = Counter()
-        self.figures = Figures(config.classes)
+        self.figures = JobCounters(config.classes)
         self.table: ServerLookup
         self.backend: Backend
         self._repeat_windows = [
@@ -199,7 +199,7 @@
         """
         session = Session(self._next_number, arrival, self._loop.now + arrival.time_left, job, reply)
         self._next_number += 1
-        self.figures.taken()
+        self.figures.record_accepted()
         self._sessions[session.number] = session
         self.post(arrival._replace(request=session.number))
         if self.guard is not None and not guarded:
@@ -256,7 +256,7 @@
 
     def record_sent(self) -> None:
         """Counts an attempt whose last byte has been written: from now on it may have run."""
-        self.figures.forwarded()
+        self.figures.record_forward()
 
     def note(self, session: Session, server: BackendServer, index: int, share: float | None) -> None:
         """Reports that the job has started (`share` None), or which share of it is done."""
@@ -293,7 +293,7 @@
 
     def avoided(self) -> list[int]:
         """Returns the numbers of the servers that the decision module currently ejects."""
-        return self._balancer.avoided(self._loop.now)
+        return self._balancer.ejected_workers(self._loop.now)
 
     # ------------------------------------------------------------------ actions
 
@@ -376,7 +376,7 @@
         """Ends a session for its client and counts the result. Every session ends here."""
         session.over = True
         self._counts[f"answer.{kind}"] += 1
-        self.figures.ended(session.cls, RESULT_BY_ANSWER[kind])
+        self.figures.record_result(session.cls, RESULT_BY_ANSWER[kind])
 
     def _forget(self, session: Session) -> None:
         """Removes a session that has ended and has no open dispatch."""
--- a/heronstall/net/operator_state.py
+++ b/heronstall/net/operator_state.py
@@ -10,8 +10,8 @@
 from heronstall.net.loop import Loop
 from heronstall.net.server_table import ServerTable
 from heronstall.net.shutdown import GracefulShutdown
-from heronstall.ops.bans import Bans, Word
-from heronstall.ops.handover import Folder, State, Wrong
+from heronstall.ops.bans import Bans, TimedFlag
+from heronstall.ops.state_files import InvalidFile, State, StateDirectory
 
 # Between reads of the other processes' files: a tenth of the shortest drain grace of any deployment so far.
 READ_INTERVAL_US = 200_000
@@ -23,21 +23,21 @@
 
     def __init__(self, loop: Loop, offset: int, bans: Bans, shutdown: GracefulShutdown) -> None:
         self._loop, self._offset, self._bans, self._shutdown = loop, offset, bans, shutdown
-        self._drain: Word | None = None
-        self._files: Folder | None = None
+        self._drain: TimedFlag | None = None
+        self._files: StateDirectory | None = None
         self._table: ServerTable | None = None
 
     def open(self, folder: Path, node: str) -> None:
         """Reads the state in the folder, before anything is sent, and shares later changes through it."""
         try:
-            self._files = Folder(folder, node)
+            self._files = StateDirectory(folder, node)
         except OSError as error:
             self._disable_files(error)
             return
         self._read_files()
         self._write_file()
         if self._files is not None:
-            self._files.sweep()
+            self._files.remove_stale_files()
 
     def watch(self, table: ServerTable) -> None:
         """Reads the files repeatedly from now on and informs the table of bans set at other processes."""
@@ -50,8 +50,8 @@
         drained = self._shutdown.drained
         if drained != (self._drain is not None and self._drain.out):
             now = self._loop.now + self._offset
-            previous = self._drain.at if self._drain else 0
-            self._drain = Word(max(now, previous + 1), drained)
+            previous = self._drain.at_us if self._drain else 0
+            self._drain = TimedFlag(max(now, previous + 1), drained)
         self._write_file()
 
     def _poll(self) -> None:
@@ -64,7 +64,7 @@
             return
         try:
             for state in self._files.read():
-                if isinstance(state, Wrong):
+                if isinstance(state, InvalidFile):
                     say(log, events.HANDOVER_IGNORED, path=state.path, reason=state.reason)
                 else:
                     self._apply(state)
--- a/heronstall/net/server_table.py
+++ b/heronstall/net/server_table.py
@@ -12,7 +12,7 @@
 
 from heronstall import events
 from heronstall import interface as i
-from heronstall.config import Address, Config, ConfigError, address
+from heronstall.config import Address, Config, ConfigError, parse_address
 from heronstall.events import say
 from heronstall.net.connection import Connection, ConnectionEnded, Ending, connect
 from heronstall.net.json_stream import JsonStream
@@ -263,11 +263,11 @@
 
     def knows(self, uid: str) -> bool:
         """Returns whether the server was ever listed here, or has a ban record of any process."""
-        return uid in self._remembered_uids or self._bans.known(uid)
+        return uid in self._remembered_uids or self._bans.has_record(uid)
 
     def ban(self, uid: str, out: bool) -> bool:
         """Bans a server (`out`) or ends its ban; returns whether that changes anything."""
-        changed = self._bans.put(uid, out, self._loop.now + self._offset)
+        changed = self._bans.set_banned(uid, out, self._loop.now + self._offset)
         if changed:
             self.apply_bans([uid])
         return changed
@@ -284,7 +284,11 @@
 
     def _apply_ban(self, server: BackendServer) -> bool:
         """Copies the recorded ban to a server; returns whether a ban has begun or ended."""
-        before, since, back = server.banned_since, self._bans.since(server.uid), self._bans.back(server.uid)
+        before, since, back = (
+            server.banned_since,
+            self._bans.banned_since(server.uid),
+            self._bans.readmitted_at(server.uid),
+        )
         server.banned_since = None if since is None else since - self._offset
         if before is not None and since is None:
             server.last_ban_since = before
@@ -329,9 +333,9 @@
             finally:
                 if connection is not None:
                     connection.close()
-            end = CallEnd.NO_NEWS if watch.answered else CallEnd.NEVER_ANSWERED
+            end = CallEnd.UNCHANGED if watch.answered else CallEnd.NEVER_ANSWERED
             if watch.rev is not None and watch.rev != rev:
-                end = CallEnd.NEWS
+                end = CallEnd.UPDATED
             refusal = Refusal(watch.retry_after) if refused else None
             now = self._loop.now
             yield from sleep(now + backoff.pause(end, refusal, now, has_list=bool(self._by_uid)))
@@ -540,7 +544,7 @@
         if state is None:
             say(log, events.STATE_UNKNOWN, server=uid, state=str(raw["state"]))
             state = "leaving"
-        endpoint = address(str(raw["endpoint"]), "endpoint")
+        endpoint = parse_address(str(raw["endpoint"]), "endpoint")
         started_at = boot_ms * 1000 - self._offset if boot_ms > 0 else None
         zone, kind = str(raw.get("az")), str(raw.get("model"))
         entry = i.WorkerEntry(
--- a/heronstall/net/snapshots.py
+++ b/heronstall/net/snapshots.py
@@ -18,7 +18,7 @@
 from heronstall.net.loop import Loop
 from heronstall.net.server_table import ServerTable
 from heronstall.operator import SnapshotFile
-from heronstall.start.snapshot import LARGEST, Unusable, fresher, pack, unpack
+from heronstall.start.snapshot import MAX_SIZE, UnusableSnapshot, newer_list, pack, unpack
 
 CHECK_INTERVAL_US = 2_000_000  # between checks whether the list has changed
 REWRITE_INTERVAL_US = 600_000_000  # after which an unchanged list is written again with the current time
@@ -41,16 +41,16 @@
         """Returns the list to start from: the later one of the snapshot and the list in the configuration."""
         snapshot = None
         try:
-            if self._path.stat().st_size > LARGEST:
-                raise Unusable("too large")
+            if self._path.stat().st_size > MAX_SIZE:
+                raise UnusableSnapshot("too large")
             now = self._loop.now + self._offset
             data = self._path.read_bytes()
             snapshot = unpack(self._config.name, self._discovery, data, now, self._max_age_us)
         except FileNotFoundError:
             pass
-        except (OSError, Unusable) as error:
+        except (OSError, UnusableSnapshot) as error:
             say(log, events.SNAPSHOT_IGNORED, path=str(self._path), reason=str(error))
-        return fresher(snapshot, self._config.known)
+        return newer_list(snapshot, self._config.known)
 
     def start(self, table: ServerTable) -> None:
         """Keeps the file up to date from now on."""
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -346,7 +346,7 @@
     def test_signals_work_after_a_reload_that_fails_unexpectedly(self) -> None:
         wakeup, sender = socket.socketpair()
         wakeup.setblocking(False)
-        self.loop.spawn(self.program.signals(wakeup), "signals")
+        self.loop.spawn(self.program.handle_signals(wakeup), "signals")
         with mock.patch("heronstall.__main__.reload", side_effect=RuntimeError("unexpected")):
             self.send(sender, signal.SIGHUP)
             self.run_for(0.02)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -24,7 +24,7 @@
 from unittest import mock
 
 from heronstall import interface as i
-from heronstall.__main__ import FIRST_LIST
+from heronstall.__main__ import LIST_WAIT
 from heronstall.__main__ import Program as Dispatching
 from heronstall.config import Address, ConfigError, configuration
 from heronstall.decide import Balancer
@@ -169,8 +169,8 @@
         self.frontend: Frontend = self.program.frontend
         self.address = self.frontend._listener.getsockname()
         if self.has_admin_endpoint:
-            assert self.program.daily is not None
-            self.admin_address = self.program.daily.door._listener.getsockname()
+            assert self.program.operator_interface is not None
+            self.admin_address = self.program.operator_interface.admin_endpoint._listener.getsockname()
         self.watch = self.accept(self.discovery)
 
     def server_list(
@@ -432,7 +432,7 @@
             self.assertEqual(self.response_status(client), 400)
             self.run_for(0.02)
         workers = cast(Balancer, self.frontend._dispatcher._balancer)._workers.values()
-        self.assertTrue(all(w.ejected_until < 0 and not w.failures and not w.trial for w in workers))
+        self.assertTrue(all(w.ejected_until < 0 and not w.failures and not w.on_trial for w in workers))
         self.assertFalse(self.frontend._dispatcher._sessions)
 
     def test_never_serves_the_result_of_another_request(self) -> None:
@@ -831,7 +831,7 @@
         self.assertLess(max(pauses(3, "1", b"Retry-After: soon\r\n")), 2_000_000)
 
     def test_serves_with_the_known_list_if_discovery_is_silent(self) -> None:
-        self.assertLessEqual(FIRST_LIST, 500_000)
+        self.assertLessEqual(LIST_WAIT, 500_000)
 
         def healthy() -> bool:
             client = self.connect()
--- a/tests/tier/test_dataplane.py
+++ b/tests/tier/test_dataplane.py
@@ -20,14 +20,20 @@
 from heronstall.dataplane.attempts import Attempts
 from heronstall.dataplane.batch_api import InvalidSubmission, parse_items
 from heronstall.dataplane.batch_runner import BatchRunner, RunningItem
-from heronstall.dataplane.deferred import DeferredLane
+from heronstall.dataplane.deferred import DeferredQueue
 from heronstall.dataplane.events import EventReader
 from heronstall.dataplane.forwarding import TOKEN_USAGE_HEADER, RequestContext
-from heronstall.dataplane.prefixes import NOTHING, shared_prefix
+from heronstall.dataplane.prefixes import NO_SHARED_PREFIX, parse_shared_prefix
 from heronstall.dataplane.routing import Routes, RouteType, parse_routes
-from heronstall.dataplane.subset import IDLE, LEAST, Seat, preferred, ring
+from heronstall.dataplane.subset import (
+    MIN_SUBSET_SIZE,
+    SPARE_WORKERS,
+    DispatcherPosition,
+    hash_ring,
+    preferred_subset,
+)
 from heronstall.dataplane.workers import UnsendablePath, WorkerPool, WorkerState
-from heronstall.placement.reading import affinity
+from heronstall.placement.prefill import affinity
 from heronstall.sessions.loads import WorkerLoad
 from heronstall.transport.frames import Frame, FrameError, FrameReader, Kind, Status, encode
 from heronstall.transport.links import Reply
@@ -101,12 +107,12 @@
 
 class Prefixes(unittest.TestCase):
     def test_last_segment_is_not_shared(self) -> None:
-        self.assertEqual(shared_prefix("ab:800,cd:410,ef:250"), ("ab", 1210, 800))
-        self.assertEqual(shared_prefix("ab:800"), NOTHING)
+        self.assertEqual(parse_shared_prefix("ab:800,cd:410,ef:250"), ("ab", 1210, 800))
+        self.assertEqual(parse_shared_prefix("ab:800"), NO_SHARED_PREFIX)
 
     def test_malformed_header_means_no_shared_prefix(self) -> None:
         for header in ("", ",", "a,b,c", "a:x,b:1", "a:-1,b:2", "a:1:2,b:3"):
-            self.assertEqual(shared_prefix(header), NOTHING, header)
+            self.assertEqual(parse_shared_prefix(header), NO_SHARED_PREFIX, header)
 
     def test_segments_are_distributed_evenly_over_workers(self) -> None:
         homes = [max(range(6), key=lambda w: affinity(f"part{p}", f"worker{w}")) for p in range(600)]
@@ -127,7 +133,7 @@
     async def asyncSetUp(self) -> None:
         self.clock = Clock()
         self.utilisation = 0.2
-        self.queue = DeferredLane(lambda: self.utilisation, self.clock)
+        self.queue = DeferredQueue(lambda: self.utilisation, self.clock)
         self.order: list[str] = []
         self.room = 100
 
@@ -143,7 +149,7 @@
         return task
 
     async def release(self) -> list[str]:
-        self.queue.look()
+        self.queue.release_ready()
         for _ in range(3):
             await asyncio.sleep(0)
         return self.order
@@ -152,7 +158,7 @@
         self.utilisation = 0.95
         for _ in range(130):
             self.clock.now += 0.25
-            self.queue.look()
+            self.queue.release_ready()
         self.assertTrue(self.queue.switch.busy)
 
     async def test_idle_releases_all_by_deadline_and_late_ranks_last(self) -> None:
@@ -226,33 +232,33 @@
             waiting, streaming = worker.begin(limit, None), worker.begin(limit, None)
             sent = waiting.sent_at
             self.assertFalse(worker.suspected(sent + 0.1))
-            self.assertTrue(worker.suspected(sent + limits.WORKER_SILENT + 0.1))
-            worker.heard(streaming)
-            self.assertFalse(worker.suspected(sent + limits.WORKER_SILENT + 0.1))
+            self.assertTrue(worker.suspected(sent + limits.WORKER_SILENCE_S + 0.1))
+            worker.record_data(streaming)
+            self.assertFalse(worker.suspected(sent + limits.WORKER_SILENCE_S + 0.1))
 
     async def test_long_prompt_extends_silence_limit_until_the_first_data(self) -> None:
         worker = Attempts()
         prefill_time = 1.0
-        tokens = int(prefill_time * limits.READ_PER_SECOND)
+        tokens = int(prefill_time * limits.MIN_PREFILL_TOKENS_PER_SECOND)
         with self.assertRaises(TimeoutError):
             async with asyncio.timeout(None) as limit:
-                attempt = worker.begin(limit, limits.REQUEST_SILENT, tokens)
+                attempt = worker.begin(limit, limits.REQUEST_SILENCE_S, tokens)
                 sent = attempt.sent_at
-                self.assertFalse(worker.suspected(sent + limits.WORKER_SILENT + 0.9 * prefill_time))
-                self.assertTrue(worker.suspected(sent + limits.WORKER_SILENT + 1.1 * prefill_time))
-                self.assertEqual(worker.end_silent(sent + limits.WORKER_SILENT + 0.9 * prefill_time), 0)
-                worker.heard(attempt)
-                first_at = attempt.heard_at
-                self.assertEqual(worker.end_silent(first_at + 0.9 * limits.REQUEST_SILENT), 0)
-                self.assertEqual(worker.end_silent(first_at + 1.1 * limits.REQUEST_SILENT), 1)
+                self.assertFalse(worker.suspected(sent + limits.WORKER_SILENCE_S + 0.9 * prefill_time))
+                self.assertTrue(worker.suspected(sent + limits.WORKER_SILENCE_S + 1.1 * prefill_time))
+                self.assertEqual(worker.end_silent(sent + limits.WORKER_SILENCE_S + 0.9 * prefill_time), 0)
+                worker.record_data(attempt)
+                first_at = attempt.last_data_at
+                self.assertEqual(worker.end_silent(first_at + 0.9 * limits.REQUEST_SILENCE_S), 0)
+                self.assertEqual(worker.end_silent(first_at + 1.1 * limits.REQUEST_SILENCE_S), 1)
                 await asyncio.Event().wait()
 
     async def test_extension_of_the_silence_limit_is_bounded(self) -> None:
         worker = Attempts()
         with self.assertRaises(TimeoutError):
             async with asyncio.timeout(None) as limit:
-                attempt = worker.begin(limit, limits.REQUEST_SILENT, 10**9)
-                late = attempt.sent_at + limits.WORKER_SILENT + limits.READING_MOST + 0.1
+                attempt = worker.begin(limit, limits.REQUEST_SILENCE_S, 10**9)
+                late = attempt.sent_at + limits.WORKER_SILENCE_S + limits.MAX_PREFILL_ALLOWANCE_S + 0.1
                 self.assertEqual(worker.end_silent(late), 1)
                 await asyncio.Event().wait()
 
@@ -262,18 +268,20 @@
             with self.assertRaises(TimeoutError):
                 async with asyncio.timeout(None) as limit:
                     unrepeatable = worker.begin(unlimited, None)
-                    repeatable = worker.begin(limit, limits.REQUEST_SILENT)
+                    repeatable = worker.begin(limit, limits.REQUEST_SILENCE_S)
                     self.assertEqual(worker.end_silent(repeatable.sent_at + 0.1), 0)
-                    self.assertEqual(worker.end_silent(repeatable.sent_at + limits.REQUEST_SILENT + 0.1), 1)
+                    self.assertEqual(
+                        worker.end_silent(repeatable.sent_at + limits.REQUEST_SILENCE_S + 0.1), 1
+                    )
                     await asyncio.Event().wait()
-            self.assertEqual(worker.under_way, {unrepeatable})
+            self.assertEqual(worker.active, {unrepeatable})
 
 
 class WorkerSelection(unittest.TestCase):
     def setUp(self) -> None:
         self.pool = WorkerPool.__new__(WorkerPool)
         self.pool.by_id, self.pool._by_service, self.pool._rings = {}, {}, {}
-        self.pool._seat, self.pool._shares = Seat(), {}
+        self.pool._position, self.pool._shares = DispatcherPosition(), {}
         self.pool.changed = mock.Mock()
         with mock.patch("asyncio.Event", mock.Mock):
             self.pool.update(
@@ -284,7 +292,7 @@
     def pick_counts(self, count: int = 400, **options: bool) -> dict[str, int]:
         found: dict[str, int] = {}
         for _ in range(count):
-            worker = self.admission.pick("s", NOTHING, set(), **options)
+            worker = self.admission.pick("s", NO_SHARED_PREFIX, set(), **options)
             if worker is not None:
                 found[worker.entry.id] = found.get(worker.entry.id, 0) + 1
         return found
@@ -292,25 +300,25 @@
     def test_own_and_peer_load_reduce_weight(self) -> None:
         self.pool.by_id["w0"].inflight = 5
         for _ in range(20):
-            self.pool.take_loads({"w1": WorkerLoad("w1", 9, 0)})
+            self.pool.update_peer_loads({"w1": WorkerLoad("w1", 9, 0)})
         found = self.pick_counts()
         self.assertLess(found.get("w0", 0), 30)
         self.assertLess(found.get("w1", 0), 60)
 
     def test_draining_and_tried_workers_are_not_picked(self) -> None:
         self.pool.by_id["w0"].entry.state = "draining"
-        found = {w.entry.id for _ in range(200) if (w := self.admission.pick("s", NOTHING, {"w1"}))}
+        found = {w.entry.id for _ in range(200) if (w := self.admission.pick("s", NO_SHARED_PREFIX, {"w1"}))}
         self.assertEqual(found, {"w2", "w3"})
 
     def test_worker_with_errors_gets_few_requests_until_it_recovers(self) -> None:
         erroring = self.pool.by_id["w0"]
         for _ in range(30):
-            self.admission.answered(erroring, 500)
+            self.admission.record_response(erroring, 500)
         found = self.pick_counts()
         self.assertLess(found.get("w0", 0), 25)
         self.assertGreater(found.get("w0", 0), 0)
         for _ in range(60):
-            self.admission.answered(erroring, 200)
+            self.admission.record_response(erroring, 200)
         self.assertGreater(self.pick_counts().get("w0", 0), 60)
 
     def test_near_or_connected_worker_is_preferred_while_it_has_spare_slots(self) -> None:
@@ -319,15 +327,15 @@
         near.entry.zone = "z"
         found = self.pick_counts()
         self.assertGreater(found["w0"], 1.5 * max(found["w1"], found["w2"], found["w3"]))
-        with mock.patch.object(connected, "has_kept", return_value=True):
+        with mock.patch.object(connected, "has_idle_connection", return_value=True):
             self.assertGreater(self.pick_counts()["w1"], 250)
-            connected.others_live = 8.0
+            connected.peer_requests = 8.0
             self.assertLess(self.pick_counts().get("w1", 0), 60)
-        near.others_live = 8.0
+        near.peer_requests = 8.0
         self.assertLess(self.pick_counts().get("w0", 0), 60)
 
     def test_large_prompt_goes_to_its_home_worker(self) -> None:
-        prefix = shared_prefix("aa:13000,bb:400")
+        prefix = parse_shared_prefix("aa:13000,bb:400")
         homes = [self.admission.pick("s", prefix, set()) for _ in range(100)]
         names = [w.entry.id for w in homes if w]
         self.assertGreater(max(names.count(n) for n in set(names)), 80)
@@ -336,7 +344,7 @@
         entries = {f"w{k}": Worker(id=f"w{k}", service="s", state="ready", capacity=10) for k in range(40)}
         with mock.patch("asyncio.Event", mock.Mock):
             self.pool.update(entries)
-        prefix = shared_prefix("aa:13000,bb:400")
+        prefix = parse_shared_prefix("aa:13000,bb:400")
 
         def pick_counts() -> Counter[str]:
             return Counter(w.entry.id for _ in range(200) if (w := self.admission.pick("s", prefix, set())))
@@ -344,8 +352,8 @@
         (home, often) = pick_counts().most_common(1)[0]
         self.assertGreater(often, 160)
         for name in self.pool.by_id:
-            self.pool.by_id[name].others_live = 7.0
-        self.pool.by_id[home].others_live = 10.0
+            self.pool.by_id[name].peer_requests = 7.0
+        self.pool.by_id[home].peer_requests = 10.0
         full = pick_counts()
         (second, often) = next(pair for pair in full.most_common() if pair[0] != home)
         self.assertGreater(often, 160)
@@ -353,49 +361,49 @@
         self.assertGreater(pick_counts()[second], 180)
 
     def test_worker_that_peers_cannot_reach_is_not_picked(self) -> None:
-        self.pool.take_loads({"w0": WorkerLoad("w0", failing=2), "w1": WorkerLoad("w1", failing=1)})
+        self.pool.update_peer_loads({"w0": WorkerLoad("w0", failing=2), "w1": WorkerLoad("w1", failing=1)})
         self.assertEqual(set(self.pick_counts()), {"w1", "w2", "w3"})
         worker = self.pool.by_id["w0"]
-        worker.attempts.heard_at = time.monotonic()  # it has just sent data here
+        worker.attempts.last_data_at = time.monotonic()  # it has just sent data here
         self.assertIn("w0", self.pick_counts())
-        worker.attempts.heard_at = 0.0
-        self.pool.take_loads({})
+        worker.attempts.last_data_at = 0.0
+        self.pool.update_peer_loads({})
         self.assertIn("w0", self.pick_counts())
 
     def test_idle_connections_are_closed_once_per_series_of_peer_failures(self) -> None:
         worker = self.pool.by_id["w0"]
-        with mock.patch.object(type(worker), "forget_kept") as forget:
+        with mock.patch.object(type(worker), "close_idle_connections") as forget:
             for failing in (1, 2, 3, 1, 2):
-                worker.note_failing(failing)
+                worker.record_peer_failures(failing)
         self.assertEqual(forget.call_count, 2)
 
     def test_planned_worker_is_used_only_if_healthy_from_here(self) -> None:
         def usable(name: str) -> bool:
-            return self.admission.usable(name, "s") is not None
+            return self.admission.usable_worker(name, "s") is not None
 
         now = time.monotonic()
         self.assertTrue(usable("w0"))
         self.assertFalse(usable("w9"))
-        self.assertIsNone(self.admission.usable("w0", "another"))
+        self.assertIsNone(self.admission.usable_worker("w0", "another"))
         self.pool.by_id["w0"].entry.state = "draining"
-        self.admission.failed(self.pool.by_id["w1"])
+        self.admission.record_failure(self.pool.by_id["w1"])
         for _ in range(30):
-            self.admission.answered(self.pool.by_id["w2"], 500)
-        self.pool.by_id["w3"].pace.doublings, self.pool.by_id["w3"].pace.at = 3.0, now
+            self.admission.record_response(self.pool.by_id["w2"], 500)
+        self.pool.by_id["w3"].latency.doublings, self.pool.by_id["w3"].latency.updated_at = 3.0, now
         self.assertEqual([usable(f"w{k}") for k in range(4)], [False] * 4)
 
     def test_peer_failures_of_most_workers_exclude_none(self) -> None:
         """In that case the peers that report failures are cut off themselves."""
-        self.pool.take_loads({f"w{k}": WorkerLoad(f"w{k}", failing=4) for k in range(3)})
+        self.pool.update_peer_loads({f"w{k}": WorkerLoad(f"w{k}", failing=4) for k in range(3)})
         self.assertEqual(len(self.pick_counts()), 4)
 
     def test_recent_failure_is_reported_to_peers(self) -> None:
         worker = self.pool.by_id["w2"]
-        self.admission.failed(worker)
-        (load,) = self.pool.loads()
+        self.admission.record_failure(worker)
+        (load,) = self.pool.own_loads()
         self.assertEqual((load.worker, load.failing, load.requests), ("w2", 1, 0))
         worker.failing_until = 0.0
-        self.assertEqual(self.pool.loads(), [])
+        self.assertEqual(self.pool.own_loads(), [])
 
 
 class Subsets(unittest.TestCase):
@@ -408,30 +416,39 @@
             (7, 9, 1),
         ):
             with self.subTest(workers=workers, dispatchers=dispatchers):
-                names = ring(f"i-{k}" for k in range(workers))
-                subsets = [preferred(names, Seat(n + 1, dispatchers), inflight) for n in range(dispatchers)]
-                self.assertEqual({len(subset) for subset in subsets}, {max(LEAST, inflight + IDLE)})
+                names = hash_ring(f"i-{k}" for k in range(workers))
+                subsets = [
+                    preferred_subset(names, DispatcherPosition(n + 1, dispatchers), inflight)
+                    for n in range(dispatchers)
+                ]
+                self.assertEqual(
+                    {len(subset) for subset in subsets}, {max(MIN_SUBSET_SIZE, inflight + SPARE_WORKERS)}
+                )
                 shared = Counter(name for subset in subsets for name in subset)
                 counts = [shared[name] for name in names]
                 if dispatchers >= workers:
-                    self.assertLessEqual(max(counts) - min(counts), max(1, (LEAST + inflight + IDLE) // 2))
-                mean = dispatchers * max(LEAST, inflight + IDLE) / workers
+                    self.assertLessEqual(
+                        max(counts) - min(counts), max(1, (MIN_SUBSET_SIZE + inflight + SPARE_WORKERS) // 2)
+                    )
+                mean = dispatchers * max(MIN_SUBSET_SIZE, inflight + SPARE_WORKERS) / workers
                 self.assertLess(max(counts), mean + 2)
 
     def test_ring_is_independent_of_the_workers_order(self) -> None:
         names = [f"i-{k}" for k in range(20)]
-        self.assertEqual(ring(names), ring(reversed(names)))
+        self.assertEqual(hash_ring(names), hash_ring(reversed(names)))
 
     def test_few_workers_or_unknown_position_give_no_subset(self) -> None:
-        names = ring(f"i-{k}" for k in range(6))
-        self.assertEqual(preferred(names, Seat(1, 4), 6 - IDLE), frozenset())
-        self.assertEqual(preferred(names, Seat(0, 4), 0), frozenset())
-        self.assertEqual(preferred([], Seat(1, 4), 0), frozenset())
-        self.assertEqual(len(preferred(names, Seat(9, 4), 0)), LEAST)  # the assigning node knows fewer
+        names = hash_ring(f"i-{k}" for k in range(6))
+        self.assertEqual(preferred_subset(names, DispatcherPosition(1, 4), 6 - SPARE_WORKERS), frozenset())
+        self.assertEqual(preferred_subset(names, DispatcherPosition(0, 4), 0), frozenset())
+        self.assertEqual(preferred_subset([], DispatcherPosition(1, 4), 0), frozenset())
+        self.assertEqual(
+            len(preferred_subset(names, DispatcherPosition(9, 4), 0)), MIN_SUBSET_SIZE
+        )  # the assigning node knows fewer
 
     def test_subset_only_grows_with_more_streams(self) -> None:
-        names = ring(f"i-{k}" for k in range(40))
-        subsets = [preferred(names, Seat(5, 9), inflight) for inflight in range(20)]
+        names = hash_ring(f"i-{k}" for k in range(40))
+        subsets = [preferred_subset(names, DispatcherPosition(5, 9), inflight) for inflight in range(20)]
         for smaller, larger in itertools.pairwise(subsets):
             self.assertLessEqual(smaller, larger)
 
@@ -451,17 +468,17 @@
             pool.update({n: Worker(id=n, service="s", state="ready", capacity=12) for n in names})
             dispatchers.append(Admission(pool, rng))
             if positions:
-                pool.seat = Seat(number, self.DISPATCHERS)
+                pool.position = DispatcherPosition(number, self.DISPATCHERS)
         streams: list[tuple[Admission, WorkerState]] = []
         loads: Counter[str] = Counter()
         for _ in range(self.ROUNDS * self.STREAMS):
             if len(streams) == self.STREAMS:
                 dispatcher, worker = streams.pop(rng.randrange(self.STREAMS))
-                dispatcher.done(worker, True)
+                dispatcher.record_finished(worker, True)
                 loads[worker.entry.id] -= 1
             dispatcher = rng.choice(dispatchers)
-            worker = dispatcher.pick("s", NOTHING, set()) or self.fail("no worker")
-            dispatcher.sent(worker)
+            worker = dispatcher.pick("s", NO_SHARED_PREFIX, set()) or self.fail("no worker")
+            dispatcher.record_sent(worker)
             streams.append((dispatcher, worker))
             loads[worker.entry.id] += 1
         mean = self.STREAMS / self.WORKERS
