--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -24,7 +24,7 @@
     WorkerEntry,
     WorkerList,
 )
-from tests.world import CLASSES, MS, S, World, make_settings, workers
+from tests.balancer_harness import CLASSES, MS, S, World, make_settings, workers
 
 
 def keep_reporting(w: World, seconds: int, util: float) -> None:
--- a/tests/test_missing_reports.py
+++ b/tests/test_missing_reports.py
@@ -8,7 +8,7 @@
 import pytest
 
 from heronstall.interface import RequestClass, Send, WorkerEntry, WorkerList
-from tests.world import MS, UNSAFE, S, World, make_settings, workers
+from tests.balancer_harness import MS, UNSAFE, S, World, make_settings, workers
 
 SHORT = RequestClass(aim=150 * MS, deadline=5 * S, effect="safe", stretch=2.0)
 SLOTS, WORK = 5, 200 * MS  # per server, per request
--- a/tests/test_missing_start_signals.py
+++ b/tests/test_missing_start_signals.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from heronstall.interface import JobNote, Outcome, Report, RequestClass, WorkerEntry, WorkerList
-from tests.world import MS, S, World, make_settings
+from tests.balancer_harness import MS, S, World, make_settings
 
 LONG = RequestClass(aim=3 * S, deadline=25 * S, effect="safe", stretch=2.0, late_worth=0.25)
 SHORT = RequestClass(aim=300 * MS, deadline=5 * S, effect="safe", stretch=2.0, late_worth=0.25)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -28,7 +28,7 @@
     WorkerEntry,
     WorkerList,
 )
-from tests.world import CLASSES, MS, SAFE, S, World, make_settings, workers
+from tests.balancer_harness import CLASSES, MS, SAFE, S, World, make_settings, workers
 
 STATUSES: list[Status] = [
     "ok",
