--- a/tests/balancer_harness.py
+++ b/tests/balancer_harness.py
@@ -70,9 +70,9 @@
     """An attempt, as the actions and events describe it."""
 
     worker: int
-    sent: int
-    out: bool = True
-    maybe_ran: bool = True
+    sent_at: int
+    is_open: bool = True
+    may_have_run: bool = True
 
 
 @dataclass
@@ -80,47 +80,47 @@
     """A request, as the actions and events describe it."""
 
     cls: int
-    give_up: int
-    tries: list[Attempt] = field(default_factory=list)
+    client_deadline: int
+    attempts: list[Attempt] = field(default_factory=list)
     answer: str = ""
 
 
-class World:
+class BalancerHarness:
     """Drives one Balancer; every `step` checks its actions against the rules."""
 
     def __init__(self, settings: Settings | None = None, seed: int = 7) -> None:
         self.settings = settings or make_settings()
         self.balancer = Balancer(self.settings, seed)
         self.now = 1_000 * S
-        self.clients: dict[int, RequestState] = {}
+        self.requests: dict[int, RequestState] = {}
         self.entries: dict[int, WorkerEntry] = {}
-        self.probes: list[int] = []
-        self.wakes: list[int] = []
-        self.last: list[Action] = []
+        self.probed_workers: list[int] = []
+        self.wake_times: list[int] = []
+        self.last_actions: list[Action] = []
 
-    def wait_for_a_probe(self, within: int = 20 * S) -> None:
+    def wait_for_probe(self, within: int = 20 * S) -> None:
         """Lets time pass without events until the Balancer sends a probe."""
         until = self.now + within
-        while not self.probes and self.now < until:
+        while not self.probed_workers and self.now < until:
             self.step(after=200 * MS)
 
     def step(self, *events: Event, after: int = 0) -> list[Action]:
         """Lets time pass, passes the events (and a due timer) on, checks the actions and returns them."""
         self.now += after
         batch = list(events)
-        if any(w <= self.now for w in self.wakes):
-            self.wakes = [w for w in self.wakes if w > self.now]
+        if any(w <= self.now for w in self.wake_times):
+            self.wake_times = [w for w in self.wake_times if w > self.now]
             batch.append(Timer())
         for event in batch:
             self._record(event)
-        self.last = self.balancer.handle(self.now, batch)
-        for action in self.last:
+        self.last_actions = self.balancer.handle(self.now, batch)
+        for action in self.last_actions:
             self._check(action)
-        for client in self.clients.values():
-            assert client.answer or self.now <= client.give_up + self.settings.answer_grace, (
+        for request in self.requests.values():
+            assert request.answer or self.now <= request.client_deadline + self.settings.answer_grace, (
                 "a request was lost"
             )
-        return self.last
+        return self.last_actions
 
     def run(self, duration: int, pace: int = 4 * MS) -> list[Action]:
         """Runs the Balancer's timers for a time, without other events; returns all actions."""
@@ -128,20 +128,20 @@
         end = self.now + duration
         while self.now < end:
             self.now += pace
-            if any(w <= self.now for w in self.wakes):
+            if any(w <= self.now for w in self.wake_times):
                 actions += self.step()
         return actions
 
     def _record(self, event: Event) -> None:
         """Updates the state of requests and workers by an event."""
         if isinstance(event, Arrival):
-            self.clients[event.request] = RequestState(event.cls, self.now + event.time_left)
+            self.requests[event.request] = RequestState(event.cls, self.now + event.time_left)
         elif isinstance(event, Outcome):
-            client = self.clients[event.request]
-            attempt = client.tries[event.attempt]
-            attempt.out, attempt.maybe_ran = False, event.status not in PROVES_NOT_RUN
-            if event.ended and not client.answer:
-                client.answer = "served" if event.status == "ok" else "ended"
+            request = self.requests[event.request]
+            attempt = request.attempts[event.attempt]
+            attempt.is_open, attempt.may_have_run = False, event.status not in PROVES_NOT_RUN
+            if event.ended and not request.answer:
+                request.answer = "served" if event.status == "ok" else "ended"
         elif isinstance(event, WorkerList) and event.scope != "error":
             if event.scope != "changes":
                 self.entries = {}
@@ -151,45 +151,45 @@
         """Checks an action and updates the state of its request."""
         if isinstance(action, WakeAt):
             assert action.at > self.now
-            self.wakes.append(action.at)
+            self.wake_times.append(action.at)
         elif isinstance(action, Probe):
-            self.probes.append(action.worker)
+            self.probed_workers.append(action.worker)
         elif isinstance(action, Cancel):
             assert self.settings.cancelling
         elif isinstance(action, Send):
             self._check_send(action)
         elif isinstance(action, (Refuse, Fail)):
-            client = self.clients[action.request]
-            assert not client.answer, "answered twice"
-            client.answer = "refused" if isinstance(action, Refuse) else "failed"
-            cls = self.settings.classes[client.cls]
+            request = self.requests[action.request]
+            assert not request.answer, "answered twice"
+            request.answer = "refused" if isinstance(action, Refuse) else "failed"
+            cls = self.settings.classes[request.cls]
             if isinstance(action, Refuse) and (
                 cls.effect == "unsafe" or (cls.effect == "keyed" and cls.group != "all")
             ):
-                assert not any(attempt.maybe_ran for attempt in client.tries), (
+                assert not any(attempt.may_have_run for attempt in request.attempts), (
                     "refused a job that may have run"
                 )
 
     def _check_send(self, action: Send) -> None:
         """Checks a send and adds its attempt to the request."""
-        client = self.clients[action.request]
-        cls = self.settings.classes[client.cls]
+        request = self.requests[action.request]
+        cls = self.settings.classes[request.cls]
         entry = self.entries.get(action.worker)
         assert entry is not None and entry.state == "active", "sent to a worker that is draining or gone"
-        assert not client.answer, "sent after the final answer"
-        assert len(client.tries) < self.settings.max_attempts
-        assert self.settings.second_copies or not any(attempt.out for attempt in client.tries), (
+        assert not request.answer, "sent after the final answer"
+        assert len(request.attempts) < self.settings.max_attempts
+        assert self.settings.second_copies or not any(attempt.is_open for attempt in request.attempts), (
             "two attempts at once"
         )
-        possible_runs = [attempt for attempt in client.tries if attempt.maybe_ran]
+        possible_runs = [attempt for attempt in request.attempts if attempt.may_have_run]
         if possible_runs and cls.effect != "safe":
             assert cls.effect == "keyed", "an unsafe job was sent again"
-            assert self.now <= possible_runs[0].sent + cls.repeat_window, "sent after the repeat window"
+            assert self.now <= possible_runs[0].sent_at + cls.repeat_window, "sent after the repeat window"
             first = self.entries.get(possible_runs[0].worker)
             if cls.group != "all" and first is not None:
                 same = first.zone == entry.zone if cls.group == "zone" else first.cell == entry.cell
                 assert same, "sent outside the group"
-        client.tries.append(Attempt(action.worker, self.now))
+        request.attempts.append(Attempt(action.worker, self.now))
 
     # ------------------------------------------------------------- shortcuts
 
@@ -213,14 +213,14 @@
 
     def started(self, number: int) -> list[Action]:
         """Sends the start of a request's latest attempt."""
-        tries = self.clients[number].tries
-        return self.step(JobNote(number, tries[-1].worker, len(tries) - 1))
+        attempts = self.requests[number].attempts
+        return self.step(JobNote(number, attempts[-1].worker, len(attempts) - 1))
 
     def outcome(self, number: int, status: Status, attempt: int = -1) -> list[Action]:
         """Sends the end of an attempt, by default the latest one."""
-        tries = self.clients[number].tries
-        index = attempt % len(tries)
-        return self.step(Outcome(number, tries[index].worker, index, status == "ok", status, 1000))
+        attempts = self.requests[number].attempts
+        index = attempt % len(attempts)
+        return self.step(Outcome(number, attempts[index].worker, index, status == "ok", status, 1000))
 
     def serve(
         self, number: int, cls: int = 0, work: int = 200 * MS, delay: int = 0, **options: object
@@ -238,11 +238,11 @@
 
     def sends(self) -> list[Send]:
         """Returns the sends of the last step."""
-        return [a for a in self.last if isinstance(a, Send)]
+        return [a for a in self.last_actions if isinstance(a, Send)]
 
     def answer(self, number: int) -> str:
         """Returns the answer to a request; empty if there is none."""
-        return self.clients[number].answer
+        return self.requests[number].answer
 
 
 def workers(count: int, **options: object) -> list[WorkerEntry]:
--- a/tests/test_missing_reports.py
+++ b/tests/test_missing_reports.py
@@ -8,56 +8,56 @@
 import pytest
 
 from heronstall.interface import RequestClass, Send, WorkerEntry, WorkerList
-from tests.balancer_harness import MS, UNSAFE, S, World, make_settings, workers
+from tests.balancer_harness import MS, UNSAFE, BalancerHarness, S, make_settings, workers
 
 SHORT = RequestClass(aim=150 * MS, deadline=5 * S, effect="safe", stretch=2.0)
 SLOTS, WORK = 5, 200 * MS  # per server, per request
 COLD, COLD_FROM, MULTIPLE = 8 * S, 0.3, 3.0
 
 
-def world(**changes: object) -> World:
+def make_harness(**changes: object) -> BalancerHarness:
     defaults: dict[str, object] = {"reports": "none", "probes": False, "cancelling": False}
-    return World(make_settings(**{**defaults, **changes}))
+    return BalancerHarness(make_settings(**{**defaults, **changes}))
 
 
 def test_a_job_that_times_out_after_its_aim_is_refused_without_a_retry() -> None:
-    w = world(classes=(SHORT,), nodes=1)
-    w.step(WorkerList("complete", tuple(workers(4))))
-    w.request(1, 0, work=WORK)
-    (send,) = w.sends()
+    harness = make_harness(classes=(SHORT,), nodes=1)
+    harness.step(WorkerList("complete", tuple(workers(4))))
+    harness.request(1, 0, work=WORK)
+    (send,) = harness.sends()
     assert send.timeout == 5 * S // 2
-    w.now += send.timeout
-    w.outcome(1, "timeout")
-    assert w.answer(1) == "refused" and not w.sends()
+    harness.now += send.timeout
+    harness.outcome(1, "timeout")
+    assert harness.answer(1) == "refused" and not harness.sends()
 
 
 def test_a_job_that_times_out_early_enough_is_retried() -> None:
-    w = world(classes=(RequestClass(aim=4 * S, deadline=5 * S, effect="safe"),), nodes=1)
-    w.step(WorkerList("complete", tuple(workers(4))))
-    w.request(1, 0, work=WORK)
-    w.now += 5 * S // 2
-    w.outcome(1, "timeout")
-    assert len(w.clients[1].tries) == 2
+    harness = make_harness(classes=(RequestClass(aim=4 * S, deadline=5 * S, effect="safe"),), nodes=1)
+    harness.step(WorkerList("complete", tuple(workers(4))))
+    harness.request(1, 0, work=WORK)
+    harness.now += 5 * S // 2
+    harness.outcome(1, "timeout")
+    assert len(harness.requests[1].attempts) == 2
 
 
 @pytest.mark.parametrize("started", [False, True])
 def test_a_server_whose_attempt_times_out_unstarted_is_ejected(started: bool) -> None:
     """A server that started the attempt may be slow with this job only."""
-    w = world(classes=(SHORT, UNSAFE), nodes=1)
-    w.step(WorkerList("complete", tuple(workers(4))))
-    w.request(1, 0, work=WORK)
-    (send,) = w.sends()
+    harness = make_harness(classes=(SHORT, UNSAFE), nodes=1)
+    harness.step(WorkerList("complete", tuple(workers(4))))
+    harness.request(1, 0, work=WORK)
+    (send,) = harness.sends()
     if started:
-        w.started(1)
-    w.now += send.timeout
-    w.outcome(1, "timeout")
+        harness.started(1)
+    harness.now += send.timeout
+    harness.outcome(1, "timeout")
     used = set()
     for n in range(2, 60):
-        w.request(n, 1, work=MS)
-        used |= {a.worker for a in w.sends()}
-        w.started(n)
-        w.outcome(n, "ok")
-        w.now += 5 * MS
+        harness.request(n, 1, work=MS)
+        used |= {a.worker for a in harness.sends()}
+        harness.started(n)
+        harness.outcome(n, "ok")
+        harness.now += 5 * MS
     assert (send.worker in used) is started
     assert len(used) >= 3
 
@@ -85,33 +85,33 @@
             cold_from=COLD_FROM,
             fall_multiple=MULTIPLE,
         )
-        w = World(settings, seed=seed * 1000 + node)
-        w.step(WorkerList("complete", tuple(workers(10))))
-        start = w.now + 6 * S
+        harness = BalancerHarness(settings, seed=seed * 1000 + node)
+        harness.step(WorkerList("complete", tuple(workers(10))))
+        start = harness.now + 6 * S
         listed = False
         running: list[tuple[int, int]] = []
         number = 0
-        next_arrival = w.now + int(rng.expovariate(rate * share) * S)
-        while w.now < start + 3 * S:
+        next_arrival = harness.now + int(rng.expovariate(rate * share) * S)
+        while harness.now < start + 3 * S:
             at = min([next_arrival, *(end for end, _ in running[:1])])
-            w.now = at
-            if not listed and w.now >= start:
+            harness.now = at
+            if not listed and harness.now >= start:
                 listed = True
-                w.step(WorkerList("changes", (WorkerEntry(99, zone=1, cell=1, started_at=start),)))
+                harness.step(WorkerList("changes", (WorkerEntry(99, zone=1, cell=1, started_at=start),)))
             if running and running[0][0] <= at:
-                w.outcome(running.pop(0)[1], "ok")
+                harness.outcome(running.pop(0)[1], "ok")
             else:
                 next_arrival = at + int(rng.expovariate(rate * share) * S)
                 if reports != "none":
-                    w.report(*w.entries, free=1.0, util=0.8)
+                    harness.report(*harness.entries, free=1.0, util=0.8)
                 number += 1
-                w.request(number, 0, work=WORK)
-            for action in w.last:
+                harness.request(number, 0, work=WORK)
+            for action in harness.last_actions:
                 if isinstance(action, Send):
                     if action.worker == 99:
-                        sent.append(w.now)
-                    w.started(action.request)
-                    running.append((w.now + WORK, action.request))
+                        sent.append(harness.now)
+                    harness.started(action.request)
+                    running.append((harness.now + WORK, action.request))
     worst = max((sum(at <= t < at + S for t in sent) for at in sent), default=0)
     warmth = COLD_FROM + (1 - COLD_FROM) * 3 / 8  # at the end of the measured time
     return worst, MULTIPLE * SLOTS * warmth / (WORK / S)
@@ -130,20 +130,20 @@
 
 @pytest.mark.parametrize("reports", ["none", "answers"])
 def test_slow_starts_never_make_a_node_refuse_everything_for_seconds(reports: str) -> None:
-    w = world(classes=(SHORT,), nodes=200, me=3, reports=reports)
-    w.step(WorkerList("complete", tuple(workers(20))))
-    sent_at = [w.now]
+    harness = make_harness(classes=(SHORT,), nodes=200, me=3, reports=reports)
+    harness.step(WorkerList("complete", tuple(workers(20))))
+    sent_at = [harness.now]
     waiting: list[tuple[int, int]] = []
     for number in range(60 * 4):  # a minute at four requests per second
-        w.now += 250 * MS
-        for late in [n for at, n in waiting if w.now >= at + S]:
+        harness.now += 250 * MS
+        for late in [n for at, n in waiting if harness.now >= at + S]:
             waiting = [(at, n) for at, n in waiting if n != late]
-            w.started(late)
-            w.outcome(late, "ok")
-        w.request(number, 0, work=WORK)
-        for action in w.sends():
-            sent_at.append(w.now)
-            waiting.append((w.now, action.request))
-    gaps = [b - a for a, b in zip(sent_at, [*sent_at[1:], w.now], strict=True)]
+            harness.started(late)
+            harness.outcome(late, "ok")
+        harness.request(number, 0, work=WORK)
+        for action in harness.sends():
+            sent_at.append(harness.now)
+            waiting.append((harness.now, action.request))
+    gaps = [b - a for a, b in zip(sent_at, [*sent_at[1:], harness.now], strict=True)]
     assert len(sent_at) < 200, "some are refused"
     assert sum(gap > 4 * S for gap in gaps) <= 1, max(gaps)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -28,7 +28,7 @@
     WorkerEntry,
     WorkerList,
 )
-from tests.balancer_harness import CLASSES, MS, SAFE, S, World, make_settings, workers
+from tests.balancer_harness import CLASSES, MS, SAFE, BalancerHarness, S, make_settings, workers
 
 STATUSES: list[Status] = [
     "ok",
@@ -44,105 +44,105 @@
 
 @pytest.mark.parametrize("cls", range(5))
 def test_a_waiting_request_is_answered_before_its_client_leaves(cls: int) -> None:
-    w = World()
-    w.request(1, cls)
-    w.run(CLASSES[cls].deadline - 100 * MS)
-    w.run(150 * MS)
-    assert w.answer(1) == "refused"
+    harness = BalancerHarness()
+    harness.request(1, cls)
+    harness.run(CLASSES[cls].deadline - 100 * MS)
+    harness.run(150 * MS)
+    assert harness.answer(1) == "refused"
 
 
 @pytest.mark.parametrize(("cls", "answer"), [(0, "refused"), (1, "failed"), (2, "failed"), (4, "refused")])
 def test_a_request_whose_attempt_never_ends_is_answered_in_time(cls: int, answer: str) -> None:
-    w = World()
-    w.fleet(*workers(1))
-    w.request(1, cls)
-    assert len(w.sends()) == 1
-    w.started(1)
-    w.run(CLASSES[cls].deadline + 20 * MS)
-    assert w.answer(1) == answer
+    harness = BalancerHarness()
+    harness.fleet(*workers(1))
+    harness.request(1, cls)
+    assert len(harness.sends()) == 1
+    harness.started(1)
+    harness.run(CLASSES[cls].deadline + 20 * MS)
+    assert harness.answer(1) == answer
 
 
 def test_the_time_left_overrides_the_class_deadline() -> None:
-    w = World()
-    w.request(1, 1, time_left=300 * MS)
-    w.run(290 * MS)
-    assert w.answer(1) == "" or w.now <= w.clients[1].give_up
-    w.run(30 * MS)
-    assert w.answer(1) == "refused"
+    harness = BalancerHarness()
+    harness.request(1, 1, time_left=300 * MS)
+    harness.run(290 * MS)
+    assert harness.answer(1) == "" or harness.now <= harness.requests[1].client_deadline
+    harness.run(30 * MS)
+    assert harness.answer(1) == "refused"
 
 
 def test_a_request_with_almost_no_time_left_is_refused_at_once() -> None:
-    w = World()
-    w.fleet(*workers(2))
-    w.request(1, 0, time_left=3 * MS)
-    w.run(20 * MS)
-    assert w.answer(1) == "refused" and not w.clients[1].tries
+    harness = BalancerHarness()
+    harness.fleet(*workers(2))
+    harness.request(1, 0, time_left=3 * MS)
+    harness.run(20 * MS)
+    assert harness.answer(1) == "refused" and not harness.requests[1].attempts
 
 
 @pytest.mark.parametrize("status", STATUSES)
 @pytest.mark.parametrize("cls", range(5))
 def test_each_outcome_with_each_class(status: Status, cls: int) -> None:
-    w = World()
-    w.fleet(*workers(6))
-    w.request(1, cls)
-    w.outcome(1, status)
-    w.run(100 * MS)
+    harness = BalancerHarness()
+    harness.fleet(*workers(6))
+    harness.request(1, cls)
+    harness.outcome(1, status)
+    harness.run(100 * MS)
     proves_not_run = status in PROVES_NOT_RUN
     if status == "ok":
-        assert w.answer(1) == "served"
+        assert harness.answer(1) == "served"
     elif CLASSES[cls].effect == "unsafe" and not proves_not_run:
-        assert w.answer(1) == "failed" and len(w.clients[1].tries) == 1
+        assert harness.answer(1) == "failed" and len(harness.requests[1].attempts) == 1
     else:
-        assert len(w.clients[1].tries) == 2, "a repeatable request is retried on another worker"
+        assert len(harness.requests[1].attempts) == 2, "a repeatable request is retried on another worker"
 
 
 def test_retries_end_with_the_repeat_window() -> None:
     for wait, tries in ((2900 * MS, 2), (3000 * MS, 1)):
-        w = World()
-        w.fleet(*workers(6))
-        w.request(1, 2)
-        w.started(1)
-        w.now += wait
-        w.report(*range(1, 7))
-        w.outcome(1, "error")
-        assert len(w.clients[1].tries) == tries
-        assert (w.answer(1) == "failed") == (tries == 1)
+        harness = BalancerHarness()
+        harness.fleet(*workers(6))
+        harness.request(1, 2)
+        harness.started(1)
+        harness.now += wait
+        harness.report(*range(1, 7))
+        harness.outcome(1, "error")
+        assert len(harness.requests[1].attempts) == tries
+        assert (harness.answer(1) == "failed") == (tries == 1)
 
 
 def test_a_queued_job_is_not_retried_after_its_repeat_window() -> None:
-    w = World(make_settings(nodes=1))
-    w.fleet(*workers(6))
-    w.request(1, 2)
-    w.report(*range(1, 7), free=0.0)
-    w.now += 2900 * MS
-    w.report(*range(1, 7), free=0.0)
-    w.outcome(1, "error")
-    w.now += 200 * MS
-    w.report(*range(1, 7), free=4.0)
-    assert w.answer(1) == "failed" and len(w.clients[1].tries) == 1
+    harness = BalancerHarness(make_settings(nodes=1))
+    harness.fleet(*workers(6))
+    harness.request(1, 2)
+    harness.report(*range(1, 7), free=0.0)
+    harness.now += 2900 * MS
+    harness.report(*range(1, 7), free=0.0)
+    harness.outcome(1, "error")
+    harness.now += 200 * MS
+    harness.report(*range(1, 7), free=4.0)
+    assert harness.answer(1) == "failed" and len(harness.requests[1].attempts) == 1
 
 
 def test_no_second_attempt_while_one_is_in_flight() -> None:
-    w = World()
-    w.fleet(*workers(4))
-    w.request(1, 0)
-    assert any(isinstance(a, Cancel) for a in w.run(1200 * MS))
-    assert len(w.clients[1].tries) == 1
-    w.outcome(1, "cancelled")
-    assert len(w.clients[1].tries) == 2
+    harness = BalancerHarness()
+    harness.fleet(*workers(4))
+    harness.request(1, 0)
+    assert any(isinstance(a, Cancel) for a in harness.run(1200 * MS))
+    assert len(harness.requests[1].attempts) == 1
+    harness.outcome(1, "cancelled")
+    assert len(harness.requests[1].attempts) == 2
 
 
 @pytest.mark.parametrize("state", ["leaving", "left", "missing"])
 def test_a_worker_that_is_not_active_gets_no_jobs(state: str) -> None:
-    w = World()
-    w.fleet(*workers(2))
+    harness = BalancerHarness()
+    harness.fleet(*workers(2))
     if state == "missing":
-        w.step(WorkerList("complete", (workers(2)[1],)))
+        harness.step(WorkerList("complete", (workers(2)[1],)))
     else:
-        w.step(WorkerList("changes", (WorkerEntry(1, state=state),)))  # type: ignore[arg-type]
+        harness.step(WorkerList("changes", (WorkerEntry(1, state=state),)))  # type: ignore[arg-type]
     for n in range(10):
-        w.request(n)
-        assert [a.worker for a in w.sends()] in ([], [2])
+        harness.request(n)
+        assert [a.worker for a in harness.sends()] in ([], [2])
 
 
 def work_sent_to_a_cold_worker(nodes: int, late: int = 0) -> float:
@@ -152,20 +152,20 @@
     """
     sent: list[tuple[int, float]] = []
     for node in range(nodes):
-        w = World(make_settings(nodes=nodes, me=node), seed=node)
-        start = w.now + 20 * S
-        w.fleet(*workers(1))
-        w.now = start + late * node // nodes
-        w.step(WorkerList("changes", (WorkerEntry(1, zone=1, cell=1, started_at=start),)))
+        harness = BalancerHarness(make_settings(nodes=nodes, me=node), seed=node)
+        start = harness.now + 20 * S
+        harness.fleet(*workers(1))
+        harness.now = start + late * node // nodes
+        harness.step(WorkerList("changes", (WorkerEntry(1, zone=1, cell=1, started_at=start),)))
         for n in range(40):
-            w.now += 100 * MS
-            w.report(1)
-            w.request(n, 0, work=200 * MS)
-            for a in w.sends():
-                sent.append((w.now, 200.0 * MS))
+            harness.now += 100 * MS
+            harness.report(1)
+            harness.request(n, 0, work=200 * MS)
+            for a in harness.sends():
+                sent.append((harness.now, 200.0 * MS))
                 if a.request == n:
-                    w.started(n)
-                    w.outcome(n, "rejected" if n % 2 else "ok")
+                    harness.started(n)
+                    harness.outcome(n, "rejected" if n % 2 else "ok")
     return max((sum(x for t, x in sent if at <= t < at + S) for at, _ in sent), default=0.0)
 
 
@@ -178,27 +178,27 @@
 
 
 def test_a_restarted_node_sends_nothing_to_a_cold_worker_at_first() -> None:
-    w = World()
-    w.step(WorkerList("persisted", (WorkerEntry(1, started_at=w.now - S),)))
-    w.request(1, 0, work=10 * MS)
-    assert not w.sends()
+    harness = BalancerHarness()
+    harness.step(WorkerList("persisted", (WorkerEntry(1, started_at=harness.now - S),)))
+    harness.request(1, 0, work=10 * MS)
+    assert not harness.sends()
 
 
 def test_a_stream_that_has_begun_has_no_deadline() -> None:
-    w = World(make_settings(classes=(RequestClass(aim=100 * MS, deadline=S, streamed=True),)))
-    w.fleet(*workers(2))
-    w.request(1, 0)
-    w.step(StreamStarted(1, w.clients[1].tries[0].worker, 0))
-    w.clients[1].give_up = w.now + 60 * S
-    w.run(10 * S)
-    assert w.answer(1) == ""
-    w.outcome(1, "ok")
-    assert w.answer(1) == "served"
+    harness = BalancerHarness(make_settings(classes=(RequestClass(aim=100 * MS, deadline=S, streamed=True),)))
+    harness.fleet(*workers(2))
+    harness.request(1, 0)
+    harness.step(StreamStarted(1, harness.requests[1].attempts[0].worker, 0))
+    harness.requests[1].client_deadline = harness.now + 60 * S
+    harness.run(10 * S)
+    assert harness.answer(1) == ""
+    harness.outcome(1, "ok")
+    assert harness.answer(1) == "served"
 
 
 def test_events_of_unknown_requests_change_nothing() -> None:
-    w = World()
-    w.fleet(*workers(2))
+    harness = BalancerHarness()
+    harness.fleet(*workers(2))
     for e in (
         ClientGone(99),
         JobNote(99, 1, 0),
@@ -207,7 +207,9 @@
         ProbeResult(55, True, 1, Report(util=0.5)),
         Arrival(98, 77, S),
     ):
-        assert not [a for a in w.balancer.handle(w.now, [e]) if isinstance(a, (Send, Refuse, Fail))]
+        assert not [
+            a for a in harness.balancer.handle(harness.now, [e]) if isinstance(a, (Send, Refuse, Fail))
+        ]
 
 
 @pytest.mark.parametrize(
@@ -243,8 +245,8 @@
 def play_random_events(variant: int, seed: int, steps: int) -> list[str]:
     """Plays random legal events, with the rules checked after each step; returns the actions as text."""
     rng = random.Random(seed)
-    w = World(VARIANTS[variant], seed)
-    w.step(WorkerList("persisted", tuple(workers(3))))
+    harness = BalancerHarness(VARIANTS[variant], seed)
+    harness.step(WorkerList("persisted", tuple(workers(3))))
     log: list[str] = []
     request_number = 0
     for _ in range(steps):
@@ -252,14 +254,14 @@
         for _ in range(rng.randrange(4)):
             request_number += 1
             cls = rng.randrange(5)
-            time_left = int(w.settings.classes[cls].deadline * rng.choice([1.0, 1.0, 0.4, 0.001]))
+            time_left = int(harness.settings.classes[cls].deadline * rng.choice([1.0, 1.0, 0.4, 0.001]))
             work = rng.choice([None, 20 * MS, 300 * MS, 4 * S])
             events.append(
                 Arrival(request_number, cls, time_left, rng.randrange(2), None, work, rng.choice([1.0, 2.0]))
             )
-        for request, c in list(w.clients.items()):
-            for n, t in enumerate(c.tries):
-                if t.out and rng.random() < 0.2:
+        for request, c in list(harness.requests.items()):
+            for n, t in enumerate(c.attempts):
+                if t.is_open and rng.random() < 0.2:
                     status = rng.choice(STATUSES + ["ok"] * 5)
                     ended = bool(c.answer) or status == "ok"
                     report = Report(util=rng.random(), free_slots=float(rng.randrange(4)))
@@ -267,13 +269,13 @@
                     events.append(Outcome(request, t.worker, n, ended, status, 1, sent_report))
                     if ended:
                         break
-                elif t.out and rng.random() < 0.2:
+                elif t.is_open and rng.random() < 0.2:
                     events.append(JobNote(request, t.worker, n, rng.choice([None, 0.5])))
-        if rng.random() < 0.3 and w.entries:
+        if rng.random() < 0.3 and harness.entries:
             report = Report(util=rng.random(), inflight=2.0, free_slots=float(rng.randrange(5)))
-            events.append(ProbeResult(rng.choice(list(w.entries)), rng.random() < 0.8, 1, report))
+            events.append(ProbeResult(rng.choice(list(harness.entries)), rng.random() < 0.8, 1, report))
         if rng.random() < 0.15:
-            started_at = w.now if rng.random() < 0.5 else None
+            started_at = harness.now if rng.random() < 0.5 else None
             changed = workers(8, started_at=started_at)[rng.randrange(8)]
             state = rng.choice(["active", "active", "leaving", "left"])
             events.append(WorkerList("changes", (changed._replace(state=state),)))  # type: ignore[arg-type]
@@ -281,9 +283,9 @@
             events.append(WorkerList("complete", tuple(rng.sample(workers(8), 4))))
         if rng.random() < 0.02:
             events.append(WorkerList("error"))
-        log.append(repr(w.step(*events, after=rng.choice([4, 8, 40, 400]) * MS)))
-    while any(not c.answer for c in w.clients.values()):
-        log.append(repr(w.step(after=4 * MS)))
+        log.append(repr(harness.step(*events, after=rng.choice([4, 8, 40, 400]) * MS)))
+    while any(not c.answer for c in harness.requests.values()):
+        log.append(repr(harness.step(after=4 * MS)))
     return log
 
 
