--- a/heronstall/net/server_table.py
+++ b/heronstall/net/server_table.py
@@ -35,7 +35,7 @@
 # first: each would delay a follower's changes by more than a second.
 RELAY_ANSWER_TIMEOUT_US = 400_000
 RELAY_RETRY_DELAY_US = 100_000  # before the next relay is called
-LATE_ANSWER_TIMEOUT_US = 30_000_000  # an unanswered call stays open for so long beside the calls after it
+LATE_ANSWER_TIMEOUT_US = 30_000_000  # how long an unanswered call stays open beside later calls
 CONNECT_TIMEOUT_US = 1_000_000
 MAX_MESSAGE_BYTES = 4 * 1024 * 1024
 FORGET_AFTER_US = 600_000_000  # a server that has been gone for this long loses its number
@@ -351,7 +351,7 @@
         return None
 
     def _await_late_answer(self, watch: _Watch, connection: Connection) -> Coroutine[None]:
-        """Waits for the answer to a call that timed out, beside the next call.
+        """Waits for the answer to a call that timed out, while the next call is made.
 
         Discovery may be down, or have hundreds of calls to answer first. In the second case the answer must
         be used: if every client dropped its calls and made new ones, discovery would never catch up.
