--- a/benchmarks/fuzz.py
+++ b/benchmarks/fuzz.py
@@ -23,14 +23,14 @@
 
 with atheris.instrument_imports(include=["heronstall"]):
     from heronstall.config import configuration
-    from heronstall.knowledge import sights
+    from heronstall.knowledge import observations
     from heronstall.membership import messages
     from heronstall.net.connection import ConnectionEnded
     from heronstall.net.loop import Loop
     from heronstall.net.server_table import ServerTable
     from heronstall.ops import state_files
     from heronstall.start import snapshot
-    from heronstall.takeover import words
+    from heronstall.takeover import messages as takeover_messages
 
 CLUSTER, NODE, SERVICE = "c", "n0", "127.0.0.1:80"
 AGE = 60_000_000  # of a snapshot, microseconds
@@ -68,10 +68,10 @@
 
 def _member() -> Decoder:
     row = messages.Row(messages.State.SUSPECT, "n1", 7, "10.0.0.1", 8095, "a", messages.Duty.RELAY, "n2")
-    sums = tuple(range(messages.SUMS))
+    sums = tuple(range(messages.CHECKSUM_COUNT))
     told = messages.Message("page", 3, row, "n1", 1, 2, (row, row), 9, sums)
     return Decoder(
-        (messages.Unreadable,),
+        (messages.UnreadableMessage,),
         lambda data: messages.unpack(CLUSTER, data),
         lambda message: messages.pack(CLUSTER, message),
         (messages.pack(CLUSTER, told), messages.pack(CLUSTER, messages.Message("ping", 1, row))),
@@ -79,13 +79,17 @@
 
 
 def _word() -> Decoder:
-    state = words.State(5, 1, "n0", 7, words.Phase.WRITING, "w1", 1, "", "", "ab", "n0/7/1")
-    told = words.Word("put", "0/k", 5, 1, state, True, False, words.Job(0, 10**6, "{}"))
+    state = takeover_messages.State(
+        5, 1, "n0", 7, takeover_messages.Phase.WRITING, "w1", 1, "", "", "ab", "n0/7/1"
+    )
+    told = takeover_messages.Message(
+        "put", "0/k", 5, 1, state, True, False, takeover_messages.Job(0, 10**6, "{}")
+    )
     return Decoder(
-        (words.Unreadable,),
-        words.unpack,
-        words.pack,
-        (words.pack(told), words.pack(words.Word("ask", "0/k"))),
+        (takeover_messages.UnreadableMessage,),
+        takeover_messages.unpack,
+        takeover_messages.pack,
+        (takeover_messages.pack(told), takeover_messages.pack(takeover_messages.Message("ask", "0/k"))),
     )
 
 
@@ -100,7 +104,12 @@
 
 
 def _sight() -> Decoder:
-    return Decoder((sights.Unreadable,), sights.unpack, None, (sights.pack(sights.Word("n0", (1, 2), ())),))
+    return Decoder(
+        (observations.UnreadableMessage,),
+        observations.unpack,
+        None,
+        (observations.pack(observations.Message("n0", (1, 2), ())),),
+    )
 
 
 def _state() -> Decoder:
--- a/heronstall/net/backend.py
+++ b/heronstall/net/backend.py
@@ -12,7 +12,7 @@
 from heronstall import events
 from heronstall import interface as i
 from heronstall.config import Address, Config
-from heronstall.events import say
+from heronstall.events import log_event
 from heronstall.net.connection import (
     MAX_BODY_BYTES,
     Connection,
@@ -133,7 +133,7 @@
     def _open(self, server: BackendServer, until: int) -> Coroutine[Connection]:
         """Opens a new connection. Raises ConnectionEnded."""
         if len(self._origins) + self._connecting >= self._limit and not self._close_longest_idle():
-            say(log, events.NO_DESCRIPTOR, server=server.uid)
+            log_event(log, events.NO_DESCRIPTOR, server=server.uid)
             raise ConnectionEnded(Ending.WITHDRAWN)
         origin = (server.endpoint, server.boot_ms)
         self._connecting += 1
@@ -274,7 +274,7 @@
         except ConnectionEnded as ended:
             ok = False
             if ended.ending is Ending.MALFORMED:
-                say(log, events.MALFORMED_PROBE, server=server.uid, reason=str(ended))
+                log_event(log, events.MALFORMED_PROBE_RESPONSE, server=server.uid, reason=str(ended))
         finally:
             self._open_probes -= 1
             if connection is not None:
@@ -346,9 +346,9 @@
         except ConnectionEnded as ended:
             ending = ended.ending
             if ending is Ending.MALFORMED:
-                say(log, events.MALFORMED_ANSWER, server=self._server.uid, reason=str(ended))
+                log_event(log, events.MALFORMED_RESPONSE, server=self._server.uid, reason=str(ended))
         except Exception:
-            say(log, events.UNEXPECTED, where=f"a dispatch to backend server {self._server.uid}")
+            log_event(log, events.UNEXPECTED, where=f"a dispatch to backend server {self._server.uid}")
         finally:
             if connection is not None:
                 pool.close(connection)
@@ -383,9 +383,9 @@
         if response.status_code in (503, 504) and headers.get(b"srv-declined") == b"1":
             return Ending.RETURNED
         if 400 <= response.status_code < 500 and response.status_code not in (408, 429):
-            say(
+            log_event(
                 log,
-                events.UNUSABLE,
+                events.UNUSABLE_RESPONSE,
                 server=self._server.uid,
                 status=response.status_code,
                 request=self._session.job.id,
--- a/heronstall/net/dispatcher.py
+++ b/heronstall/net/dispatcher.py
@@ -15,7 +15,7 @@
 from heronstall import interface as i
 from heronstall.config import Config
 from heronstall.decide import Balancer
-from heronstall.events import say
+from heronstall.events import log_event
 from heronstall.net.connection import STATUS_BY_ENDING, Ending
 from heronstall.net.loop import Coroutine, Task
 from heronstall.net.server_table import BackendServer
@@ -306,12 +306,12 @@
             try:
                 self._execute(action)
             except Exception:  # guards the other actions, which belong to other sessions
-                say(log, events.UNEXPECTED, where=f"executing {action}")
+                log_event(log, events.UNEXPECTED, where=f"executing {action}")
         for observer in tuple(self.observers) if self.observers else ():
             try:
                 observer.observe(self._loop.now, batch, actions)
             except Exception:  # guards the service against a failing observer
-                say(log, events.UNEXPECTED, where="an observer, which is removed")
+                log_event(log, events.UNEXPECTED, where="an observer, which is removed")
                 self.observers.remove(observer)
 
     def _execute(self, action: i.Action) -> None:
@@ -339,20 +339,20 @@
             if server is not None:
                 self.backend.probe(server)
         elif isinstance(action, i.Log):
-            say(log, events.DECISIONS, text=action.text)
+            log_event(log, events.DECISION_LOG, text=action.text)
         # Subscribe needs no action: the watch is always open.
 
     def _send(self, action: i.Send) -> None:
         session = self._sessions.get(action.request)
         server = self.table.by_number.get(action.worker)
         if session is None:
-            say(log, events.UNKNOWN_SESSION, session=action.request)
+            log_event(log, events.DISPATCH_UNKNOWN_REQUEST, session=action.request)
             return
         index = session.attempts
         session.attempts += 1
         if session.over or server is None or session.open_dispatch is not None:
             # Guards against a wrong decision: no attempt beside an open one, none after the final answer.
-            say(log, events.NOT_MADE, dispatch=index, session=session.number)
+            log_event(log, events.DISPATCH_FAILED, dispatch=index, session=session.number)
             self.post(i.Outcome(session.number, action.worker, index, session.over, "not_sent"))
             return
         until = session.deadline
@@ -386,6 +386,6 @@
     def _log_counts(self) -> None:
         if self._counts:
             counts = " ".join(f"{name}={count}" for name, count in sorted(self._counts.items()))
-            say(log, events.COUNTS, open=len(self._sessions), counts=counts)
+            log_event(log, events.COUNTS, open=len(self._sessions), counts=counts)
             self._counts.clear()
         self._loop.at(self._loop.now + LOG_INTERVAL_US, self._log_counts)
--- a/heronstall/net/frontend.py
+++ b/heronstall/net/frontend.py
@@ -15,7 +15,7 @@
 from heronstall import events
 from heronstall import interface as i
 from heronstall.config import Config
-from heronstall.events import say
+from heronstall.events import log_event
 from heronstall.net.backend import Job
 from heronstall.net.client_request import BadRequest, RequestParser, check_framing, make_job
 from heronstall.net.connection import (
@@ -132,7 +132,7 @@
                 continue
             except OSError as error:
                 # Guards against a busy loop without free descriptors (EMFILE): the backlog holds the clients.
-                say(log, events.ACCEPT_FAILED, reason=str(error))
+                log_event(log, events.ACCEPT_FAILED, reason=str(error))
                 self._make_room()
                 yield from sleep(self._loop.now + ACCEPT_RETRY_DELAY_US)
             else:
@@ -400,9 +400,9 @@
             raise ConnectionEnded(Ending.CLOSED)
         else:
             if late:
-                say(log, events.LATE_IN_DRAIN, request=job.id)
+                log_event(log, events.REQUEST_LATE_IN_DRAIN, request=job.id)
             else:
-                say(log, events.NO_ANSWER, request=job.id)
+                log_event(log, events.REQUEST_UNANSWERED, request=job.id)
             yield from self._send_answer(connection, Answer("failed"))
         return True
 
--- a/heronstall/net/loop.py
+++ b/heronstall/net/loop.py
@@ -17,7 +17,7 @@
 from typing import Any, TypeVar
 
 from heronstall import events
-from heronstall.events import say
+from heronstall.events import log_event
 
 R = TypeVar("R")
 Wait = tuple[int, int, "int | None"]
@@ -82,7 +82,7 @@
             self.done = True
         except Exception:
             self.done = True
-            say(log, events.UNEXPECTED, where=self.name)
+            log_event(log, events.UNEXPECTED, where=self.name)
         else:
             self._fd = fd
             if until is not None:
@@ -97,7 +97,7 @@
         try:
             self._loop.arm(fd, mask, self)
         except OSError:  # unknown descriptor, or no memory in the kernel: only this coroutine cannot continue
-            say(log, events.UNEXPECTED, where=self.name)
+            log_event(log, events.UNEXPECTED, where=self.name)
             self.done = True
             self._stop_waiting()
             self._loop.soon(self._coroutine.close)
@@ -214,7 +214,7 @@
         try:
             callback()
         except Exception:  # a failing callback must not stop the rest of the service
-            say(log, events.UNEXPECTED, where="a callback of the event loop")
+            log_event(log, events.UNEXPECTED, where="a callback of the event loop")
 
 
 def sleep(until: int) -> Coroutine[None]:
--- a/heronstall/net/operator_state.py
+++ b/heronstall/net/operator_state.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from heronstall import events
-from heronstall.events import say
+from heronstall.events import log_event
 from heronstall.net.loop import Loop
 from heronstall.net.server_table import ServerTable
 from heronstall.net.shutdown import GracefulShutdown
@@ -65,7 +65,7 @@
         try:
             for state in self._files.read():
                 if isinstance(state, InvalidFile):
-                    say(log, events.HANDOVER_IGNORED, path=state.path, reason=state.reason)
+                    log_event(log, events.HANDOVER_IGNORED, path=state.path, reason=state.reason)
                 else:
                     self._apply(state)
         except OSError as error:
@@ -99,4 +99,4 @@
     def _disable_files(self, error: OSError) -> None:
         """Stops using the folder after an error; this process continues with the state that it has."""
         self._files = None
-        say(log, events.HANDOVER_LOST, reason=str(error))
+        log_event(log, events.SHARED_STATE_LOST, reason=str(error))
--- a/heronstall/net/server_table.py
+++ b/heronstall/net/server_table.py
@@ -13,7 +13,7 @@
 from heronstall import events
 from heronstall import interface as i
 from heronstall.config import Address, Config, ConfigError, parse_address
-from heronstall.events import say
+from heronstall.events import log_event
 from heronstall.net.connection import Connection, ConnectionEnded, Ending, connect
 from heronstall.net.json_stream import JsonStream
 from heronstall.net.loop import Coroutine, Loop, Task, sleep
@@ -197,7 +197,7 @@
                 try:
                     rev = self.take(known, persisted=True)
                 except ConnectionEnded as ended:
-                    say(log, events.KNOWN_IGNORED, reason=str(ended))
+                    log_event(log, events.KNOWN_SERVERS_IGNORED, reason=str(ended))
         self._start_watch(_Watch(self._config.discovery, rev))
 
     @property
@@ -316,7 +316,7 @@
                 host, port = relay or watch.discovery
                 yield from self._read_messages(watch, connection, relay)
             except ConnectionEnded as ended:
-                say(log, events.WATCH_ENDED, host=host, port=port, rev=watch.rev, reason=str(ended))
+                log_event(log, events.WATCH_ENDED, host=host, port=port, rev=watch.rev, reason=str(ended))
                 if connection is not None and relay is None and _is_unanswered(connection, ended):
                     connection = self._leave_open(watch, connection)
                 if sources is not None and relay is not None:
@@ -328,7 +328,7 @@
                     # Unknown changes were missed: the next call asks for the complete list.
                     watch.rev = watch.resume_after = None
             except Exception:
-                say(log, events.UNEXPECTED, where="the watch")
+                log_event(log, events.UNEXPECTED, where="the watch")
                 watch.rev = watch.resume_after = None
             finally:
                 if connection is not None:
@@ -437,7 +437,7 @@
         watch.answered = self.answered = True
         host, port = relay or watch.discovery
         servers = sum(server.off_since is None for server in self._by_uid.values())
-        say(log, events.WATCH_ANSWERED, host=host, port=port, rev=watch.rev, servers=servers)
+        log_event(log, events.WATCH_ANSWERED, host=host, port=port, rev=watch.rev, servers=servers)
         if watch is self._watch and self._previous_watch is not None:
             if self._previous_watch.task is not None:
                 self._previous_watch.task.kill()
@@ -542,7 +542,7 @@
         uid, boot_ms = str(raw["uid"]), int(raw.get("boot_ms") or 0)
         state = STATES.get(raw["state"])
         if state is None:
-            say(log, events.STATE_UNKNOWN, server=uid, state=str(raw["state"]))
+            log_event(log, events.UNKNOWN_SERVER_STATE, server=uid, state=str(raw["state"]))
             state = "leaving"
         endpoint = parse_address(str(raw["endpoint"]), "endpoint")
         started_at = boot_ms * 1000 - self._offset if boot_ms > 0 else None
--- a/heronstall/net/snapshots.py
+++ b/heronstall/net/snapshots.py
@@ -14,10 +14,10 @@
 
 from heronstall import events
 from heronstall.config import Config
-from heronstall.events import say
+from heronstall.events import log_event
 from heronstall.net.loop import Loop
 from heronstall.net.server_table import ServerTable
-from heronstall.operator import SnapshotFile
+from heronstall.operator import SnapshotSettings
 from heronstall.start.snapshot import MAX_SIZE, UnusableSnapshot, newer_list, pack, unpack
 
 CHECK_INTERVAL_US = 2_000_000  # between checks whether the list has changed
@@ -29,9 +29,9 @@
 class SnapshotStore:
     """The snapshot file of one process."""
 
-    def __init__(self, config: Config, settings: SnapshotFile, loop: Loop, offset: int) -> None:
+    def __init__(self, config: Config, settings: SnapshotSettings, loop: Loop, offset: int) -> None:
         self._config, self._loop, self._offset = config, loop, offset
-        self._max_age_us = round(settings.most_h * 3.6e9)
+        self._max_age_us = round(settings.max_age_h * 3.6e9)
         safe_name = "".join(letter if letter.isalnum() else "_" for letter in config.name)
         self._path = Path(settings.dir) / f"heronstall-{safe_name}.snapshot"
         self._discovery = ":".join(map(str, config.discovery))
@@ -49,7 +49,7 @@
         except FileNotFoundError:
             pass
         except (OSError, UnusableSnapshot) as error:
-            say(log, events.SNAPSHOT_IGNORED, path=str(self._path), reason=str(error))
+            log_event(log, events.SNAPSHOT_IGNORED, path=str(self._path), reason=str(error))
         return newer_list(snapshot, self._config.known)
 
     def start(self, table: ServerTable) -> None:
@@ -67,7 +67,7 @@
                 self._last_write = rev, now
             except OSError as error:
                 delay = RETRY_DELAY_US
-                say(log, events.SNAPSHOT_FAILED, path=str(self._path), reason=str(error))
+                log_event(log, events.SNAPSHOT_FAILED, path=str(self._path), reason=str(error))
         self._loop.at(now + delay, self._check)
 
     def _is_due(self, rev: int, now: int) -> bool:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -205,7 +205,7 @@
         end.send_chunks(DONE % ("id-1", "id-1"))
         self.assertEqual(self.response_status(client), 200)
         for line in ('{"id":"id-2","state":["done"]}', '{"id":"id-2","state":"done","result":"\\ud800"}'):
-            with self.subTest(line), mock.patch.object(backend, "say") as logged:
+            with self.subTest(line), mock.patch.object(backend, "log_event") as logged:
                 client = self.send_request(name="id-2" if "[" in line else "id-3")
                 end = self.next_dispatch()
                 end.sock.sendall(STREAM)
