--- a/heronstall/net/peers/knowledge_exchange.py
+++ b/heronstall/net/peers/knowledge_exchange.py
@@ -26,7 +26,7 @@
 from heronstall.membership.messages import Row
 from heronstall.membership.relays import rendezvous_order
 from heronstall.membership.swim import Swim
-from heronstall.net.connection import Connection, Ended, Ending, connect
+from heronstall.net.connection import Connection, ConnectionEnded, Ending, connect
 from heronstall.net.dispatcher import Dispatcher
 from heronstall.net.loop import Coroutine, Loop, sleep
 from heronstall.net.peers.followers import KNOWLEDGE_PATH
@@ -90,7 +90,7 @@
                 self._asked.add(row.name)
                 try:
                     answer = yield from self._ask((row.host, row.port))
-                except (Ended, UnreadableMessage) as error:
+                except (ConnectionEnded, UnreadableMessage) as error:
                     log_event(log, events.OBSERVATIONS_IGNORED, peer=row.name, reason=str(error))
                     continue
                 if answer.observations and answer.node == row.name:
@@ -113,7 +113,7 @@
         )
 
     def _ask(self, address: Address) -> Coroutine[Message]:
-        """Fetches and merges one process's answer. Raises Ended, UnreadableMessage."""
+        """Fetches and merges one process's answer. Raises ConnectionEnded, UnreadableMessage."""
         asked_at, deadline = self._loop.now, self._loop.now + ANSWER_TIMEOUT_US
         connection = yield from connect(self._loop, address, deadline, self._host)
         try:
@@ -130,7 +130,7 @@
 def _read_body(connection: Connection, deadline: int) -> Coroutine[bytes]:
     body = bytearray()
     while True:
-        event = yield from connection.event(deadline)
+        event = yield from connection.next_event(deadline)
         if isinstance(event, h11.Data):
             body += event.data
             if len(body) > MAX_MESSAGE_BYTES:
@@ -138,4 +138,4 @@
         elif isinstance(event, h11.EndOfMessage):
             return bytes(body)
         elif not isinstance(event, h11.Response) or event.status_code != 200:
-            raise Ended(Ending.BROKEN, "no answer")
+            raise ConnectionEnded(Ending.BROKEN, "no answer")
--- a/tests/versions.py
+++ b/tests/versions.py
@@ -179,9 +179,9 @@
 
 def _reuses_no_connection(program: Any) -> None:
     """Opens a new connection for each attempt."""
-    from heronstall.net.backend import Pool
+    from heronstall.net.backend import ConnectionPool
 
-    Pool._reuse = lambda self, server: None  # type: ignore[method-assign]
+    ConnectionPool._reuse = lambda self, server: None  # type: ignore[method-assign]
 
 
 def _writes_later_files(program: Any) -> None:
