--- a/heronstall/__main__.py
+++ b/heronstall/__main__.py
@@ -15,28 +15,28 @@
 
 from heronstall import events
 from heronstall.config import Config, ConfigError, load, reload, restart_only_changes
-from heronstall.events import say
-from heronstall.net.backend import HttpBackend, Pool
+from heronstall.events import log_event
+from heronstall.net.backend import ConnectionPool, HttpBackend
 from heronstall.net.dispatcher import Dispatcher
 from heronstall.net.frontend import Frontend
-from heronstall.net.loop import READ, Coroutine, Loop, clock
+from heronstall.net.loop import READ, Coroutine, Loop, monotonic_us
 from heronstall.net.server_table import ServerTable
 from heronstall.net.shutdown import GracefulShutdown
 from heronstall.operator import (
-    Operator,
     OperatorError,
-    PeersFile,
-    SnapshotFile,
-    TakeoverFile,
+    OperatorSettings,
+    PeerSettings,
+    SnapshotSettings,
+    TakeoverSettings,
     read,
     start_logging,
 )
 from heronstall.ops.bans import Bans
 
 if TYPE_CHECKING:
-    from heronstall.net.daily import Daily
-    from heronstall.net.peers.hub import Peers
-    from heronstall.ops.detail import Detail
+    from heronstall.net.operator_interface import OperatorInterface
+    from heronstall.net.peers.service import PeerService
+    from heronstall.ops.detail import DetailedMetrics
 
 RESERVED_DESCRIPTORS = (
     40  # for the standard streams, epoll, the listener, the watch and connections being closed
@@ -58,36 +58,38 @@
         config: Config,
         loop: Loop,
         folder: Path | None = None,
-        peers_file: PeersFile | None = None,
-        snapshot: SnapshotFile | None = None,
-        takeover: TakeoverFile | None = None,
+        peers_file: PeerSettings | None = None,
+        snapshot: SnapshotSettings | None = None,
+        takeover: TakeoverSettings | None = None,
     ) -> None:
-        offset = time.time_ns() // 1000 - clock()
+        offset = time.time_ns() // 1000 - monotonic_us()
         started_at = loop.now
         self.config, self.dispatcher = config, Dispatcher(config, loop)
         self._loop, self._offset = loop, offset
         self.shutdown, bans = GracefulShutdown(loop), Bans()
-        self.operator_interface: Daily | None = None
+        self.operator_interface: OperatorInterface | None = None
         if config.operator is not None:
-            from heronstall.net.daily import Daily  # imported only when needed, for a faster start
+            from heronstall.net.operator_interface import (
+                OperatorInterface,
+            )  # imported only when needed, for a faster start
 
-            self.operator_interface = Daily(
+            self.operator_interface = OperatorInterface(
                 config, config.operator, loop, offset, bans, self.shutdown, folder
             )
-        self.peers: Peers | None = None
+        self.peers: PeerService | None = None
         if peers_file is not None:
-            from heronstall.net.peers.hub import Peers
+            from heronstall.net.peers.service import PeerService
 
-            self.peers = Peers(config, peers_file, loop)
+            self.peers = PeerService(config, peers_file, loop)
         descriptors = self._descriptors_per_side()
-        pool = Pool(loop, config, descriptors)
+        pool = ConnectionPool(loop, config, descriptors)
         self.table = table = ServerTable(config, loop, offset, self.dispatcher.post, bans)
         self.dispatcher.table = table
-        table.moved = pool.forget
+        table.moved = pool.drop_idle
         self.dispatcher.backend = HttpBackend(config, loop, self.dispatcher, pool)
 
         def list_wait_over() -> bool:
-            return table.heard or loop.now - started_at > LIST_WAIT
+            return table.answered or loop.now - started_at > LIST_WAIT
 
         def ready() -> bool:
             return table.any_serving() and list_wait_over()
@@ -97,28 +99,30 @@
 
         self._pool = pool
         if self.peers is not None:
-            self.peers.begin(table, self.dispatcher)
+            self.peers.start(table, self.dispatcher)
         guard = None
         if self.peers is not None and takeover is not None:
-            from heronstall.net.takeover.start import begin
+            from heronstall.net.takeover.start import start_takeover
 
-            guard = begin(config, takeover, loop, self.peers, self.dispatcher)
-        initial_list = self.operator_interface.table if self.operator_interface is not None else None
+            guard = start_takeover(config, takeover, loop, self.peers, self.dispatcher)
+        initial_list = (
+            self.operator_interface.inherited_server_list if self.operator_interface is not None else None
+        )
         if snapshot is not None:
-            from heronstall.net.snapshots import Snapshots
+            from heronstall.net.snapshots import SnapshotStore
 
-            snapshots = Snapshots(config, snapshot, loop, offset)
-            initial_list = initial_list or snapshots.start_from()
-            snapshots.begin(table)
+            snapshots = SnapshotStore(config, snapshot, loop, offset)
+            initial_list = initial_list or snapshots.load()
+            snapshots.start(table)
         table.start(initial_list)
-        listener = self.operator_interface.listener if self.operator_interface is not None else None
+        listener = self.operator_interface.inherited_listener if self.operator_interface is not None else None
         self.frontend = Frontend(config, loop, self.dispatcher, ready, descriptors, self.shutdown, listener)
         if self.operator_interface is not None:
-            self.operator_interface.begin(
+            self.operator_interface.start(
                 self.dispatcher, table, self.frontend, pool, accepting, self._descriptors_per_side
             )
             if guard is not None:
-                self.operator_interface.operations.takeover = guard.figures
+                self.operator_interface.operations.takeover_figures = guard.figures
 
     def _descriptors_per_side(self, processes: int = 1) -> int:
         """Returns the descriptors for clients. Servers get as many: a session holds one on each side."""
@@ -127,28 +131,30 @@
         )
         return max(1, (self.config.sockets // processes - reserved) // 2)
 
-    def enable_detail(self) -> Detail | None:
+    def enable_detail(self) -> DetailedMetrics | None:
         """Enables the figures that rollouts compare; None without operator interface. Raises ImportError."""
         if self.operator_interface is None:
             return None
-        from heronstall.ops.detail import Alarms, Detail
+        from heronstall.ops.detail import AlarmCounter, DetailedMetrics
 
         config, loop, figures = self.config, self._loop, self.dispatcher.figures
-        detail = Detail(list(config.classes), config.settings.classes, loop.now + self._offset, os.environ)
+        detail = DetailedMetrics(
+            list(config.classes), config.settings.classes, loop.now + self._offset, os.environ
+        )
         detail.attempts, detail.connects = lambda: figures.forwards, lambda: self._pool.connects
-        self.operator_interface.operations.detail = detail.rows
-        logging.getLogger("heronstall").addHandler(Alarms(detail))
+        self.operator_interface.operations.detail_figures = detail.rows
+        logging.getLogger("heronstall").addHandler(AlarmCounter(detail))
 
         def measure_lag(due: int) -> None:
-            now = clock()
-            detail.delayed(max(0, now - due))
+            now = monotonic_us()
+            detail.record_loop_delay(max(0, now - due))
             loop.at(now + LOOP_LAG_INTERVAL, lambda: measure_lag(now + LOOP_LAG_INTERVAL))
 
-        measure_lag(clock())
+        measure_lag(monotonic_us())
         return detail
 
     def _begin_shutdown(self) -> None:
-        self.shutdown.begin()
+        self.shutdown.stop()
         if self.peers is not None:
             self.peers.leave()
         if self.operator_interface is not None:
@@ -162,13 +168,13 @@
                 try:
                     self._signal(number)
                 except Exception:  # otherwise a later SIGTERM would not be handled
-                    say(log, events.UNEXPECTED, where=f"handling signal {number}")
+                    log_event(log, events.UNEXPECTED, where=f"handling signal {number}")
 
     def _signal(self, number: int) -> None:
         if number == signal.SIGHUP:
             self.reload(os.environ)
         elif number in STOP_SIGNALS:
-            say(log, events.DRAINING, signal=signal.Signals(number).name)
+            log_event(log, events.DRAINING, signal=signal.Signals(number).name)
             self._begin_shutdown()
 
     def reload(self, environ: Mapping[str, str]) -> None:
@@ -176,12 +182,12 @@
         try:
             config = reload(environ)
         except ConfigError as error:
-            say(log, events.RELOAD_WRONG, reason=str(error))
+            log_event(log, events.RELOAD_REJECTED, reason=str(error))
             return
         for key in restart_only_changes(self.config, config):
-            say(log, events.RELOAD_FIXED, key=key)
-        say(log, events.RELOADED, host=config.discovery[0], port=config.discovery[1])
-        self.table.follow(config.discovery)
+            log_event(log, events.RESTART_REQUIRED, key=key)
+        log_event(log, events.RELOADED, host=config.discovery[0], port=config.discovery[1])
+        self.table.switch_discovery(config.discovery)
 
 
 def _catch_signals() -> socket.socket:
@@ -199,17 +205,17 @@
     """Serves until SIGTERM or SIGINT. Returns 2 for an invalid configuration."""
     # Must come first: an early signal to reload or restart would otherwise kill the process.
     waker = _catch_signals()
-    start_logging(Operator())
+    start_logging(OperatorSettings())
     try:
         operator = read(os.environ)
         start_logging(operator)
     except OperatorError as error:
-        say(log, events.SETTINGS_WRONG, reason=str(error))
+        log_event(log, events.SETTINGS_INVALID, reason=str(error))
         return 2
     try:
         config = load(os.environ)
     except ConfigError as error:
-        say(log, events.CONFIG_WRONG, reason=str(error))
+        log_event(log, events.CONFIG_INVALID, reason=str(error))
         return 2
     loop = Loop()
     host, port = config.listen
@@ -217,17 +223,19 @@
         folder = Path(name) if (name := os.environ.get("TMPDIR")) else None
         program = Program(config, loop, folder, operator.peers, operator.snapshot, operator.takeover)
     except ConfigError as error:  # an address that turns out to be unusable
-        say(log, events.CONFIG_WRONG, reason=str(error))
+        log_event(log, events.CONFIG_INVALID, reason=str(error))
         return 2
     except OSError as error:
-        say(log, events.LISTEN_FAILED, host=host, port=port, reason=str(error))
+        log_event(log, events.LISTEN_FAILED, host=host, port=port, reason=str(error))
         return 1
     recorder = None
     if operator.trace_dir:
         try:
             from heronstall.trace.recorder import Recorder
         except ImportError as error:
-            say(log, events.SETTINGS_WRONG, reason=f"trace.dir: tracing requires the extra `trace`: {error}")
+            log_event(
+                log, events.SETTINGS_INVALID, reason=f"trace.dir: tracing requires the extra `trace`: {error}"
+            )
             return 2
         recorder = Recorder(operator, config.name, config.settings_json, loop.now)
         program.dispatcher.observers.append(recorder)
@@ -238,16 +246,16 @@
                 program.dispatcher.observers.append(detail)
         except ImportError as error:
             reason = f"figures.detail: detailed figures require the extra `figures`: {error}"
-            say(log, events.SETTINGS_WRONG, reason=reason)
+            log_event(log, events.SETTINGS_INVALID, reason=reason)
             return 2
     loop.spawn(program.handle_signals(waker), "signals")
     gc.freeze()
     gc.set_threshold(50_000, 20, 100)
-    say(log, events.STARTED, node=config.name, host=host, port=port)
+    log_event(log, events.STARTED, node=config.name, host=host, port=port)
     loop.run()
     if recorder is not None:
         recorder.close()
-    say(log, events.ENDED, node=config.name)
+    log_event(log, events.ENDED, node=config.name)
     return 0
 
 
--- a/heronstall/controlplane/core.py
+++ b/heronstall/controlplane/core.py
@@ -21,15 +21,15 @@
     encode_command,
 )
 from heronstall.controlplane.state.worker_shard import WorkerShard
-from heronstall.distribution.freshness import TOLD_WITHIN
+from heronstall.distribution.freshness import MAX_STATE_STALENESS
 from heronstall.distribution.shards import BATCH_SHARDS, CONFIG, WORKER_SHARDS
 from heronstall.distribution.shards import worker_shard as shard_of_service
-from heronstall.ownership.placement import Candidate, first_placement, repaired
+from heronstall.ownership.placement import PlacementCandidate, initial_placements, repaired_placements
 from heronstall.replication import membership
 from heronstall.replication.protocol import address_of
 from heronstall.replication.replica import Replica
-from heronstall.sessions.loads import pack
-from heronstall.sessions.table import EXPIRE, Sessions
+from heronstall.sessions.loads import pack_loads
+from heronstall.sessions.table import SESSION_TIMEOUT, Sessions
 from heronstall.transport.frames import Kind, Status
 from heronstall.transport.links import Reply
 from heronstall.transport.messages import (
@@ -46,7 +46,7 @@
 log = structlog.get_logger()
 
 MAINTENANCE_INTERVAL = 0.3  # seconds between rounds of periodic work
-SETTLE_TIME = EXPIRE + 0.5  # seconds after a process start before a silent node counts as dead
+SETTLE_TIME = SESSION_TIMEOUT + 0.5  # seconds after a process start before a silent node counts as dead
 MIN_LEADING_TIME = 1.0  # seconds of leadership required too; by then callers have left the former leader
 SEED_RELOAD_INTERVAL = 2.0  # seconds
 PLACEMENT_WAIT = 1.0  # seconds that the first placement waits for more storage nodes
@@ -84,7 +84,7 @@
         for group, hosted in self.host.groups.items():
             forms_group = self.settings.bootstrap and self.address in seeds and group not in known
             if forms_group and self.host.replica_id.endswith("#0"):
-                hosted.replica.form(self.host.now(), tuple(sorted(f"{s}#0" for s in seeds)))
+                hosted.replica.bootstrap(self.host.now(), tuple(sorted(f"{s}#0" for s in seeds)))
         await self._start_serving(self._maintain_membership_and_sessions(), self._run_maintenance())
 
     # ------------------------------------------------------------------ used by the HTTP API
@@ -154,7 +154,7 @@
 
     def live_storage_replicas(self) -> set[str]:
         """Returns the replica ids of the storage nodes that have a session."""
-        return {s.replica for s in self.sessions.live(self.host.now(), "storage").values()}
+        return {s.replica for s in self.sessions.live_sessions(self.host.now(), "storage").values()}
 
     @property
     def replicas_per_shard(self) -> int:
@@ -202,11 +202,11 @@
             if changed or left <= 0:
                 reply = self._sync_reply(versions)
                 if request.session.machine_class == "edge":
-                    reply.loads = pack(self.sessions.loads(self.host.now(), request.session.name))
-                    reply.edge_number = self.sessions.number(self.host.now(), request.session)
+                    reply.loads = pack_loads(self.sessions.loads(self.host.now(), request.session.name))
+                    reply.edge_number = self.sessions.rank(self.host.now(), request.session)
                 return Reply(Status.OK, bytes(reply))
             try:
-                async with asyncio.timeout(min(left, TOLD_WITHIN / 2)):
+                async with asyncio.timeout(min(left, MAX_STATE_STALENESS / 2)):
                     await self._state_changed.wait()
             except TimeoutError:
                 continue
@@ -222,7 +222,7 @@
     def is_fresh(self) -> bool:
         """Whether this node's views have all writes acknowledged until recently, so others may use them."""
         now = self.host.now()
-        return all(h.replica.in_touch(now, TOLD_WITHIN) for h in self.host.groups.values())
+        return all(h.replica.is_fresh(now, MAX_STATE_STALENESS) for h in self.host.groups.values())
 
     def _changed_since(self, versions: dict[str, int]) -> bool:
         state = self.config.state
@@ -244,7 +244,7 @@
             if delta is not None:
                 reply.workers.append(delta)
         reply.control = [address_of(m) for m in self.replica(CONFIG).log.members]
-        reply.edges = len(self.sessions.live(self.host.now(), "edge"))
+        reply.edges = len(self.sessions.live_sessions(self.host.now(), "edge"))
         return reply
 
     def _on_applied(self, group: str) -> None:
@@ -295,11 +295,11 @@
         seeds = [f"{seed}#" for seed in self.settings.seed_addresses]
         for hosted in self.host.groups.values():
             replica = hosted.replica
-            wanted = membership.wanted_voters(replica, self.replicas_per_shard, now, self.timing)
+            wanted = membership.desired_voters(replica, self.replicas_per_shard, now, self.timing)
             if wanted:
-                membership.step(replica, wanted, now, self.timing)
+                membership.advance_membership(replica, wanted, now, self.timing)
             others = [m for m in replica.log.members if m != self.host.replica_id]
-            replica.ask_to_join(now, [*others, *(s for s in seeds if address_of(s) != self.address)])
+            replica.request_join(now, [*others, *(s for s in seeds if address_of(s) != self.address)])
         self.host.flush_soon()
 
     def _read_seeds(self, now: float) -> None:
@@ -310,7 +310,7 @@
 
     def _gossip_sessions(self) -> None:
         now = self.host.now()
-        table = bytes(SessionTable(self.sessions.told(now)))
+        table = bytes(SessionTable(self.sessions.recently_renewed(now)))
         self.sessions.expire(now)
         if table:
             for member in self.replica(CONFIG).log.members:
@@ -330,20 +330,20 @@
                     await self.host.propose(group, expired, COMMIT_TIMEOUT)
 
     async def _register_storage_nodes(self) -> None:
-        for session in self.sessions.live(self.host.now(), "storage").values():
+        for session in self.sessions.live_sessions(self.host.now(), "storage").values():
             known = self.config.storage_node(session.name)
             if known is None or known.replica != session.replica:
                 stage = StoreStage.ACTIVE if known is None else known.stage
                 node = StoreNode(session.name, session.replica, session.zone, stage)
                 await self.host.propose(CONFIG, encode_command(Command.STORE, node), COMMIT_TIMEOUT)
 
-    def _candidates(self) -> list[Candidate]:
+    def _candidates(self) -> list[PlacementCandidate]:
         """Returns the storage nodes. Until live nodes are known, those with replicas count as live."""
         live = self.live_storage_replicas()
         if not self.knows_live_stores():
             live |= {r for placement in self.config.state.placements for r in placement.replicas}
         return [
-            Candidate(s.replica, s.zone, s.replica in live, s.stage == StoreStage.ACTIVE)
+            PlacementCandidate(s.replica, s.zone, s.replica in live, s.stage == StoreStage.ACTIVE)
             for s in self.config.state.stores
         ]
 
@@ -352,15 +352,15 @@
         unplaced = [s for s in BATCH_SHARDS if not self.config.placement(s)]
         placed = {s: self.config.placement(s) for s in BATCH_SHARDS if s not in unplaced}
         changes: dict[str, tuple[str, ...]] = {}
-        usable = sum(n.usable for n in nodes)
+        usable = sum(n.is_usable for n in nodes)
         now = self.host.now()
         if unplaced and usable:
             self._placing_since = self._placing_since or now
             max_wait = PLACEMENT_WAIT if usable >= self.replicas_per_shard else 6 * PLACEMENT_WAIT
             if now - self._placing_since > max_wait:
-                changes = first_placement(unplaced, nodes, self.replicas_per_shard)
+                changes = initial_placements(unplaced, nodes, self.replicas_per_shard)
         else:
-            changes = repaired(placed, nodes, self.replicas_per_shard)
+            changes = repaired_placements(placed, nodes, self.replicas_per_shard)
         for shard, replicas in changes.items():
             log.info("place", shard=shard, replicas=list(replicas))
             placement = Placement(shard, list(replicas), shard in unplaced)
@@ -380,7 +380,7 @@
         """
         reported: dict[str, tuple[int, tuple[str, ...]]] = {}
         current_placement = self.config.state.placement_version
-        for session in self.sessions.live(self.host.now(), "storage").values():
+        for session in self.sessions.live_sessions(self.host.now(), "storage").values():
             if session.placement_version < current_placement:
                 continue
             for status in session.shards:
--- a/heronstall/controlplane/hosting.py
+++ b/heronstall/controlplane/hosting.py
@@ -12,19 +12,19 @@
 
 import structlog
 
-from heronstall.replication.log import Image
+from heronstall.replication.log import PersistentState
 from heronstall.replication.protocol import (
-    MICROSECONDS,
+    MICROSECONDS_PER_SECOND,
     EntryKind,
     MessageKind,
     RecordKind,
     Timing,
     address_of,
-    microseconds,
+    to_microseconds,
 )
 from heronstall.replication.replica import Replica
-from heronstall.replication.state import Output
-from heronstall.storage.journal import Journal, Recovered
+from heronstall.replication.state import ReplicaOutput
+from heronstall.storage.journal import Journal, RecoveredJournal
 from heronstall.transport.frames import Kind
 from heronstall.transport.links import Links
 from heronstall.transport.messages import DiskRecord, GroupBatch, GroupImage, GroupMessage
@@ -97,7 +97,7 @@
         self._timing = timing
         self._log_limit = log_limit
         self._random = random.Random()
-        self._recovered_images: dict[str, Image] = {}
+        self._recovered_images: dict[str, PersistentState] = {}
         self._unwritten_records: list[DiskRecord] = []
         self._withheld_messages: list[GroupMessage] = []
         self._flush_scheduled = False
@@ -114,7 +114,7 @@
         """Adds a replica of a group, with the state that was recovered from disk."""
         image = self._recovered_images.pop(group, None)
         replica = Replica(group, self.replica_id, self._timing, self._random, self.now(), image)
-        replica.carry(state_machine.dump, announces_commit)
+        replica.configure(state_machine.dump, announces_commit)
         state_machine.restore(image.snapshot.state if image and image.snapshot else b"")
         self.groups[group] = HostedReplica(replica, state_machine)
         return replica
@@ -172,11 +172,11 @@
         Raises TimeoutError if no majority confirms in time.
         """
         replica = self.groups[group].replica
-        requested_at = microseconds(self.now()) / MICROSECONDS
-        replica.ask_quorum(requested_at)
+        requested_at = to_microseconds(self.now()) / MICROSECONDS_PER_SECOND
+        replica.probe_quorum(requested_at)
         self.flush_soon()
         async with asyncio.timeout(timeout_seconds):
-            while replica.confirmed_at(self.now()) < requested_at:
+            while replica.fresh_as_of(self.now()) < requested_at:
                 await asyncio.sleep(CONFIRM_POLL_INTERVAL)
 
     def flush_soon(self) -> None:
@@ -190,12 +190,19 @@
         self._flush_scheduled = False
         for _ in range(8):
             outputs = [(h, h.replica.take_output()) for h in self.groups.values()]
-            has_output = any(o.early or o.records or o.late or o.install or o.apply for _, o in outputs)
+            has_output = any(
+                o.messages_before_sync
+                or o.records
+                or o.messages_after_sync
+                or o.snapshot_to_install
+                or o.entries_to_apply
+                for _, o in outputs
+            )
             if not has_output and not self._write_retry_due():
                 break
-            self._send([m for _, o in outputs for m in o.early])
+            self._send([m for _, o in outputs for m in o.messages_before_sync])
             self._unwritten_records += [r for _, o in outputs for r in o.records]
-            self._withheld_messages += [m for _, o in outputs for m in o.late]
+            self._withheld_messages += [m for _, o in outputs for m in o.messages_after_sync]
             self._write_records()
             for hosted, output in outputs:
                 self._apply(hosted, output)
@@ -217,17 +224,19 @@
         assert found.parts
         return found.parts[0].decode()
 
-    def _read_images(self, found: Recovered) -> None:
+    def _read_images(self, found: RecoveredJournal) -> None:
         assert found.parts is not None
         for part in found.parts[1:]:
             image = GroupImage().parse(part)
             snapshot = image.snapshot if image.snapshot.index else None
-            self._recovered_images[image.group] = Image(image.term, image.vote, snapshot, list(image.entries))
+            self._recovered_images[image.group] = PersistentState(
+                image.term, image.vote, snapshot, list(image.entries)
+            )
         for payload in found.records:
             self._replay(DiskRecord().parse(payload))
 
     def _replay(self, record: DiskRecord) -> None:
-        image = self._recovered_images.setdefault(record.group, Image())
+        image = self._recovered_images.setdefault(record.group, PersistentState())
         if record.kind == RecordKind.VOTE:
             image.term, image.vote = record.term, record.vote
         elif record.kind == RecordKind.SNAPSHOT:
@@ -256,7 +265,7 @@
             self._unwritten_records.clear()
             now = self.now()
             for hosted in self.groups.values():
-                hosted.replica.synced(now)
+                hosted.replica.on_records_synced(now)
         withheld, self._withheld_messages = self._withheld_messages, []
         self._send(withheld)
 
@@ -273,15 +282,15 @@
             self._next_write_at = self.now() + DISK_RETRY_DELAY
             return
         for hosted in self.groups.values():
-            hosted.replica.log.compact(hosted.replica.applied - RETAINED_ENTRIES)
+            hosted.replica.log.discard_up_to(hosted.replica.applied_index - RETAINED_ENTRIES)
 
     @staticmethod
     def _group_image(group: str, hosted: HostedReplica) -> GroupImage:
         replica = hosted.replica
         image = GroupImage(group=group, term=replica.term, vote=replica.vote)
-        if replica.applied:
-            image.snapshot = replica.image(replica.applied, hosted.state_machine.dump())
-        image.entries = [e for e in replica.log.entries() if e.index > replica.applied]
+        if replica.applied_index:
+            image.snapshot = replica.snapshot_at(replica.applied_index, hosted.state_machine.dump())
+        image.entries = [e for e in replica.log.entries() if e.index > replica.applied_index]
         return image
 
     # ------------------------------------------------------------------ messages and state
@@ -296,16 +305,16 @@
         for address, batch in batches.items():
             self.links.to(address).send(Kind.GROUP, bytes(GroupBatch(messages=batch)))
 
-    def _apply(self, hosted: HostedReplica, output: Output) -> None:
-        if output.install is not None:
-            hosted.state_machine.restore(output.install.state)
-            self._fail_undecided(hosted, output.install.index)
-        for entry in output.apply:
+    def _apply(self, hosted: HostedReplica, output: ReplicaOutput) -> None:
+        if output.snapshot_to_install is not None:
+            hosted.state_machine.restore(output.snapshot_to_install.state)
+            self._fail_undecided(hosted, output.snapshot_to_install.index)
+        for entry in output.entries_to_apply:
             result = None
             if entry.kind == EntryKind.COMMAND:
                 result = hosted.state_machine.apply(entry.index, entry.data)
             self._resolve_proposals(hosted, EntryId(entry.index, entry.term), result)
-        if output.install is not None or output.apply:
+        if output.snapshot_to_install is not None or output.entries_to_apply:
             self.on_applied(hosted.replica.group)
 
     @staticmethod
--- a/heronstall/controlplane/replica_node.py
+++ b/heronstall/controlplane/replica_node.py
@@ -46,7 +46,7 @@
     async def stop(self) -> None:
         """Hands over its leaderships and stops."""
         for hosted in self.host.groups.values():
-            hosted.replica.hand_over(self.host.now())
+            hosted.replica.transfer_leadership(self.host.now())
         self.host.flush()
         await asyncio.sleep(HANDOVER_SEND_TIME)
         for task in self._tasks:
--- a/heronstall/controlplane/store.py
+++ b/heronstall/controlplane/store.py
@@ -13,13 +13,13 @@
 from heronstall.batch import jobs as batch
 from heronstall.batch.items import StoredItem, stored_items
 from heronstall.batch.jobs import BatchShard, Job, JobListener
-from heronstall.batch.leases import ITEM_LIMIT, Leases
+from heronstall.batch.leases import MAX_ITEMS_PER_CALL, LeaseQueue
 from heronstall.batch.outcomes import Outcome
 from heronstall.config import NodeSettings
 from heronstall.controlplane.held_calls import CallsByName, LeaseCalls
 from heronstall.controlplane.hosting import Superseded
 from heronstall.controlplane.replica_node import ReplicaNode
-from heronstall.distribution.view import View
+from heronstall.distribution.view import ControlStateView
 from heronstall.replication import membership
 from heronstall.transport.frames import Kind, Status
 from heronstall.transport.links import Reply
@@ -57,7 +57,7 @@
 
     def __init__(self) -> None:
         self.state = BatchShard()
-        self.leases = Leases(self.state)
+        self.leases = LeaseQueue(self.state)
         self.state.listener = self
         self.pending_submissions: dict[str, asyncio.Future[Any]] = {}  # proposed jobs, outcome unknown
         self.pending_tokens: Counter[str] = Counter()  # tokens of these jobs, by route
@@ -66,23 +66,23 @@
         self._changed_jobs: set[str] = set()  # jobs with changes for held read calls
         self._ended_jobs: set[str] = set()  # jobs whose leased items are to be stopped
 
-    def reset(self) -> None:
+    def on_reset(self) -> None:
         """Handles a replacement of the whole state."""
-        self.leases.reset()
+        self.leases.on_reset()
         self.wake_all()
 
-    def accepted(self, job: Job) -> None:
+    def on_job_accepted(self, job: Job) -> None:
         """Handles a job that was accepted."""
-        self.leases.accepted(job)
+        self.leases.on_job_accepted(job)
 
-    def listed(self, job: Job, item: str) -> None:
+    def on_result_recorded(self, job: Job, item: str) -> None:
         """Handles an item that got its result."""
-        self.leases.listed(job, item)
+        self.leases.on_result_recorded(job, item)
         self._changed_jobs.add(job.record.id)
 
-    def ended(self, job: Job) -> None:
+    def on_job_ended(self, job: Job) -> None:
         """Handles a job that was ended."""
-        self.leases.ended(job)
+        self.leases.on_job_ended(job)
         self._changed_jobs.add(job.record.id)
         self._ended_jobs.add(job.record.id)
 
@@ -107,7 +107,7 @@
 
     def __init__(self, settings: NodeSettings) -> None:
         super().__init__(settings, MAX_LOG_BYTES, LOG_DISK_DIVISOR)
-        self.view = View()
+        self.view = ControlStateView()
         self.shards: dict[str, OwnedShard] = {}
         self._calls: dict[Kind, tuple[type[Any], Callable[[OwnedShard, Any], Awaitable[Reply]]]] = {
             Kind.SUBMIT: (SubmitRequest, self._submit_job),
@@ -141,7 +141,7 @@
         for group, hosted in self.host.groups.items():
             replica = hosted.replica
             leader = self.host.replica_id if replica.established else ""
-            settled = replica.log.members_index <= replica.commit
+            settled = replica.log.members_index <= replica.commit_index
             voters = list(replica.log.members) if settled else []
             statuses.append(ShardStatus(group, replica.term, voters, leader))
         return Session(
@@ -163,7 +163,7 @@
                 # In the group's first placement no replica has voted yet, nor has this one without the group.
                 if placement.first:
                     voters = tuple(sorted(placement.replicas))
-                    self.host.groups[shard].replica.form(self.host.now(), voters)
+                    self.host.groups[shard].replica.bootstrap(self.host.now(), voters)
         self.host.flush_soon()
 
     def _on_applied(self, group: str) -> None:
@@ -171,7 +171,7 @@
 
     def _on_role_change(self, group: str, leads: bool) -> None:
         term = self.host.groups[group].replica.term
-        self.shards[group].leases.lead(self.host.now(), leads, term)
+        self.shards[group].leases.set_ownership(self.host.now(), leads, term)
         self.shards[group].wake_all()
 
     async def _run_maintenance(self) -> None:
@@ -180,13 +180,13 @@
             now = self.host.now()
             for group, owned in self.shards.items():
                 replica = self.host.groups[group].replica
-                wanted = self.view.placement_of(group)
+                wanted = self.view.replicas_of(group)
                 if wanted:
-                    membership.step(replica, wanted, now, self.timing)
-                    replica.ask_to_join(now, [r for r in wanted if r != self.host.replica_id])
+                    membership.advance_membership(replica, wanted, now, self.timing)
+                    replica.request_join(now, [r for r in wanted if r != self.host.replica_id])
                 if not replica.holds_lease(now):
                     continue
-                if owned.leases.expire(now) + owned.leases.resume(now):
+                if owned.leases.expire_silent_holders(now) + owned.leases.resume_paused(now):
                     owned.wake()
                 try:
                     await self._remove_expired_jobs(group, owned)
@@ -200,17 +200,17 @@
         expired_jobs = [
             name
             for name, job in owned.state.jobs.items()
-            if job.settled and now - job.accepted_at > self.settings.bounds.status + margin
+            if job.is_finished and now - job.accepted_at > self.settings.bounds.status + margin
         ]
         if expired_jobs:
-            await self.host.propose(group, batch.forget(expired_jobs), COMMIT_TIMEOUT)
+            await self.host.propose(group, batch.encode_forget(expired_jobs), COMMIT_TIMEOUT)
         expired_items: list[ItemResult] = []
         for name, job in owned.state.jobs.items():
             item_lifetime = job.record.retention_ms / 1000 + margin
             if not job.ended and job.open_items and now - job.accepted_at > item_lifetime:
                 expired_items += [ItemResult(job=name, item=item) for item in job.open_items]
         if expired_items:
-            await self.host.propose(group, batch.results(expired_items), COMMIT_TIMEOUT)
+            await self.host.propose(group, batch.encode_results(expired_items), COMMIT_TIMEOUT)
 
     # ------------------------------------------------------------------ calls of dispatchers
 
@@ -256,7 +256,9 @@
             return Reply(Status.OVER_QUOTA)
         if not self._has_capacity_for(items):
             return Reply(Status.REFUSED)
-        decision = owned.pending_submissions[job.id] = self.host.submit(request.shard, batch.accept(job))
+        decision = owned.pending_submissions[job.id] = self.host.submit(
+            request.shard, batch.encode_accept(job)
+        )
         owned.pending_tokens[job.route] += tokens
 
         def on_decided(_: asyncio.Future[Any]) -> None:
@@ -281,7 +283,7 @@
 
     def _has_capacity_for(self, items: Collection[StoredItem]) -> bool:
         """Whether disk and memory can hold these items until their end, and their results."""
-        held = sum(o.state.bytes for o in self.shards.values())
+        held = sum(o.state.memory_bytes for o in self.shards.values())
         new = sum(2 * len(i.encoded) + 8 * i.tokens + 600 for i in items)
         disk_bytes = 2 * (held + new) + 2 * self.max_log_bytes
         memory_bytes = 2 * (held + new)
@@ -297,7 +299,7 @@
             if job is None:
                 return Reply(Status.UNKNOWN)
             remaining = deadline - self.host.now()
-            if len(job.results) > request.start or remaining <= 0 or job.settled:
+            if len(job.results) > request.start or remaining <= 0 or job.is_finished:
                 return Reply(Status.OK, bytes(_results_page(job, request.start)))
             await owned.read_calls.wait(request.job, remaining)
         return self._not_owner_reply(request.shard)
@@ -314,7 +316,7 @@
         if job is None:
             return Reply(Status.UNSURE if request.job in owned.pending_submissions else Status.UNKNOWN)
         if not job.ended:
-            await self.host.propose(request.shard, batch.end(request.job), COMMIT_TIMEOUT)
+            await self.host.propose(request.shard, batch.encode_end(request.job), COMMIT_TIMEOUT)
         return Reply(Status.OK)
 
     # ------------------------------------------------------------------ items at dispatchers
@@ -327,9 +329,9 @@
             return SUPERSEDED_CALL_REPLY
         owned.lease_calls.supersede(holder)
         while self._owned_shard(request.shard) is owned:
-            leases.seen(self.host.now(), holder)
+            leases.record_contact(self.host.now(), holder)
             leases.claim(self.host.now(), holder, running)
-            granted = leases.take(self.host.now(), holder, min(request.want, ITEM_LIMIT))
+            granted = leases.lease_items(self.host.now(), holder, min(request.want, MAX_ITEMS_PER_CALL))
             ended = [name for name in request.jobs if self._has_ended(owned, name)]
             remaining = deadline - self.host.now()
             if granted or ended or remaining <= 0:
@@ -350,7 +352,7 @@
         if not request.call:
             return True  # the dispatcher does not number its calls
         still_held = {(name.job, name.item) for name in (*request.held, *request.reported)}
-        if owned.leases.take_back(request.holder, still_held):
+        if owned.leases.reclaim_lost_leases(request.holder, still_held):
             owned.wake()
         return True
 
@@ -361,10 +363,10 @@
 
     async def _report_items(self, owned: OwnedShard, request: FinishRequest) -> Reply:
         now, holder = self.host.now(), request.holder
-        owned.leases.seen(now, holder)
+        owned.leases.record_contact(now, holder)
         listed = [r for report in request.reports if (r := self._make_result(owned, now, holder, report))]
         if listed:
-            await self.host.propose(request.shard, batch.results(listed), COMMIT_TIMEOUT)
+            await self.host.propose(request.shard, batch.encode_results(listed), COMMIT_TIMEOUT)
         else:
             owned.wake()
         return Reply(Status.OK)
@@ -377,16 +379,16 @@
             return None
         key = (report.job, report.item)
         if report.outcome == Outcome.DONE:
-            owned.leases.finished(now, key)
+            owned.leases.record_run_time(now, key)
             return ItemResult(report.job, report.item, True, report.text)
-        if report.outcome in (Outcome.UNDOABLE, Outcome.ROUTE_GONE):
+        if report.outcome in (Outcome.UNPROCESSABLE, Outcome.ROUTE_GONE):
             return ItemResult(report.job, report.item)
         if report.outcome == Outcome.FAILED:
-            failures = owned.leases.failed(now, holder, key, report.lease)
+            failures = owned.leases.record_failure(now, holder, key, report.lease)
             if failures >= max(1, job.record.max_attempts):
                 return ItemResult(report.job, report.item)
             return None
-        owned.leases.give_back(holder, key, report.lease)
+        owned.leases.return_item(holder, key, report.lease)
         return None
 
 
--- a/heronstall/dataplane/ingress.py
+++ b/heronstall/dataplane/ingress.py
@@ -25,7 +25,7 @@
     service_unavailable,
 )
 from heronstall.dataplane.routing import Routes, RouteType
-from heronstall.distribution.freshness import KnowledgeLimits
+from heronstall.distribution.freshness import StalenessLimits
 
 log = structlog.get_logger()
 
@@ -56,7 +56,7 @@
         deferred: DeferredQueue,
         rng: random.Random,
         state_age: Callable[[], float],
-        limits: KnowledgeLimits,
+        limits: StalenessLimits,
     ) -> None:
         self._routes = Routes()
         self._configured = asyncio.Event()
@@ -81,7 +81,7 @@
     @property
     def may_serve(self) -> bool:
         """Whether a configuration is known that is recent enough to serve requests by."""
-        return bool(self.routes.revision) and self._state_age() < self._limits.serve
+        return bool(self.routes.revision) and self._state_age() < self._limits.service_limit
 
     @property
     def active_count(self) -> int:
@@ -149,7 +149,7 @@
             return await self._batch_call(request, host, path)
         route = self.routes.find(host, path)
         if route is None:
-            is_current = self._state_age() < self._limits.refuse
+            is_current = self._state_age() < self._limits.unknown_route_limit
             return empty_response(404) if is_current else service_unavailable(STARTING_RETRY_AFTER_S)
         if route.type is RouteType.BATCH:
             active_request.dispatched = True
--- a/heronstall/dataplane/shard_client.py
+++ b/heronstall/dataplane/shard_client.py
@@ -5,7 +5,7 @@
 import asyncio
 import time
 
-from heronstall.distribution.view import View
+from heronstall.distribution.view import ControlStateView
 from heronstall.replication.protocol import address_of
 from heronstall.transport.frames import Kind, Status
 from heronstall.transport.links import CALL_FAILED, Links, Reply
@@ -18,7 +18,7 @@
 class ShardClient:
     """Calls the owner of a shard, found among its replicas."""
 
-    def __init__(self, links: Links, view: View) -> None:
+    def __init__(self, links: Links, view: ControlStateView) -> None:
         self._links, self._view = links, view
         self._owners: dict[str, str] = {}
         self._next_replica = 0
@@ -67,7 +67,7 @@
         owner = self._owners.get(shard)
         if owner is not None:
             return address_of(owner)
-        replicas = self._view.placement_of(shard)
+        replicas = self._view.replicas_of(shard)
         if not replicas:
             return None
         self._next_replica += 1
--- a/heronstall/transport/pulling.py
+++ b/heronstall/transport/pulling.py
@@ -13,7 +13,7 @@
 
 import structlog
 
-from heronstall.distribution.view import View
+from heronstall.distribution.view import ControlStateView
 from heronstall.transport.frames import Kind, Status
 from heronstall.transport.links import CALL_FAILED, Links
 from heronstall.transport.messages import Session, SyncReply, SyncRequest
@@ -74,7 +74,7 @@
     def __init__(
         self,
         links: Links,
-        view: View,
+        view: ControlStateView,
         session: Callable[[], Session],
         seeds: Callable[[], list[str]],
         on_change: Callable[[set[str]], None],
@@ -124,7 +124,7 @@
         if len(self._calls) >= MAX_PARALLEL_CALLS:
             return
         now, busy = time.monotonic(), set(self._calls)
-        members = self._view.control or tuple(self._seeds)
+        members = self._view.control_addresses or tuple(self._seeds)
         if self._preferred_node and self._preferred_node not in busy:
             address: str | None = self._preferred_node
         else:
@@ -158,14 +158,14 @@
     async def _pull(self, address: str, hold: float) -> bool:
         """Makes one call, which the node may hold for `hold` seconds. Returns whether the state is usable."""
         started_at = time.monotonic()
-        request = SyncRequest(self._session(), self._view.vector(), int(hold * 1000))
+        request = SyncRequest(self._session(), self._view.version_vector(), int(hold * 1000))
         reply = await self._links.to(address).call(Kind.SYNC, bytes(request), hold + ANSWER_TIMEOUT)
         if reply is CALL_FAILED:
             self._links.to(address).disconnect()
         if reply.status != Status.OK:
             return False
         self.current_as_of = max(self.current_as_of, started_at)
-        changed = self._view.take(SyncReply().parse(reply.body))
+        changed = self._view.apply(SyncReply().parse(reply.body))
         self._on_answer()
         if changed:
             self._on_change(changed)
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -14,7 +14,7 @@
 from heronstall.__main__ import Program
 from heronstall.config import configuration
 from heronstall.net.loop import Loop
-from heronstall.operator import SnapshotFile
+from heronstall.operator import SnapshotSettings
 from heronstall.start.snapshot import UnusableSnapshot, newer_list, pack, unpack
 from tests.test_net import raw_config
 
@@ -68,7 +68,7 @@
 def program(folder: Path, known: Any) -> tuple[Program, Loop]:
     loop = Loop()
     config = configuration(raw_config(known=known))
-    return Program(config, loop, None, None, SnapshotFile(str(folder))), loop
+    return Program(config, loop, None, None, SnapshotSettings(str(folder))), loop
 
 
 def test_a_start_takes_the_snapshot_and_writes_the_next_one(tmp_path: Path) -> None:
@@ -77,7 +77,7 @@
     path.write_bytes(pack("n", "127.0.0.1:9", now, list_message(7, "s-1", "s-2")))
     first, loop = program(tmp_path, OLD)
     assert sorted(server.uid for server in first.table.listed()) == ["s-1", "s-2"]
-    first.table.heard = True
+    first.table.answered = True
     first.table.take(list_message(9, "s-3"))
     assert first.table._watch is not None
     first.table._watch.rev = 9
@@ -94,7 +94,7 @@
     (tmp_path / "heronstall-n.snapshot").write_bytes(b"{")
     first, loop = program(tmp_path, list_message(5, "s-9"))
     assert [server.uid for server in first.table.listed()] == ["s-9"] and "ignored" in caplog.text
-    first.table.heard = True
+    first.table.answered = True
     soft, hard = resource.getrlimit(resource.RLIMIT_FSIZE)
     resource.setrlimit(resource.RLIMIT_FSIZE, (0, hard))  # as on a full disk
     try:
--- a/tests/tier/core_simulation.py
+++ b/tests/tier/core_simulation.py
@@ -27,9 +27,9 @@
 from heronstall.controlplane.api import ControlApi
 from heronstall.controlplane.core import Core
 from heronstall.controlplane.replica_node import ReplicaNode
-from heronstall.distribution.freshness import KnowledgeLimits
+from heronstall.distribution.freshness import StalenessLimits
 from heronstall.distribution.shards import CONFIG
-from heronstall.distribution.view import View
+from heronstall.distribution.view import ControlStateView
 from heronstall.transport.frames import Kind
 from heronstall.transport.links import CALL_FAILED, Links, Reply
 from heronstall.transport.messages import Session
@@ -306,7 +306,7 @@
         expected = {core.host.replica_id for core in cores}
         return len(cores) == self.size and all(
             set(hosted.replica.log.members) == expected
-            and hosted.replica.log.members_index <= hosted.replica.commit
+            and hosted.replica.log.members_index <= hosted.replica.commit_index
             for core in cores
             for hosted in core.host.groups.values()
         )
@@ -316,7 +316,7 @@
         return "; ".join(
             f"{core.host.replica_id} {name}: {replica.role.value} of {replica.term}, "
             f"{sorted(replica.log.members)} at {replica.log.members_index}, "
-            f"committed {replica.commit}, learners {sorted(replica.learners)}"
+            f"committed {replica.commit_index}, learners {sorted(replica.learners)}"
             for core in (m.core for m in self.machines.values())
             if core
             for name, replica in ((name, hosted.replica) for name, hosted in core.host.groups.items())
@@ -420,11 +420,11 @@
 
     def __init__(self, tier: SimulatedCore, ip: str) -> None:
         self.name = f"{ip}:{PORT}"
-        self.view = View()
+        self.view = ControlStateView()
         links = cast(Links, SimulatedLinks(tier.network, self.name))
         seeds = [s.rpartition(":")[0] + f":{PORT}" for s in tier.seeds]
         session = Session(name=ip, machine_class="edge", address=self.name, zone="z")
-        self.limits = KnowledgeLimits.within(CONFIG_APPLY, MAX_SKEW, RECOVER)
+        self.limits = StalenessLimits.from_bounds(CONFIG_APPLY, MAX_SKEW, RECOVER)
         self.puller = StatePuller(links, self.view, lambda: session, lambda: seeds, lambda _: None)
         self.task = asyncio.create_task(self.puller.run())
 
@@ -434,7 +434,7 @@
 
     def may_refuse(self, now: float) -> bool:
         """Whether the dispatcher would answer 404 for an unknown route."""
-        return bool(self.view.document) and now - self.puller.current_as_of < self.limits.refuse
+        return bool(self.view.document) and now - self.puller.current_as_of < self.limits.unknown_route_limit
 
 
 def document(revision: int, content: str) -> bytes:
--- a/tests/tier/store_random_runs.py
+++ b/tests/tier/store_random_runs.py
@@ -172,7 +172,7 @@
         raise error_group.exceptions[0] from None
     _raise_recorded_violation(tier)
     return RunSummary(
-        len(tier.observations.accepted), len(tier.observations.refused), faults.count, tier.files.torn
+        len(tier.observations.accepted), len(tier.observations.refused), faults.count, tier.files.torn_files
     )
 
 
--- a/tests/tier/store_simulation.py
+++ b/tests/tier/store_simulation.py
@@ -21,7 +21,7 @@
 from typing import Any, cast
 from unittest import mock
 
-from heronstall.batch.items import put_items
+from heronstall.batch.items import set_items
 from heronstall.batch.outcomes import Outcome
 from heronstall.config import NodeSettings
 from heronstall.controlplane.store import Store
@@ -189,12 +189,12 @@
             self.stop_store(ip, power_loss=True)
             power_lost.set()
 
-        self.files.doom(self.root / ip, lose_power_now)
+        self.files.crash_at_next_sync(self.root / ip, lose_power_now)
         try:
             async with asyncio.timeout(WRITE_WAIT):
                 await power_lost.wait()
         except TimeoutError:
-            if self.files.spare(self.root / ip):
+            if self.files.cancel_crash(self.root / ip):
                 self.stop_store(ip, power_loss=True)
         await asyncio.sleep(downtime)
         await self.start_store(ip)
@@ -231,7 +231,10 @@
             if store is None or not expected <= set(running) or len(expected) < core.replicas_per_shard:
                 return False
             log = store.host.groups[shard].replica.log
-            if set(log.members) != expected or log.members_index > store.host.groups[shard].replica.commit:
+            if (
+                set(log.members) != expected
+                or log.members_index > store.host.groups[shard].replica.commit_index
+            ):
                 return False
         return True
 
@@ -239,7 +242,7 @@
         """Describes each storage node's state of the shards, for error messages."""
         return "; ".join(
             f"{store.host.replica_id} {name}: {hosted.replica.role.value} of {hosted.replica.term}, "
-            f"{sorted(hosted.replica.log.members)}, committed {hosted.replica.commit}"
+            f"{sorted(hosted.replica.log.members)}, committed {hosted.replica.commit_index}"
             for store in (m.store for m in self.stores.values())
             if store
             for name, hosted in store.host.groups.items()
@@ -418,7 +421,7 @@
                 retention_ms=600_000,
                 max_attempts=MAX_ATTEMPTS,
             )
-            status = await self._dispatcher().submit(put_items(job, items), shard)
+            status = await self._dispatcher().submit(set_items(job, items), shard)
             observations.statuses[f"submit: {status.name}"] += 1
             if status == Status.OK:
                 if name in observations.refused:
--- a/tests/tier/test_hosting.py
+++ b/tests/tier/test_hosting.py
@@ -78,7 +78,7 @@
             self.start(name, bootstrap=True)
         voters = tuple(host.replica_id for host in self.hosts.values())
         for host in self.hosts.values():
-            host.groups[GROUP].replica.form(self.now, voters)
+            host.groups[GROUP].replica.bootstrap(self.now, voters)
             host.flush()
 
     def start(self, name: str, bootstrap: bool = False) -> None:
@@ -181,7 +181,7 @@
         self.advance()
         leader = self.leader()
         hosted = leader.groups[GROUP]
-        earlier = EntryId(hosted.replica.log.last + 1, hosted.replica.term - 1)
+        earlier = EntryId(hosted.replica.log.last_index + 1, hosted.replica.term - 1)
         hosted.pending_proposals[earlier] = asyncio.get_running_loop().create_future()
         later = leader.submit(GROUP, b"one")
         hosted.pending_proposals.pop(earlier).cancel()
@@ -236,7 +236,7 @@
             host = GroupHost("a:1", Path(folder), cast(Links, RecordingLinks([])), Timing(), True, 1 << 20)
             machine = Commands()
             replica = host.add(GROUP, machine)
-            replica.form(now, (host.replica_id,))
+            replica.bootstrap(now, (host.replica_id,))
             while not replica.established:
                 now += TICK_INTERVAL
                 replica.tick(now)
@@ -265,10 +265,12 @@
         with self.failing_disk(full_node):
             self.assertEqual(await self.commit(b"one"), 1)
             self.advance(0.5)
-            progress = leader.groups[GROUP].replica.others
-            self.assertLess(progress[full_node.replica_id].match, progress[other.replica_id].match)
+            progress = leader.groups[GROUP].replica.peer_progress
+            self.assertLess(
+                progress[full_node.replica_id].match_index, progress[other.replica_id].match_index
+            )
         self.advance(DISK_RETRY_DELAY + 0.5)
-        self.assertEqual(progress[full_node.replica_id].match, progress[other.replica_id].match)
+        self.assertEqual(progress[full_node.replica_id].match_index, progress[other.replica_id].match_index)
         self.assertEqual(self.all_commands(), [[b"one"]] * 3)
 
     async def test_nothing_is_committed_with_two_of_three_disks_full(self) -> None:
--- a/tests/tier/test_pulling.py
+++ b/tests/tier/test_pulling.py
@@ -10,8 +10,8 @@
 from typing import Any, cast
 from unittest import mock
 
-from heronstall.distribution.freshness import MARGIN, TOLD_WITHIN, KnowledgeLimits
-from heronstall.distribution.view import View
+from heronstall.distribution.freshness import DECISION_MARGIN, MAX_STATE_STALENESS, StalenessLimits
+from heronstall.distribution.view import ControlStateView
 from heronstall.transport.frames import Kind, Status
 from heronstall.transport.links import CALL_FAILED, Links, Reply
 from heronstall.transport.messages import Session, SyncReply, SyncRequest
@@ -94,7 +94,11 @@
     @staticmethod
     async def start_puller(nodes: ControlNodes, seeds: str = "abc") -> StatePuller:
         puller = StatePuller(
-            cast(Links, nodes), View(), lambda: Session(name="e"), lambda: list(seeds), lambda _: None
+            cast(Links, nodes),
+            ControlStateView(),
+            lambda: Session(name="e"),
+            lambda: list(seeds),
+            lambda _: None,
         )
         task = asyncio.create_task(puller.run())
         puller_tasks.append(task)
@@ -231,7 +235,7 @@
         async def run() -> None:
             nodes = ControlNodes("abc")
             puller = await self.start_puller(nodes)
-            with mock.patch.object(View, "take", side_effect=ValueError("malformed")):
+            with mock.patch.object(ControlStateView, "take", side_effect=ValueError("malformed")):
                 await asyncio.sleep(1.0)
             nodes.version = 2
             self.assertLess(await self.seconds_to(puller, 2), POLL_HOLD + 0.3)
@@ -275,10 +279,10 @@
 
 class KnowledgeLimitsTest(unittest.TestCase):
     def test_refusals_follow_a_configuration_within_the_bound(self) -> None:
-        limits = KnowledgeLimits.within(config_apply=2.0, max_skew=5.0, recover=12.0)
-        self.assertLessEqual(limits.refuse + TOLD_WITHIN + MARGIN, 2.0 + 1e-9)
-        self.assertAlmostEqual(limits.serve, limits.refuse + 17.0)
-        self.assertEqual(KnowledgeLimits.within(0.5, 1.0, 2.0).refuse, 0.0)
+        limits = StalenessLimits.from_bounds(config_apply=2.0, max_skew=5.0, recover=12.0)
+        self.assertLessEqual(limits.unknown_route_limit + MAX_STATE_STALENESS + DECISION_MARGIN, 2.0 + 1e-9)
+        self.assertAlmostEqual(limits.service_limit, limits.unknown_route_limit + 17.0)
+        self.assertEqual(StalenessLimits.from_bounds(0.5, 1.0, 2.0).unknown_route_limit, 0.0)
 
 
 if __name__ == "__main__":
--- a/tests/tier/test_store.py
+++ b/tests/tier/test_store.py
@@ -10,8 +10,8 @@
 from typing import Any
 from unittest import mock
 
-from heronstall.batch.items import put_items
-from heronstall.batch.leases import FAILED_PAUSE
+from heronstall.batch.items import set_items
+from heronstall.batch.leases import RETRY_DELAY
 from heronstall.batch.outcomes import Outcome
 from heronstall.config import node_settings
 from heronstall.controlplane.store import Store
@@ -67,7 +67,7 @@
         self.addCleanup(clock.stop)
         self.owned = self.store._add(SHARD)
         self.replica = self.store.host.groups[SHARD].replica
-        self.replica.form(self.now, (self.store.host.replica_id,))
+        self.replica.bootstrap(self.now, (self.store.host.replica_id,))
         self.now += 5
         self.replica.tick(self.now)
         self.store.host.flush()
@@ -86,7 +86,7 @@
         listed = [BatchItem(id=f"{name}-{k}", path="/p", body=b"b", tokens=10) for k in range(items)]
         job = BatchJob(id=name, route="r", host="h", completion_ms=8000, retention_ms=60_000)
         job.max_attempts = attempts
-        put_items(job, listed)
+        set_items(job, listed)
         status, _ = await self.call(Kind.SUBMIT, SubmitRequest(job, max_queued_tokens, SHARD))
         return status
 
@@ -160,7 +160,7 @@
         await self.report(first_item, Outcome.FAILED)
         self.assertEqual(await self.read("a"), [])
         self.assertEqual(await self.lease(1), [])
-        self.now += FAILED_PAUSE
+        self.now += RETRY_DELAY
         (second,) = await self.lease(1)
         await self.report(second, Outcome.FAILED)
         self.assertEqual(await self.read("a"), [("a-0", False, b"")])
@@ -168,7 +168,7 @@
     async def test_undoable_item_fails_immediately(self) -> None:
         await self.submit("a", 1)
         (item,) = await self.lease(1)
-        await self.report(item, Outcome.UNDOABLE)
+        await self.report(item, Outcome.UNPROCESSABLE)
         self.assertEqual(await self.read("a"), [("a-0", False, b"")])
 
     async def test_ended_job_leases_no_items_and_stays_readable(self) -> None:
--- a/tests/versions.py
+++ b/tests/versions.py
@@ -165,41 +165,41 @@
 
 
 def _leaks_memory(program: Any) -> None:
-    from heronstall.ops.detail import Detail
+    from heronstall.ops.detail import DetailedMetrics
 
     leaked: list[bytes] = []
-    original = Detail.delayed
+    original = DetailedMetrics.record_loop_delay
 
-    def delayed(self: Detail, by: int) -> None:
+    def record_loop_delay(self: DetailedMetrics, delay: int) -> None:
         leaked.append(os.urandom(1024) * (LEAK // 1024))
-        original(self, by)
+        original(self, delay)
 
-    Detail.delayed = delayed  # type: ignore[method-assign]
+    DetailedMetrics.record_loop_delay = record_loop_delay  # type: ignore[method-assign]
 
 
 def _reuses_no_connection(program: Any) -> None:
     """Opens a new connection for each attempt."""
-    from heronstall.net.backend import Pool
+    from heronstall.net.backend import ConnectionPool
 
-    Pool._reuse = lambda self, server: None  # type: ignore[method-assign]
+    ConnectionPool._reuse = lambda self, server: None  # type: ignore[method-assign]
 
 
 def _writes_later_files(program: Any) -> None:
     """Leaves files of a later version that the old version does not know."""
-    from heronstall.ops import handover
+    from heronstall.ops import state_files
 
-    handover.VERSION = 2
+    state_files.VERSION = 2
 
 
 def _adds_unknown_fields(program: Any) -> None:
     """Adds unknown fields to each datagram, to its rows and to the list."""
     import ujson
 
-    from heronstall.membership.messages import LARGEST, Message
+    from heronstall.membership.messages import MAX_DATAGRAM_BYTES, Message
     from heronstall.membership.messages import pack as original_pack
-    from heronstall.net.peers import hub
+    from heronstall.net.peers import service
 
-    original_line = hub.Peers.line
+    original_line = service.PeerService.list_line
 
     def pack(cluster: str, message: Message) -> bytes:
         fields = ujson.loads(original_pack(cluster, message))
@@ -208,16 +208,16 @@
         for row in fields[9]:
             row.append("later")
         encoded = ujson.dumps(fields, escape_forward_slashes=False).encode()
-        return bytes(encoded) if len(encoded) <= LARGEST else original_pack(cluster, message)
+        return bytes(encoded) if len(encoded) <= MAX_DATAGRAM_BYTES else original_pack(cluster, message)
 
-    def line_with_unknown_field(self: hub.Peers, whole: bool) -> bytes:
+    def line_with_unknown_field(self: service.PeerService, whole: bool) -> bytes:
         original = original_line(self, whole)
         if original == b"\n":
             return original
         return bytes(ujson.dumps({**ujson.loads(original), "later": [1]}).encode()) + b"\n"
 
-    vars(hub)["pack"] = pack
-    hub.Peers.line = line_with_unknown_field  # type: ignore[method-assign]
+    vars(service)["pack"] = pack
+    service.PeerService.list_line = line_with_unknown_field  # type: ignore[method-assign]
 
 
 def _sends_other_version(program: Any) -> None:
