--- a/benchmarks/rollouts.py
+++ b/benchmarks/rollouts.py
@@ -32,9 +32,9 @@
 from heronstall.fleet.spec import SECOND, Scenario, Shape, Trouble
 from heronstall.model.rollouts import Evening, Outcome, Plant, Stage, evening
 from heronstall.records import loads
-from heronstall.rollout.judge import LOOKS, missed
-from heronstall.rollout.machine import Machine, Seen, Step
-from heronstall.rollout.plan import Plan, plan
+from heronstall.rollout.judge import LOOKS, missed_worth
+from heronstall.rollout.machine import FleetObservation, RolloutStateMachine, Step
+from heronstall.rollout.plan import Plan, parse_plan
 
 ROOT = Path(__file__).resolve().parent.parent
 SCENARIO = ROOT / "scenarios" / "rollout.cue"
@@ -54,24 +54,24 @@
 SURGE = Shape("surge", 90 * SECOND, 30 * SECOND, 1.5, 2 * SECOND)
 
 
-class Thumb(Machine):
+class Thumb(RolloutStateMachine):
     """The rule of thumb: at any look, new has missed more worth than old by more than is tolerable."""
 
-    def _watching(self, seen: Seen) -> list[Step]:
+    def _watching_steps(self, seen: FleetObservation) -> list[Step]:
         state = self.state
-        _, found = self._found(seen)
-        new, old = missed(found, state.changed), missed(found, state.old)
-        if new[1] and old[1] and new[0] - old[0] > self.plan.harm["worth"]:
+        _, found = self._collect_points(seen)
+        new, old = missed_worth(found, state.changed), missed_worth(found, state.unchanged)
+        if new[1] and old[1] and new[0] - old[0] > self.plan.tolerances["worth"]:
             return [("back", {"reason": "threshold", "by": "judge"})]
-        if seen.at - state.watch_at < self.plan.watch_of(state.stage):
+        if seen.at - state.watch_started_at < self.plan.watch_time_of(state.stage):
             return []
-        return [("good", {"stage": state.stage}), *self._next()]
+        return [("good", {"stage": state.stage}), *self._next_stage_steps()]
 
 
 class Thumbed(Stage):
     """A rollout judged by the rule of thumb."""
 
-    def begin(self) -> Machine:
+    def begin(self) -> RolloutStateMachine:
         """As ever, with the other machine."""
         super().begin()
         return Thumb(self.plan, self.records)
@@ -87,7 +87,7 @@
 
 
 def _plan(nth: int) -> Plan:
-    made = plan(loads(PLAN.replace('"x"', f'"x{nth}"'), "plan", ("rollout",))[1])
+    made = parse_plan(loads(PLAN.replace('"x"', f'"x{nth}"'), "plan", ("rollout",))[1])
     return replace(made, digest=f"{nth:x}-{made.digest}")
 
 
@@ -119,7 +119,7 @@
     folder, plant = row
     told = pickle.loads(_kept(folder, 1, "").read_bytes())
     stages = ({"part": 1, "watch_s": 1},)
-    stage = Stage(told, replace(_plan(0), stages=stages, away=1000), plant, 0)
+    stage = Stage(told, replace(_plan(0), stages=stages, max_unavailable=1000), plant, 0)
     stage.play()
     while stage.now < told.length:  # done, and nobody looks any more
         stage.tick(None)
--- a/heronstall/cli/rollout.py
+++ b/heronstall/cli/rollout.py
@@ -14,8 +14,8 @@
 from heronstall.records import RecordsError, load
 from heronstall.rollout.journal import JournalError, Record
 from heronstall.rollout.judge import LOOKS
-from heronstall.rollout.machine import tell
-from heronstall.rollout.plan import Plan, PlanError, plan
+from heronstall.rollout.machine import describe_state
+from heronstall.rollout.plan import Plan, PlanError, parse_plan
 from heronstall.rollout.state import State
 
 STOPPED, HELD, SUPERSEDED = 3, 4, 5
@@ -54,7 +54,7 @@
     try:
         record = load(path, ("rollout",))[1]
         record["journal"] = str(path.resolve().parent / record["journal"])
-        return plan(record)
+        return parse_plan(record)
     except RecordsError as error:
         raise BadInput(str(error)) from None
     except PlanError as error:
@@ -65,7 +65,7 @@
     from heronstall.keeper.log import read
 
     try:
-        return State.of(read(Path(made.journal)))
+        return State.from_records(read(Path(made.journal)))
     except FileNotFoundError:
         raise BadInput(f"{made.journal}: this rollout has not begun") from None
     except (OSError, JournalError) as error:
@@ -166,7 +166,7 @@
     from dataclasses import replace
 
     from heronstall.keeper.controller import Controller, RolloutError
-    from heronstall.rollout.plan import stages
+    from heronstall.rollout.plan import assign_stages
 
     made = read_plan(file)
     with tempfile.TemporaryDirectory() as folder:
@@ -175,13 +175,15 @@
             release, homes = asyncio.run(controller.check())
         except (RolloutError, OSError) as error:
             raise BadInput(str(error)) from None
-    rows = stages(made, homes)
+    rows = assign_stages(made, homes)
     if as_json:
         click.echo(json.dumps({"release": release, "stages": rows}, indent=1))
         return
-    click.echo(f"{release}: read by {len(homes)} dispatchers on {len(made.keepers)} keepers")
+    click.echo(f"{release}: read by {len(homes)} dispatchers on {len(made.supervisors)} keepers")
     for n, names in enumerate(rows):
-        click.echo(f"  stage {n + 1}, watched {made.watch_of(n) / 1e6:g} s: {', '.join(names) or 'nobody'}")
+        click.echo(
+            f"  stage {n + 1}, watched {made.watch_time_of(n) / 1e6:g} s: {', '.join(names) or 'nobody'}"
+        )
 
 
 @rollout.command("start")
@@ -201,7 +203,7 @@
     if _call(made, word):
         click.echo("noted")
         return
-    if _state(made).over:
+    if _state(made).finished:
         raise BadInput("this rollout has ended")
     if word == "PAUSE":
         raise BadInput("no controller runs: nothing changes until `rollout start`")
@@ -243,10 +245,10 @@
     if as_json:
         click.echo(json.dumps({k: json.loads(v) for k, v in told(state).items()}, indent=1))
     else:
-        for row in tell(state):
+        for row in describe_state(state):
             click.echo(row)
         running = _call(made, "STATUS")
-        if not state.over and not running:
+        if not state.finished and not running:
             click.echo("  no controller runs: `rollout start` goes on")
     _verdict(state)
 
@@ -265,7 +267,7 @@
         while True:
             state = _state(made)
             view.show(state)
-            if state.over or (until is not None and time.monotonic() > until):
+            if state.finished or (until is not None and time.monotonic() > until):
                 break
             time.sleep(0.5)
     _verdict(state)
--- a/heronstall/cli/rollout_view.py
+++ b/heronstall/cli/rollout_view.py
@@ -9,7 +9,7 @@
 from rich.table import Table
 from rich.text import Text
 
-from heronstall.rollout.machine import tell
+from heronstall.rollout.machine import describe_state
 from heronstall.rollout.plan import Plan
 from heronstall.rollout.state import State
 
@@ -34,7 +34,7 @@
 
     def show(self, state: State) -> None:
         """Show the present."""
-        self._live.update(Group(Text("\n".join(tell(state))), self.fleet(state), self.look(state)))
+        self._live.update(Group(Text("\n".join(describe_state(state))), self.fleet(state), self.look(state)))
 
     def fleet(self, state: State) -> Table:
         """Zones down, dispatchers across."""
@@ -43,10 +43,10 @@
         table.add_column("old")
         table.add_column("changing")
         table.add_column("new")
-        for zone in sorted({home.zone for home in state.homes.values()}):
-            names = [name for name, home in state.homes.items() if home.zone == zone]
-            moving = {*state.under_way, *state.on_return}
-            new = [n for n in names if n in state.changed and n not in state.returned and n not in moving]
+        for zone in sorted({home.zone for home in state.placements.values()}):
+            names = [name for name, home in state.placements.items() if home.zone == zone]
+            moving = {*state.changing, *state.rolling_back}
+            new = [n for n in names if n in state.changed and n not in state.rolled_back and n not in moving]
             old = [n for n in names if n not in new and n not in moving]
             changing = [n for n in names if n in moving]
             table.add_row(zone or "-", " ".join(old), " ".join(changing), " ".join(new))
--- a/heronstall/keeper/controller.py
+++ b/heronstall/keeper/controller.py
@@ -23,8 +23,8 @@
 from heronstall.keeper.log import Log, unix_us
 from heronstall.rollout.figures import Snapshot
 from heronstall.rollout.journal import JournalError, Record
-from heronstall.rollout.machine import Machine, Seen, Sight, tell
-from heronstall.rollout.plan import Home, Plan, stages
+from heronstall.rollout.machine import FleetObservation, Observation, RolloutStateMachine, describe_state
+from heronstall.rollout.plan import Placement, Plan, assign_stages
 from heronstall.rollout.state import State
 
 CALL_TIME, CHECK_TIME = 3.0, 90.0  # seconds that a keeper may take
@@ -62,13 +62,13 @@
             except CallError as error:
                 return error
 
-        found = await asyncio.gather(*(one(at) for at in self._plan.keepers.values()))
-        return dict(zip(self._plan.keepers, found, strict=True))
+        found = await asyncio.gather(*(one(at) for at in self._plan.supervisors.values()))
+        return dict(zip(self._plan.supervisors, found, strict=True))
 
-    async def look(self) -> Seen:
+    async def look(self) -> FleetObservation:
         """What the keepers that are heard say of their dispatchers."""
         info, figures = await asyncio.gather(self.ask("INFO"), self.ask("FIGURES"))
-        seen: dict[str, Sight] = {}
+        seen: dict[str, Observation] = {}
         for keeper, reply in info.items():
             if not isinstance(reply, Reply):
                 continue
@@ -82,7 +82,7 @@
                         row = json.loads(value)
                         self.zones[short] = keeper, str(row["zone"])
                         seen[short] = sight(row, by_name.get(short, {}))
-        return Seen(unix_us(), seen)
+        return FleetObservation(unix_us(), seen)
 
 
 def _by_name(table: dict[str, str]) -> dict[str, dict[str, str]]:
@@ -93,7 +93,7 @@
     return made
 
 
-def sight(row: dict[str, Any], figures: dict[str, str]) -> Sight:
+def sight(row: dict[str, Any], figures: dict[str, str]) -> Observation:
     """One dispatcher. Raises KeyError, TypeError or ValueError for rows that cannot be used."""
     snapshot = None
     # Guards against figures of the process before: those of a process that is not the one that serves.
@@ -101,7 +101,7 @@
         about = ("at", "ping")
         told = {name: value for name, value in figures.items() if name not in about}
         snapshot = Snapshot(int(figures["at"]), told)
-    return Sight(
+    return Observation(
         str(row["digest"]),
         str(row["state"]),
         int(row["crashes"]),
@@ -127,7 +127,7 @@
         self._log = Log(self._path)
         self.fleet = Fleet(plan)
         try:
-            self.machine = Machine(plan, self._log.records)
+            self.machine = RolloutStateMachine(plan, self._log.records)
             if self._log.records and self.machine.state.plan != plan.digest:
                 told = "its journal was begun with another plan: end that rollout, or name another journal"
                 raise RolloutError(f"{plan.journal}: {told}")
@@ -154,23 +154,23 @@
             if not self._log.records:
                 await self._begin()
             await self._claim()
-            self.machine.words += [word.lower() for word in words]
-            while not self.machine.state.over:
+            self.machine.operator_commands += [word.lower() for word in words]
+            while not self.machine.state.finished:
                 await self._turn()
-                if not self.machine.state.over:
-                    await asyncio.sleep(self._plan.every / 1e6)
+                if not self.machine.state.finished:
+                    await asyncio.sleep(self._plan.poll_interval / 1e6)
         finally:
             await desk.close()
             beside(self._path).unlink(missing_ok=True)
             self._log.close()
 
-    async def check(self) -> tuple[str, dict[str, Home]]:
+    async def check(self) -> tuple[str, dict[str, Placement]]:
         """Whether the rollout could begin: the release's name@digest, and where each dispatcher stands.
 
         Raises RolloutError.
         """
         seen = await self.fleet.look()
-        deaf = [keeper for keeper in self._plan.keepers if keeper not in self.fleet.epochs]
+        deaf = [keeper for keeper in self._plan.supervisors if keeper not in self.fleet.epochs]
         if deaf:
             raise RolloutError(f"not heard: {', '.join(deaf)}")
         for name, one in seen.dispatchers.items():
@@ -190,7 +190,9 @@
             releases.add(reply.text)
         if len(releases) > 1:
             raise RolloutError(f"the keepers' files of the release differ: {', '.join(sorted(releases))}")
-        homes = {n: Home(*self.fleet.zones[n], one.digest) for n, one in sorted(seen.dispatchers.items())}
+        homes = {
+            n: Placement(*self.fleet.zones[n], one.digest) for n, one in sorted(seen.dispatchers.items())
+        }
         return releases.pop(), homes
 
     async def _begin(self) -> None:
@@ -202,7 +204,7 @@
                 "name": self._plan.name,
                 "release": release,
                 "homes": {name: list(home) for name, home in homes.items()},
-                "stages": stages(self._plan, homes),
+                "stages": assign_stages(self._plan, homes),
             },
         )
 
@@ -231,15 +233,15 @@
                 self._write(kind, fields)
                 if kind == "resume":  # what was refused to the former epoch is tried again
                     await self._claim()
-            if machine.state.over:
+            if machine.state.finished:
                 return
-        await self._ask_for(machine.wanted())
+        await self._ask_for(machine.desired_digests())
 
     async def _ask_for(self, wanted: dict[str, str]) -> None:
-        homes = self.machine.state.homes
+        homes = self.machine.state.placements
 
         async def one(name: str, digest: str) -> str:
-            address = self._plan.keepers[homes[name].keeper]
+            address = self._plan.supervisors[homes[name].supervisor]
             try:
                 line = f"RUN {self.machine.state.epoch} {name} {digest}"
                 reply = await calls.call(address, line, CALL_TIME)
@@ -256,18 +258,18 @@
             case ["STATUS"]:
                 return rows(status(self.machine.state))
             case [word] if word in WORDS:
-                self.machine.words.append(word.lower())
+                self.machine.operator_commands.append(word.lower())
                 return yes("noted")
         return no("such call")
 
 
 def status(state: State) -> dict[str, str]:
     """Where a rollout stands, for STATUS and `--json`."""
-    made = {"rollout": json.dumps(" | ".join(line.strip() for line in tell(state)))}
+    made = {"rollout": json.dumps(" | ".join(line.strip() for line in describe_state(state)))}
     for key in ("phase", "release", "epoch", "stage", "paused", "held", "trouble", "reason"):
         made[key] = json.dumps(getattr(state, key))
-    made["changed"] = json.dumps([name for name in state.changed if name not in state.returned])
-    made["under_way"] = json.dumps(state.under_way)
+    made["changed"] = json.dumps([name for name in state.changed if name not in state.rolled_back])
+    made["under_way"] = json.dumps(state.changing)
     made["stages"] = json.dumps(state.stages)
     return made
 
--- a/heronstall/keeper/log.py
+++ b/heronstall/keeper/log.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from types import TracebackType
 
-from heronstall.rollout.journal import JournalError, Record, pack, unpack
+from heronstall.rollout.journal import JournalError, Record, decode_records, encode_record
 
 
 class Busy(OSError):
@@ -36,7 +36,7 @@
             if fresh:
                 self._sync_folder()
             data = path.read_bytes()
-            self.records, whole = unpack(data)
+            self.records, whole = decode_records(data)
             if whole < len(data):  # a record that was never written whole: nobody has acted on it
                 os.ftruncate(self._fd, whole)
                 os.fsync(self._fd)
@@ -54,7 +54,7 @@
     def append(self, kind: str, fields: Record) -> Record:
         """Write a record; it is on the disk when this returns. Raises OSError: then it is not there."""
         at = max(unix_us(), self.records[-1]["at"] if self.records else 0)
-        line = pack(len(self.records), at, kind, fields)
+        line = encode_record(len(self.records), at, kind, fields)
         whole = os.fstat(self._fd).st_size
         written = 0
         try:
@@ -97,7 +97,7 @@
 
 def read(path: Path) -> list[Record]:
     """The records of a journal that another process may be writing. Raises OSError, JournalError."""
-    return unpack(path.read_bytes())[0]
+    return decode_records(path.read_bytes())[0]
 
 
 __all__ = ["Busy", "JournalError", "Log", "read", "unix_us"]
--- a/heronstall/model/rollouts.py
+++ b/heronstall/model/rollouts.py
@@ -23,8 +23,8 @@
 from heronstall.ops.detail import DetailedMetrics
 from heronstall.rollout.figures import Snapshot
 from heronstall.rollout.journal import Record
-from heronstall.rollout.machine import Machine, Seen, Sight
-from heronstall.rollout.plan import Home, Plan, stages
+from heronstall.rollout.machine import FleetObservation, Observation, RolloutStateMachine
+from heronstall.rollout.plan import Placement, Plan, assign_stages
 
 ORIGIN = ORIGIN_MS * 1000
 STARTING = 300_000  # microseconds from a start to its yes
@@ -173,7 +173,9 @@
             memory = MEMORY_KB * math.exp(self._draw.normal(0, 0.05))
             self.stands[name] = _Stand(place, cpu=cpu, memory=memory)
             place.apply({"kind": "want", "at": 0, "digest": OLD, "epoch": 0})
-        self.homes = {name: Home(f"k{n % 3}", evening.zones[n], OLD) for n, name in enumerate(self.names)}
+        self.placements = {
+            name: Placement(f"k{n % 3}", evening.zones[n], OLD) for n, name in enumerate(self.names)
+        }
         self.records: list[Record] = []
         self.harmed = 0
         self.now = 0
@@ -290,7 +292,7 @@
 
     # ------------------------------------------------------------------ the run
 
-    def seen(self) -> Seen:
+    def seen(self) -> FleetObservation:
         """What a controller sees now."""
         sights = {}
         for name, stand in self.stands.items():
@@ -304,7 +306,7 @@
                 rows = dict(living.detail.rows())
                 rows["about.pid"] = main.token
                 snapshot = Snapshot(ORIGIN + self.now, rows)
-            sights[name] = Sight(
+            sights[name] = Observation(
                 told["digest"],
                 told["state"],
                 told["crashes"],
@@ -317,9 +319,9 @@
                 0,
                 snapshot,
             )
-        return Seen(ORIGIN + self.now, sights)
+        return FleetObservation(ORIGIN + self.now, sights)
 
-    def write(self, machine: Machine | None, kind: str, fields: Record) -> None:
+    def write(self, machine: RolloutStateMachine | None, kind: str, fields: Record) -> None:
         """A record, as a journal has it."""
         record = {"n": len(self.records), "at": ORIGIN + self.now, "kind": kind, **fields}
         self.records.append(record)
@@ -327,19 +329,19 @@
             machine.apply(record)
         self.on_record(record)
 
-    def begin(self) -> Machine:
+    def begin(self) -> RolloutStateMachine:
         """The records that a controller writes at first."""
-        homes = {name: list(home) for name, home in self.homes.items()}
-        rows = stages(self.plan, self.homes)
+        homes = {name: list(home) for name, home in self.placements.items()}
+        rows = assign_stages(self.plan, self.placements)
         self.write(
             None, "begin", {"plan": self.plan.digest, "release": f"v@{NEW}", "homes": homes, "stages": rows}
         )
         self.write(None, "epoch", {"epoch": 1})
-        return Machine(self.plan, self.records)
+        return RolloutStateMachine(self.plan, self.records)
 
-    def tick(self, machine: Machine | None) -> None:
+    def tick(self, machine: RolloutStateMachine | None) -> None:
         """Advance to the next look; `machine` is None while no controller lives."""
-        upto = self.now + self.plan.every
+        upto = self.now + self.plan.poll_interval
         for n, stand in enumerate(self.stands.values()):
             self._cpu = stand.cpu
             self._serve(n, stand, upto)
@@ -357,9 +359,9 @@
         while steps := machine.step(seen):
             for kind, fields in steps:
                 self.write(machine, kind, fields)
-                if machine.state.over:
+                if machine.state.finished:
                     return
-        for name, digest in machine.wanted().items():
+        for name, digest in machine.desired_digests().items():
             place = self.stands[name].place
             refused = (place.refused_digest, place.refused_epoch) == (digest, machine.state.epoch)
             if self.reached(name, self.now) and place.want != digest and not (place.refused and refused):
@@ -373,11 +375,11 @@
                 self._keep(stand)
         machine = self.begin()
         end = min(self.evening.length, longest * SECOND)
-        while not machine.state.over and self.now < end:
+        while not machine.state.finished and self.now < end:
             self.tick(machine)
         return self.outcome(machine)
 
-    def outcome(self, machine: Machine) -> Outcome:
+    def outcome(self, machine: RolloutStateMachine) -> Outcome:
         """How it stands."""
         state = machine.state
         backs = [r for r in self.records if r["kind"] == "back"]
@@ -388,7 +390,7 @@
             state.reason or state.held,
             state.stage,
             self.now / SECOND,
-            len(state.order),
+            len(state.change_order),
             self.harmed,
             self.records,
             {name: main.digest if main is not None else "" for name, main in mains.items()},
--- a/heronstall/report/rollout.py
+++ b/heronstall/report/rollout.py
@@ -69,7 +69,7 @@
 
 def page(plan: Plan, records: list[dict[str, Any]]) -> str:
     """The page; it refers to nothing outside itself."""
-    state = State.of(records)
+    state = State.from_records(records)
     steps = []
     for r in records:
         if r["kind"] in PLAIN and not r.get("foot"):
@@ -104,7 +104,8 @@
     return (
         '<!doctype html>\n<html lang="en"><head><meta charset="utf-8">'
         f"<title>heronstall: rollout {escape(plan.name)}</title><style>{STYLE}</style></head><body>"
-        f"<h1>Rollout {escape(plan.name)}</h1><p>{escape(state.release)}, {len(state.homes)} dispatchers."
+        f"<h1>Rollout {escape(plan.name)}</h1><p>{escape(state.release)},"
+        f" {len(state.placements)} dispatchers."
         f' <b class="{good}">{state.phase}{why}.</b></p>'
         f"<h2>Steps</h2><table>{''.join(steps)}</table>{''.join(shown)}"
         f"<h2>Stages</h2><table>{stages}</table></body></html>\n"
--- a/heronstall/rollout/journal.py
+++ b/heronstall/rollout/journal.py
@@ -1,12 +1,12 @@
-"""A durable log's form: records as bytes, and bytes back as records. Free of I/O.
+"""The encoding of a durable journal's records. Free of I/O.
 
-A record is one line: CRC-32 of the rest as eight hex digits, a space, a JSON object, a newline.
+A record is one line: the CRC-32 of the rest as eight hexadecimal digits, a space, a JSON object, a newline.
 
     1c3f9ab2 {"v":1,"n":7,"at":1790000000000000,"kind":"changed","dispatcher":"n3"}
 
-`v` is the form's version, `n` counts from 0 without a gap, `at` is Unix time in microseconds. A last line
-that is cut or whose sum is wrong was never written whole: it counts for nothing. Anything wrong before it
-is damage, and is said, never skipped: a step whose record is lost may have been taken.
+`v` is the version of the format, `n` counts from 0 without gaps, `at` is Unix time in microseconds. A last
+line that is incomplete or has a wrong checksum comes from an interrupted write and is ignored. Damage before
+it is reported as an error and never skipped, since the step of a lost record may have been carried out.
 """
 
 from __future__ import annotations
@@ -16,49 +16,51 @@
 from zlib import crc32
 
 VERSION = 1
-LARGEST = 64 * 1024 * 1024  # bytes of a journal
+MAX_JOURNAL_BYTES = 64 * 1024 * 1024
 Record = dict[str, Any]
 
 
 class JournalError(ValueError):
-    """A journal that cannot be gone on with; the message says which record and why."""
+    """A journal that cannot be continued; the message names the record and the reason."""
 
 
-def pack(number: int, at: int, kind: str, fields: Record) -> bytes:
-    """A record as its line."""
-    whole = {"v": VERSION, "n": number, "at": at, "kind": kind, **fields}
-    text = json.dumps(whole, separators=(",", ":"), sort_keys=False).encode()
+def encode_record(number: int, at: int, kind: str, fields: Record) -> bytes:
+    """Returns a record as one line."""
+    document = {"v": VERSION, "n": number, "at": at, "kind": kind, **fields}
+    text = json.dumps(document, separators=(",", ":"), sort_keys=False).encode()
     return b"%08x %s\n" % (crc32(text), text)
 
 
-def unpack(data: bytes) -> tuple[list[Record], int]:
-    """The records, and how many bytes of `data` they take: what follows is a cut tail.
+def decode_records(data: bytes) -> tuple[list[Record], int]:
+    """Returns the records and the number of bytes they occupy; an incomplete record may follow.
 
-    Raises JournalError for damage before the tail, a gap, or a newer version.
+    Raises JournalError for damage before the last record, a gap in the numbers, or an unsupported version.
     """
-    if len(data) > LARGEST:
-        raise JournalError(f"{len(data)} bytes where at most {LARGEST} are taken")
+    if len(data) > MAX_JOURNAL_BYTES:
+        raise JournalError(f"the journal has {len(data)} bytes; at most {MAX_JOURNAL_BYTES} are supported")
     records: list[Record] = []
     at = 0
     while at < len(data):
         end = data.find(b"\n", at)
-        record = _record(data[at:end]) if end >= 0 else None
+        record = _parse_line(data[at:end]) if end >= 0 else None
         if record is None:
             if end < 0 or end == len(data) - 1:
-                break  # the tail
-            raise JournalError(f"record {len(records)} at byte {at} is damaged, and others follow it")
+                break  # an incomplete last record
+            raise JournalError(
+                f"record {len(records)} at byte {at} is damaged and is followed by other records"
+            )
         if record.get("v") != VERSION:
-            told = f"version {record.get('v')!r} of record {len(records)}: {VERSION} is known here"
-            raise JournalError(told)
+            message = f"record {len(records)} has version {record.get('v')!r}; supported is version {VERSION}"
+            raise JournalError(message)
         if record.get("n") != len(records):
-            raise JournalError(f"record {record.get('n')!r} where {len(records)} is wanted: one is missing")
+            raise JournalError(f"found record {record.get('n')!r} where record {len(records)} was expected")
         records.append(record)
         at = end + 1
     return records, at
 
 
-def _record(line: bytes) -> Record | None:
-    """A line's record; None where its sum or form is wrong."""
+def _parse_line(line: bytes) -> Record | None:
+    """Returns the record of a line, or None where its checksum or form is wrong."""
     try:
         if line[:9] != b"%08x " % crc32(line[9:]):
             return None
--- a/heronstall/rollout/machine.py
+++ b/heronstall/rollout/machine.py
@@ -1,8 +1,8 @@
-"""The rollout's steps: from where it stands and what is seen, the records to be written next. Free of I/O.
+"""The state machine of a rollout: computes the next records from its state and observations. Free of I/O.
 
-The host looks at the keepers, calls `step`, writes each record, has it applied, and then makes the keepers
-so as `wanted` says. It repeats that; nothing else happens. What is in memory alone (a series of memory, the
-windows for trouble) is only ever a reason to look longer after a restart.
+The host observes the supervisors, calls `step`, writes each record and applies it, and then requests from the
+supervisors what `desired_digests` returns. It repeats this and does nothing else. What exists in memory only
+(the memory series, the degradation windows) can at most prolong a watch after a restart.
 """
 
 from __future__ import annotations
@@ -11,378 +11,402 @@
 from collections.abc import Iterator
 from typing import Any, NamedTuple
 
-from heronstall.rollout.figures import Snapshot, keep, points
+from heronstall.rollout.figures import Snapshot, measure_points, points_to_record
 from heronstall.rollout.journal import Record
 from heronstall.rollout.judge import (
     LOOKS,
+    DegradationMonitor,
     Judge,
     Look,
-    Weather,
-    budget,
-    foot_budget,
-    leak,
-    levels,
-    spend,
-    time_before,
+    cohort_levels,
+    find_leaks,
+    footprint_alpha,
+    look_alpha,
+    measure_baseline,
+    watch_alpha,
 )
-from heronstall.rollout.plan import Plan, moves
+from heronstall.rollout.plan import Plan, select_changes
 from heronstall.rollout.state import State
 
-STRIKES = 2  # ends by chance of new dispatchers in one stage that are no chance any more
-GAP, GAP_LOOKS = 5_000_000, 5  # unwatched for longer, and for so many looks, a watch begins anew
-FOOT_EVERY = 5_000_000  # between looks at the footprint in a trouble
-FOOT_LONGEST = 30_000_000
-NOTABLE = 12  # findings that a look's record keeps beside the bad ones
+LOSSES_TO_ROLL_BACK = 2  # external or unexplained exits in one stage that count as a fault of the release
+# A longer pause between observations, in time and in polling intervals, restarts the watch.
+OBSERVATION_GAP_US, OBSERVATION_GAP_INTERVALS = 5_000_000, 5
+FOOTPRINT_INTERVAL_US = 5_000_000  # between footprint looks during a degradation
+MAX_FOOTPRINT_INTERVAL_US = 30_000_000
+MAX_RECORDED_FINDINGS = 12  # per look, besides the harmful ones and those of all zones
 
 Step = tuple[str, Record]
 
 
-class Sight(NamedTuple):
-    """What a keeper says of a dispatcher, and the dispatcher of itself."""
+class Observation(NamedTuple):
+    """What a supervisor reports of a dispatcher, and the dispatcher of itself."""
 
-    digest: str  # of the release that serves
+    digest: str  # of the serving release
     state: str  # "serving", "changing", "waiting", "looping", "stopped"
-    crashes: int = 0  # ends by its own doing
-    lost: int = 0  # ends that came from outside, or that nobody saw
-    refused: str = ""  # why the release that was asked for last did not come to serve
+    crashes: int = 0  # exits caused by the process itself
+    losses: int = 0  # exits caused from outside or not observed
+    refusal_reason: str = ""  # why the last requested release did not start to serve
     refused_digest: str = ""
     refused_epoch: int = 0
-    ended: str = ""  # how the last process ended
+    last_exit: str = ""  # how the last process exited
     drained: bool = False
-    alarms: int = 0  # rules that its own guards say were about to break, by this process
+    guard_alarms: int = 0  # safety rules whose violation this process prevented
     snapshot: Snapshot | None = None
 
     @property
-    def ends(self) -> dict[str, int]:
-        """How often its processes have ended unasked, for a record."""
-        return {"crashes": self.crashes, "lost": self.lost}
+    def exit_counts(self) -> dict[str, int]:
+        """The counts of unrequested exits, in the form they have in a record."""
+        return {"crashes": self.crashes, "lost": self.losses}
 
 
-class Seen(NamedTuple):
-    """A look at all keepers; who is missing was not heard."""
+class FleetObservation(NamedTuple):
+    """An observation of all supervisors; unreachable dispatchers are missing."""
 
     at: int
-    dispatchers: dict[str, Sight]
+    dispatchers: dict[str, Observation]
 
     @property
     def snapshots(self) -> dict[str, Snapshot]:
-        """Of those whose doors were heard."""
+        """The snapshots of the dispatchers whose admin endpoint answered."""
         return {n: s.snapshot for n, s in self.dispatchers.items() if s.snapshot is not None}
 
 
-class Machine:
-    """Decides. Holds a `State`, and what a watch needs beside it."""
+class RolloutStateMachine:
+    """Decides the steps of a rollout. Holds its `State` and what a watch needs in memory."""
 
     def __init__(self, plan: Plan, records: list[Record]) -> None:
         self.plan = plan
-        self.state = State.of(records)
-        self._series: list[dict[str, Snapshot]] = []  # of the time before
+        self.state = State.from_records(records)
+        self._baseline_series: list[dict[str, Snapshot]] = []  # snapshots of the baseline so far
         self._judge: Judge | None = None
-        self._weather: Weather | None = None
-        self._memory: dict[str, list[tuple[int, float]]] = defaultdict(list)
-        self._seen_at = 0
-        self._blind_at = 0
-        self._foot_at = 0
-        self.words: list[str] = []  # by hand, to be seen to: "pause", "resume", "back"
+        self._monitor: DegradationMonitor | None = None
+        self._memory_series: dict[str, list[tuple[int, float]]] = defaultdict(list)
+        self._observed_at = 0
+        self._unreachable_since = 0
+        self._footprint_at = 0
+        self.operator_commands: list[str] = []  # not yet handled: "pause", "resume", "back"
 
     def apply(self, record: Record) -> None:
-        """A record has been written."""
+        """Applies a record that has been written."""
         self.state.apply(record)
         if record["kind"] in ("watch", "stage", "lost", "calm", "resume"):
-            self._memory.clear()
+            self._memory_series.clear()
 
     @property
-    def new(self) -> str:
-        """The digest of the release that is carried through."""
+    def new_digest(self) -> str:
+        """The digest of the release that is being rolled out."""
         return self.state.release.rpartition("@")[2]
 
-    def wanted(self) -> dict[str, str]:
-        """The release (digest) that each dispatcher is to be brought to now; the others are left alone."""
+    def desired_digests(self) -> dict[str, str]:
+        """Returns the release (digest) that dispatchers should run now; others are left alone."""
         state = self.state
         if state.phase == "going back" or (state.phase == "holding" and state.reason):
-            return {name: state.homes[name].digest for name in state.on_return}
-        return {} if state.over else dict.fromkeys(state.under_way, self.new)
+            return {name: state.placements[name].digest for name in state.rolling_back}
+        return {} if state.finished else dict.fromkeys(state.changing, self.new_digest)
 
     # ------------------------------------------------------------------ steps
 
-    def step(self, seen: Seen) -> list[Step]:
-        """What is to be written now. Empty where nothing is to be done but to look again."""
+    def step(self, fleet: FleetObservation) -> list[Step]:
+        """Returns the records to write now; empty where the next observation has to be awaited."""
         state = self.state
-        if state.over:
+        if state.finished:
             return []
-        by_hand = self._hand()
-        if by_hand:
-            return by_hand
-        gap = self._seen_at and seen.at - self._seen_at > max(GAP, GAP_LOOKS * self.plan.every)
-        self._seen_at = seen.at
-        if set(state.order) <= set(seen.snapshots):
-            self._blind_at = 0
+        operator_steps = self._operator_steps()
+        if operator_steps:
+            return operator_steps
+        gap = self._observed_at and fleet.at - self._observed_at > max(
+            OBSERVATION_GAP_US, OBSERVATION_GAP_INTERVALS * self.plan.poll_interval
+        )
+        self._observed_at = fleet.at
+        if set(state.change_order) <= set(fleet.snapshots):
+            self._unreachable_since = 0
         if state.phase == "going back":
-            return self._back(seen)
-        harmed = self._harmed(seen)
-        if harmed:
-            return harmed
+            return self._rollback_steps(fleet)
+        failure = self._failure_steps(fleet)
+        if failure:
+            return failure
         if state.phase == "holding":
             return []
-        if not state.blocks:
-            return self._before(seen)
-        weather = self._look_out(seen)
-        if weather:
-            return weather
+        if not state.baseline_blocks:
+            return self._baseline_steps(fleet)
+        degradation = self._degradation_steps(fleet)
+        if degradation:
+            return degradation
         if state.phase == "before":
             return [("stage", {"stage": 0})]
         if state.verdict:
-            return self._follow()
+            return self._verdict_steps()
         if state.phase == "changing":
-            return self._next() if state.passed == state.stage else self._changing(seen)
+            return (
+                self._next_stage_steps()
+                if state.last_passed_stage == state.stage
+                else self._changing_steps(fleet)
+            )
         if gap:
-            return [("calm", {"text": "nobody looked for a while: the watch begins anew"})]
-        return self._watching(seen)
-
-    def _hand(self) -> list[Step]:
-        state, words = self.state, self.words
-        while words:
-            word = words.pop(0)
-            if word == "back" and state.phase != "going back":
-                return [("back", {"reason": "by hand", "by": "hand"})]
-            if word == "pause" and not state.paused and state.phase != "going back":
-                return [("pause", {"reason": "by hand"})]
-            if word == "resume" and (state.paused or state.phase == "holding"):
+            return [("calm", {"text": "no observation for too long: the watch is restarted"})]
+        return self._watching_steps(fleet)
+
+    def _operator_steps(self) -> list[Step]:
+        state, operator_commands = self.state, self.operator_commands
+        while operator_commands:
+            command = operator_commands.pop(0)
+            if command == "back" and state.phase != "going back":
+                return [("back", {"reason": "requested by the operator", "by": "hand"})]
+            if command == "pause" and not state.paused and state.phase != "going back":
+                return [("pause", {"reason": "requested by the operator"})]
+            if command == "resume" and (state.paused or state.phase == "holding"):
                 return [("resume", {})]
         return []
 
-    def _harmed(self, seen: Seen) -> list[Step]:
-        """What needs no statistics."""
+    def _failure_steps(self, fleet: FleetObservation) -> list[Step]:
+        """Returns the steps for failures that need no statistics."""
         state = self.state
-        for name in state.order:
-            sight = seen.dispatchers.get(name)
-            if sight is None:
+        for name in state.change_order:
+            observation = fleet.dispatchers.get(name)
+            if observation is None:
                 continue
             if name not in state.changed:
-                if self._refuses(sight, self.new):
+                if self._has_refused(observation, self.new_digest):
                     return [
-                        ("refused", {"dispatcher": name, "reason": sight.refused}),
-                        ("back", {"reason": f"{name} did not change: {sight.refused}", "by": "yes"}),
+                        ("refused", {"dispatcher": name, "reason": observation.refusal_reason}),
+                        (
+                            "back",
+                            {"reason": f"{name} did not change: {observation.refusal_reason}", "by": "yes"},
+                        ),
                     ]
                 continue
-            before = state.changed[name]
-            if sight.crashes > before["crashes"] or sight.state == "looping":
-                told = f"{name} crashed with the new release: {sight.ended}"
-                return [("back", {"reason": told, "by": "crash"})]
-            if sight.alarms > 0 and sight.digest == self.new:
-                told = f"{name}: its own guards met a rule about to break, {sight.alarms} times"
-                return [("back", {"reason": told, "by": "rule"})]
-            if sight.lost > before["lost"]:
-                if sum(state.losses.values()) + 1 >= STRIKES:
-                    told = f"{name} was lost ({sight.ended}), the second in this stage: no chance any more"
-                    return [("back", {"reason": told, "by": "crash"})]
-                return [("lost", {"dispatcher": name, "ends": sight.ends, "how": sight.ended})]
+            exit_counts = state.changed[name]
+            if observation.crashes > exit_counts["crashes"] or observation.state == "looping":
+                reason = f"{name} crashed with the new release: {observation.last_exit}"
+                return [("back", {"reason": reason, "by": "crash"})]
+            if observation.guard_alarms > 0 and observation.digest == self.new_digest:
+                reason = f"{name}: its safety guards prevented {observation.guard_alarms} rule violations"
+                return [("back", {"reason": reason, "by": "rule"})]
+            if observation.losses > exit_counts["lost"]:
+                if sum(state.stage_losses.values()) + 1 >= LOSSES_TO_ROLL_BACK:
+                    reason = f"{name} was lost ({observation.last_exit}), the second loss in this stage"
+                    return [("back", {"reason": reason, "by": "crash"})]
+                return [
+                    (
+                        "lost",
+                        {"dispatcher": name, "ends": observation.exit_counts, "how": observation.last_exit},
+                    )
+                ]
         return []
 
-    def _refuses(self, sight: Sight, digest: str) -> bool:
-        """Whether a keeper has tried for this controller and in vain. An earlier one's try is made again."""
-        mine = sight.refused_epoch >= self.state.epoch
-        return bool(sight.refused) and sight.refused_digest == digest and mine
+    def _has_refused(self, observation: Observation, digest: str) -> bool:
+        """Returns whether the supervisor refused a request of this epoch; older refusals are retried."""
+        current = observation.refused_epoch >= self.state.epoch
+        return bool(observation.refusal_reason) and observation.refused_digest == digest and current
 
-    def _before(self, seen: Seen) -> list[Step]:
-        """Gather the fleet's own time before."""
-        row = seen.snapshots
-        if len(row) < len(self.state.homes):
-            self._series.clear()  # all of it, or it tells of another fleet
+    def _baseline_steps(self, fleet: FleetObservation) -> list[Step]:
+        """Collects the baseline of the fleet."""
+        snapshots = fleet.snapshots
+        if len(snapshots) < len(self.state.placements):
+            self._baseline_series.clear()  # the baseline must cover the whole fleet
             return []
-        self._series.append(row)
-        began = min(s.at for s in self._series[0].values())
-        if min(s.at for s in row.values()) - began < self.plan.before:
+        self._baseline_series.append(snapshots)
+        began = min(s.at for s in self._baseline_series[0].values())
+        if min(s.at for s in snapshots.values()) - began < self.plan.baseline_time:
             return []
-        blocks, usual, names = time_before(self._series, self.state.homes)
-        self._series = []
+        blocks, baselines, classes = measure_baseline(self._baseline_series, self.state.placements)
+        self._baseline_series = []
         return [
             (
                 "baseline",
                 {
-                    "blocks": [{n: keep(found) for n, found in block.items()} for block in blocks],
-                    "usual": {zone: list(row) for zone, row in usual.items()},
-                    "classes": names,
+                    "blocks": [
+                        {n: points_to_record(values) for n, values in block.items()} for block in blocks
+                    ],
+                    "usual": {zone: list(baseline) for zone, baseline in baselines.items()},
+                    "classes": classes,
                 },
             )
         ]
 
-    def _look_out(self, seen: Seen) -> list[Step]:
-        """Trouble that comes, lasts or goes."""
+    def _degradation_steps(self, fleet: FleetObservation) -> list[Step]:
+        """Returns the steps for a degradation that begins, lasts or ends."""
         state = self.state
-        if self._weather is None:
-            self._weather = Weather(self.plan, state.homes, state.usual)
-        snapshots = {n: s.snapshot for n, s in seen.dispatchers.items() if s.snapshot and not s.drained}
-        old = state.old or list(state.homes)  # nobody is old any more: the whole fleet
-        told = self._weather.look(snapshots, old, bool(state.trouble))
-        if told and not state.trouble:
-            self._foot_at = seen.at
-            return [("trouble", {"text": told})]
-        if state.trouble and not told:
-            return [("calm", {"text": "the fleet does as before the rollout again"})]
-        if state.trouble and seen.at - state.trouble_at > self.plan.patience:
-            told = f"the fleet does worse than before, and it does not pass: {state.trouble}"
-            return [("back", {"reason": told, "by": "trouble"})]
+        if self._monitor is None:
+            self._monitor = DegradationMonitor(self.plan, state.placements, state.baseline)
+        snapshots = {n: s.snapshot for n, s in fleet.dispatchers.items() if s.snapshot and not s.drained}
+        control = state.unchanged or list(state.placements)  # or the whole fleet if all have changed
+        description = self._monitor.look(snapshots, control, bool(state.trouble))
+        if description and not state.trouble:
+            self._footprint_at = fleet.at
+            return [("trouble", {"text": description})]
+        if state.trouble and not description:
+            return [("calm", {"text": "the fleet is back at its level before the rollout"})]
+        if state.trouble and fleet.at - state.trouble_since > self.plan.degradation_timeout:
+            description = f"the fleet is degraded and does not recover: {state.trouble}"
+            return [("back", {"reason": description, "by": "trouble"})]
         if state.trouble:
-            return self._footprint(seen)
+            return self._footprint_steps(fleet)
         return []
 
-    def _footprint(self, seen: Seen) -> list[Step]:
+    def _footprint_steps(self, fleet: FleetObservation) -> list[Step]:
         state = self.state
-        wait = min(FOOT_LONGEST, FOOT_EVERY * (state.feet + 1))
-        if not state.watch_at or seen.at - self._foot_at < wait:
+        wait = min(MAX_FOOTPRINT_INTERVAL_US, FOOTPRINT_INTERVAL_US * (state.footprint_looks + 1))
+        if not state.watch_started_at or fleet.at - self._footprint_at < wait:
             return []
-        self._foot_at = seen.at
-        judge, found = self._found(seen)
-        bad = judge.footprint(found, state.changed, foot_budget(self.plan, state.feet))
-        steps: list[Step] = [("look", {"foot": True, "bad": [f.text() for f in bad]})]
-        if bad:
-            told = f"in a trouble ({state.trouble}) new sends more than old: {bad[0].text()}"
-            steps.append(("back", {"reason": told, "by": "footprint"}))
+        self._footprint_at = fleet.at
+        judge, points = self._collect_points(fleet)
+        harmful = judge.footprint(points, state.changed, footprint_alpha(self.plan, state.footprint_looks))
+        steps: list[Step] = [("look", {"foot": True, "bad": [f.text() for f in harmful]})]
+        if harmful:
+            reason = f"during a degradation ({state.trouble}) the new release adds load: {harmful[0].text()}"
+            steps.append(("back", {"reason": reason, "by": "footprint"}))
         return steps
 
     # ------------------------------------------------------------------ a stage
 
-    def _changing(self, seen: Seen) -> list[Step]:
+    def _changing_steps(self, fleet: FleetObservation) -> list[Step]:
         state, plan = self.state, self.plan
-        for name in state.under_way:
-            sight = seen.dispatchers.get(name)
-            if sight is not None and sight.digest == self.new and sight.state == "serving":
-                return [("changed", {"dispatcher": name, "ends": sight.ends})]
-        deaf = [name for name in state.under_way if name not in seen.dispatchers]
-        if deaf and (told := self._blind(seen, deaf)):
-            return told
+        for name in state.changing:
+            observation = fleet.dispatchers.get(name)
+            if (
+                observation is not None
+                and observation.digest == self.new_digest
+                and observation.state == "serving"
+            ):
+                return [("changed", {"dispatcher": name, "ends": observation.exit_counts})]
+        unreachable = [name for name in state.changing if name not in fleet.dispatchers]
+        if unreachable and (steps := self._unreachable_steps(fleet, unreachable)):
+            return steps
         if state.paused or state.trouble:
             return []
         names = state.stages[state.stage]
-        waiting = [name for name in names if name not in state.order and name in seen.dispatchers]
-        go = moves(waiting, state.under_way, state.homes, plan.away)
-        if go:
-            return [("change", {"dispatcher": name, "stage": state.stage}) for name in go]
+        pending = [name for name in names if name not in state.change_order and name in fleet.dispatchers]
+        selected = select_changes(pending, state.changing, state.placements, plan.max_unavailable)
+        if selected:
+            return [("change", {"dispatcher": name, "stage": state.stage}) for name in selected]
         if any(name not in state.changed for name in names):
             return []
         if not names:
-            return self._next()
-        if seen.at - state.settled_at < plan.settle:
+            return self._next_stage_steps()
+        if fleet.at - state.last_change_at < plan.settle_time:
             return []
-        snapshots = seen.snapshots
-        deaf = [name for name in state.changed if name not in snapshots]
-        if deaf:
-            return self._blind(seen, deaf)
+        snapshots = fleet.snapshots
+        unreachable = [name for name in state.changed if name not in snapshots]
+        if unreachable:
+            return self._unreachable_steps(fleet, unreachable)
         rows = {n: [s.at, dict(s.rows)] for n, s in snapshots.items()}
         return [("watch", {"stage": state.stage, "snapshots": rows})]
 
-    def _watching(self, seen: Seen) -> list[Step]:
+    def _watching_steps(self, fleet: FleetObservation) -> list[Step]:
         state, plan = self.state, self.plan
-        snapshots = seen.snapshots
-        deaf = [name for name in state.changed if name not in snapshots]
-        if deaf:
-            return self._blind(seen, deaf)
+        snapshots = fleet.snapshots
+        unreachable = [name for name in state.changed if name not in snapshots]
+        if unreachable:
+            return self._unreachable_steps(fleet, unreachable)
         for name, snapshot in snapshots.items():
             if "memory_kb" in snapshot.rows:
-                self._memory[name].append((snapshot.at, float(snapshot.rows["memory_kb"])))
-        elapsed, whole = seen.at - state.watch_at, plan.watch_of(state.stage)
-        due = min(LOOKS, int(elapsed * LOOKS / whole))
-        if state.paused or state.trouble or due <= state.looks:
+                self._memory_series[name].append((snapshot.at, float(snapshot.rows["memory_kb"])))
+        elapsed, watch_time = fleet.at - state.watch_started_at, plan.watch_time_of(state.stage)
+        due = min(LOOKS, int(elapsed * LOOKS / watch_time))
+        if state.paused or state.trouble or due <= state.looks_taken:
             return []
-        judge, found = self._found(seen)
+        judge, points = self._collect_points(fleet)
         last = due >= LOOKS
-        alpha = sum(spend(budget(plan, state.attempt), k) for k in range(state.looks + 1, due + 1))
-        look = judge.look(found, state.changed, alpha)
-        leaks = leak(self._memory, set(state.changed), alpha, plan.harm["leak_kb_s"])
-        # A burst of a few seconds passes the test that it makes alone; harm is there at the next look, too.
-        before = state.bad_before
-        lasting = [f for f in look.bad if last or (f.figure, f.zone) in before]
+        alpha = sum(
+            look_alpha(watch_alpha(plan, state.watch_attempt), k)
+            for k in range(state.looks_taken + 1, due + 1)
+        )
+        look = judge.look(points, state.changed, alpha)
+        leaks = find_leaks(self._memory_series, set(state.changed), alpha, plan.tolerances["leak_kb_s"])
+        # A burst of a few seconds can fail a single look; real harm also shows in the next look.
+        previous = state.previously_harmful
+        lasting = [f for f in look.harmful if last or (f.figure, f.zone) in previous]
         harm = [f.text() for f in lasting] + [f"{name} leaks memory" for name in leaks]
-        if last and look.short and not harm and elapsed < plan.longest:
-            return []  # undecided: the last look waits for jobs
-        record = _look_record(
-            state.stage, due, look, leaks, elapsed, levels(judge.figures, found, state.changed)
+        if last and look.short and not harm and elapsed < plan.max_watch_time:
+            return []  # undecided: the last look waits for more jobs
+        record = _look_fields(
+            state.stage, due, look, leaks, elapsed, cohort_levels(judge.figures, points, state.changed)
         )
         verdict = "harm" if harm else "" if not last else "short" if look.short else "good"
         return [("look", {**record, "verdict": verdict, "harm": harm, "short": look.short})]
 
-    def _follow(self) -> list[Step]:
-        """What a look that has been written leads to; the controller may have been killed in between."""
-        state, told = self.state, self.state.last_look
+    def _verdict_steps(self) -> list[Step]:
+        """Returns what follows from a recorded look; the controller may have been killed in between."""
+        state, look = self.state, self.state.last_look
         if state.verdict == "harm":
-            return [("back", {"reason": told["harm"][0], "by": "judge", "all": told["harm"]})]
+            return [("back", {"reason": look["harm"][0], "by": "judge", "all": look["harm"]})]
         if state.verdict == "short":
-            few = f"fewer than {self.plan.least_jobs} jobs to compare of {', '.join(told['short'])}"
-            return [("hold", {"reason": f"too little to tell: {few}"})]
-        return [("good", {"stage": state.stage, "jobs": told["jobs"]})]
-
-    def _next(self) -> list[Step]:
-        nth = self.state.stage + 1
-        return [("stage", {"stage": nth})] if nth < len(self.state.stages) else [("done", {})]
-
-    def _blind(self, seen: Seen, names: list[str]) -> list[Step]:
-        """New dispatchers that are not heard: nothing is judged, and after a while a person is asked."""
-        if not self._blind_at:
-            self._blind_at = seen.at
-        if seen.at - self._blind_at <= self.plan.patience:
+            shortage = f"fewer than {self.plan.min_jobs} jobs to compare for {', '.join(look['short'])}"
+            return [("hold", {"reason": f"too little data: {shortage}"})]
+        return [("good", {"stage": state.stage, "jobs": look["jobs"]})]
+
+    def _next_stage_steps(self) -> list[Step]:
+        number = self.state.stage + 1
+        return [("stage", {"stage": number})] if number < len(self.state.stages) else [("done", {})]
+
+    def _unreachable_steps(self, fleet: FleetObservation, names: list[str]) -> list[Step]:
+        """Judges nothing while new dispatchers are unreachable; after a timeout, holds for an operator."""
+        if not self._unreachable_since:
+            self._unreachable_since = fleet.at
+        if fleet.at - self._unreachable_since <= self.plan.degradation_timeout:
             return []
-        return [("hold", {"reason": f"not heard: {', '.join(sorted(names))}"})]
+        return [("hold", {"reason": f"unreachable: {', '.join(sorted(names))}"})]
 
-    def _found(self, seen: Seen) -> tuple[Judge, dict[str, dict[str, Any]]]:
+    def _collect_points(self, fleet: FleetObservation) -> tuple[Judge, dict[str, dict[str, Any]]]:
         state = self.state
         if self._judge is None:
-            self._judge = Judge(self.plan, state.homes, state.blocks, state.classes)
-        found = {}
-        for name, sight in seen.dispatchers.items():
-            first = state.watch.get(name)
-            if first is not None and sight.snapshot is not None and not sight.drained:
-                row = points(first, sight.snapshot)
+            self._judge = Judge(self.plan, state.placements, state.baseline_blocks, state.classes)
+        measured = {}
+        for name, observation in fleet.dispatchers.items():
+            first = state.start_snapshots.get(name)
+            if first is not None and observation.snapshot is not None and not observation.drained:
+                row = measure_points(first, observation.snapshot)
                 if row:
-                    found[name] = row
-        return self._judge, found
+                    measured[name] = row
+        return self._judge, measured
 
     # ------------------------------------------------------------------ going back
 
-    def _back(self, seen: Seen) -> list[Step]:
+    def _rollback_steps(self, fleet: FleetObservation) -> list[Step]:
         state = self.state
-        for name in state.on_return:
-            sight, old = seen.dispatchers.get(name), state.homes[name].digest
-            if sight is None:
+        for name in state.rolling_back:
+            observation, original_digest = fleet.dispatchers.get(name), state.placements[name].digest
+            if observation is None:
                 continue
-            if sight.digest == old and sight.state == "serving":
+            if observation.digest == original_digest and observation.state == "serving":
                 return [("returned", {"dispatcher": name})]
-            if self._refuses(sight, old):
-                return [("hold", {"reason": f"{name} does not go back: {sight.refused}"})]
-        waiting = state.to_return
-        go = moves(waiting, state.on_return, state.homes, self.plan.away)
-        if go:
-            return [("return", {"dispatcher": name}) for name in go]
-        if not waiting and not state.on_return:
+            if self._has_refused(observation, original_digest):
+                return [("hold", {"reason": f"{name} did not roll back: {observation.refusal_reason}"})]
+        pending = state.pending_rollback
+        selected = select_changes(pending, state.rolling_back, state.placements, self.plan.max_unavailable)
+        if selected:
+            return [("return", {"dispatcher": name}) for name in selected]
+        if not pending and not state.rolling_back:
             return [("stopped", {"reason": state.reason})]
         return []
 
 
-def _look_record(
-    stage: int, nth: int, look: Look, leaks: list[str], elapsed: int, cohorts: dict[str, list[float]]
+def _look_fields(
+    stage: int, number: int, look: Look, leaks: list[str], elapsed: int, levels: dict[str, list[float]]
 ) -> Record:
-    notable = sorted(look.findings, key=lambda f: (not f.bad, f.tolerable - f.value))
-    rows = [f for k, f in enumerate(notable) if f.bad or f.zone == "" or k < NOTABLE]
+    notable = sorted(look.findings, key=lambda f: (not f.harmful, f.tolerance - f.value))
+    rows = [f for k, f in enumerate(notable) if f.harmful or f.zone == "" or k < MAX_RECORDED_FINDINGS]
     return {
         "stage": stage,
-        "look": nth,
+        "look": number,
         "elapsed": elapsed,
         "jobs": look.jobs,
         "leaks": leaks,
-        "levels": cohorts,
+        "levels": levels,
         "findings": [
-            [f.figure, f.zone, round(f.value, 5), round(f.least, 5), round(f.tolerable, 5), f.bad]
+            [f.figure, f.zone, round(f.value, 5), round(f.lower_bound, 5), round(f.tolerance, 5), f.harmful]
             for f in rows
         ],
     }
 
 
-def tell(state: State) -> Iterator[str]:
-    """Where a rollout stands, in a few lines for people."""
-    yield f"{state.release or 'nothing begun'}: {state.phase}, epoch {state.epoch}"
-    if state.homes:
-        changed = len([n for n in state.changed if n not in state.returned])
-        yield f"  {changed} of {len(state.homes)} dispatchers run the new release"
+def describe_state(state: State) -> Iterator[str]:
+    """Yields the state of a rollout in a few lines for operators."""
+    yield f"{state.release or 'not started'}: {state.phase}, epoch {state.epoch}"
+    if state.placements:
+        changed = len([n for n in state.changed if n not in state.rolled_back])
+        yield f"  {changed} of {len(state.placements)} dispatchers run the new release"
     if state.phase in ("changing", "watching"):
         yield f"  stage {state.stage + 1} of {len(state.stages)}: {', '.join(state.stages[state.stage])}"
     for what, why in (
--- a/heronstall/rollout/plan.py
+++ b/heronstall/rollout/plan.py
@@ -1,4 +1,4 @@
-"""The plan of a change: what was written, as types, and the stages it comes to. Free of I/O."""
+"""The plan of a rollout: its parsed settings and the dispatchers that each stage changes. Free of I/O."""
 
 from __future__ import annotations
 
@@ -10,61 +10,63 @@
 from dataclasses import dataclass
 from typing import Any, NamedTuple
 
-SECOND = 1_000_000
+SECOND = 1_000_000  # in microseconds
 
 
 class PlanError(ValueError):
-    """A plan that cannot be carried out; the message begins with the key."""
+    """A plan that cannot be carried out; the message begins with the key at fault."""
 
 
-class Home(NamedTuple):
-    """Where a dispatcher stands, and what it ran before the rollout."""
+class Placement(NamedTuple):
+    """The supervisor and zone of a dispatcher, and the release (digest) it ran before the rollout."""
 
-    keeper: str
+    supervisor: str
     zone: str
     digest: str
 
 
 @dataclass(frozen=True)
 class Plan:
-    """A plan. Times are microseconds."""
+    """The settings of a rollout. Times are in microseconds; `tolerances` is the tolerated harm."""
 
     name: str
     release: str
-    keepers: dict[str, str]
+    supervisors: dict[str, str]
     journal: str
     stages: tuple[dict[str, Any], ...]
-    before: int
-    settle: int
-    watch: int
-    longest: int
-    patience: int
-    away: int
-    every: int
-    least_jobs: int
+    baseline_time: int
+    settle_time: int
+    watch_time: int
+    max_watch_time: int
+    degradation_timeout: int
+    max_unavailable: int
+    poll_interval: int
+    min_jobs: int
     alpha: float
-    harm: dict[str, float]
+    tolerances: dict[str, float]
     digest: str
 
-    def watch_of(self, stage: int) -> int:
-        """How long a stage is watched."""
-        told = self.stages[stage].get("watch_s")
-        return self.watch if told is None else round(told * SECOND)
+    def watch_time_of(self, stage: int) -> int:
+        """Returns how long a stage is watched."""
+        seconds = self.stages[stage].get("watch_s")
+        return self.watch_time if seconds is None else round(seconds * SECOND)
 
 
-def plan(record: dict[str, Any]) -> Plan:
-    """A plan from its checked record. Raises PlanError for parts that do not go together."""
+def parse_plan(record: dict[str, Any]) -> Plan:
+    """Builds a plan from its validated record. Raises PlanError for settings that contradict each other."""
     if not record["keepers"]:
-        raise PlanError("keepers: at least one is wanted")
+        raise PlanError("keepers: at least one supervisor is required")
     if not record["stages"]:
-        raise PlanError("stages: at least one is wanted")
+        raise PlanError("stages: at least one stage is required")
     if record["longest_s"] < record["watch_s"]:
-        raise PlanError(f"longest_s: {record['longest_s']} is shorter than watch_s, {record['watch_s']}")
+        raise PlanError(f"longest_s: {record['longest_s']} s is shorter than watch_s, {record['watch_s']} s")
     if record["stages"][-1].get("part") != 1:
-        raise PlanError("stages: the last one must be {part: 1}, or some dispatchers stay as they are")
-    # Where the journal lies is no part of it: it may be gone on with on another machine.
-    told = {key: value for key, value in record.items() if key != "journal"}
-    text = json.dumps(told, sort_keys=True, separators=(",", ":"))
+        raise PlanError(
+            "stages: the last one must be {part: 1}, otherwise some dispatchers keep the old release"
+        )
+    # The journal's path is not part of the digest: the rollout may be resumed on another machine.
+    fields = {key: value for key, value in record.items() if key != "journal"}
+    text = json.dumps(fields, sort_keys=True, separators=(",", ":"))
     return Plan(
         record["name"],
         record["release"],
@@ -85,49 +87,54 @@
     )
 
 
-def stages(plan: Plan, homes: dict[str, Home]) -> list[list[str]]:
-    """The dispatchers that each stage changes, none of them twice; a stage may be left with none.
+def assign_stages(plan: Plan, placements: dict[str, Placement]) -> list[list[str]]:
+    """Returns the dispatchers that each stage changes.
 
-    `dispatchers: n` takes n, spread over zones; `part` takes so much of each zone, rounded up. Who goes
-    first is drawn by the plan's digest: it is not the same unlucky one each time, and the same for whoever
-    asks again.
+    A dispatcher belongs to one stage only, and a stage may be empty. `dispatchers: n` selects n dispatchers
+    spread over the zones; `part` selects that share of each zone, rounded up. The order is drawn from the
+    plan's digest: different plans begin with different dispatchers, and the same plan always gives the same
+    result.
     """
-    queue: dict[str, list[str]] = defaultdict(list)
-    for name in sorted(homes, key=lambda n: _lot(plan.digest, n)):
-        queue[homes[name].zone].append(name)
-    size = {zone: len(names) for zone, names in queue.items()}
-    zones = sorted(queue, key=lambda z: _lot(plan.digest, f"zone {z}"))
-    done: dict[str, int] = dict.fromkeys(zones, 0)
-    made: list[list[str]] = []
+    zone_queues: dict[str, list[str]] = defaultdict(list)
+    for name in sorted(placements, key=lambda n: _draw_key(plan.digest, n)):
+        zone_queues[placements[name].zone].append(name)
+    zone_sizes = {zone: len(names) for zone, names in zone_queues.items()}
+    zones = sorted(zone_queues, key=lambda z: _draw_key(plan.digest, f"zone {z}"))
+    assigned_counts: dict[str, int] = dict.fromkeys(zones, 0)
+    assigned: list[list[str]] = []
     for stage in plan.stages:
         names: list[str] = []
         if "part" in stage:
             for zone in zones:
-                upto = math.ceil(stage["part"] * size[zone] - 1e-9)
-                names += queue[zone][done[zone] : upto]
-                done[zone] = max(done[zone], upto)
+                end = math.ceil(stage["part"] * zone_sizes[zone] - 1e-9)
+                names += zone_queues[zone][assigned_counts[zone] : end]
+                assigned_counts[zone] = max(assigned_counts[zone], end)
         else:
-            while len(names) < stage["dispatchers"] and any(done[z] < size[z] for z in zones):
-                for zone in sorted(zones, key=lambda z: (done[z], zones.index(z))):
-                    if done[zone] < size[zone] and len(names) < stage["dispatchers"]:
-                        names.append(queue[zone][done[zone]])
-                        done[zone] += 1
-        made.append(names)
-    return made
-
-
-def _lot(digest: str, name: str) -> bytes:
+            while len(names) < stage["dispatchers"] and any(
+                assigned_counts[z] < zone_sizes[z] for z in zones
+            ):
+                for zone in sorted(zones, key=lambda z: (assigned_counts[z], zones.index(z))):
+                    if assigned_counts[zone] < zone_sizes[zone] and len(names) < stage["dispatchers"]:
+                        names.append(zone_queues[zone][assigned_counts[zone]])
+                        assigned_counts[zone] += 1
+        assigned.append(names)
+    return assigned
+
+
+def _draw_key(digest: str, name: str) -> bytes:
     return hashlib.sha256(f"{digest} {name}".encode()).digest()
 
 
-def moves(waiting: Iterable[str], under_way: Iterable[str], homes: dict[str, Home], away: int) -> list[str]:
-    """Of those waiting, in their order, the ones that may go now: at most `away` of a zone at once."""
-    busy: dict[str, int] = defaultdict(int)
-    for name in under_way:
-        busy[homes[name].zone] += 1
-    go = []
-    for name in waiting:
-        if busy[homes[name].zone] < away:
-            busy[homes[name].zone] += 1
-            go.append(name)
-    return go
+def select_changes(
+    pending: Iterable[str], in_progress: Iterable[str], placements: dict[str, Placement], max_unavailable: int
+) -> list[str]:
+    """Returns the pending dispatchers that may change now: at most `max_unavailable` per zone at once."""
+    unavailable: dict[str, int] = defaultdict(int)
+    for name in in_progress:
+        unavailable[placements[name].zone] += 1
+    selected = []
+    for name in pending:
+        if unavailable[placements[name].zone] < max_unavailable:
+            unavailable[placements[name].zone] += 1
+            selected.append(name)
+    return selected
--- a/tests/cutting.py
+++ b/tests/cutting.py
@@ -14,7 +14,7 @@
 
 from heronstall.cli import main
 from heronstall.keeper import log
-from heronstall.rollout.journal import Record, pack
+from heronstall.rollout.journal import Record, encode_record
 
 FOLDER = Path(sys.argv[1])
 original_append = log.Log.append
@@ -35,7 +35,7 @@
     name = f"{self.path.stem}-{kind}-{step}".replace("/", "_")
     index = len(self.records)
     if index % 3 == 1 and first_time(f"{name}-half"):
-        line = pack(index, log.unix_us(), kind, fields)
+        line = encode_record(index, log.unix_us(), kind, fields)
         os.write(self._fd, line[: len(line) // 2])
         os.kill(os.getpid(), signal.SIGKILL)
     record = original_append(self, kind, fields)
