--- a/heronstall/rollout/journal.py
+++ b/heronstall/rollout/journal.py
@@ -50,7 +50,7 @@
                 f"record {len(records)} at byte {at} is damaged and is followed by other records"
             )
         if record.get("v") != VERSION:
-            message = f"record {len(records)} has version {record.get('v')!r}; supported is version {VERSION}"
+            message = f"version {record.get('v')!r} of record {len(records)} is not supported, only {VERSION}"
             raise JournalError(message)
         if record.get("n") != len(records):
             raise JournalError(f"found record {record.get('n')!r} where record {len(records)} was expected")
--- a/heronstall/rollout/machine.py
+++ b/heronstall/rollout/machine.py
@@ -151,9 +151,9 @@
         while operator_commands:
             command = operator_commands.pop(0)
             if command == "back" and state.phase != "going back":
-                return [("back", {"reason": "requested by the operator", "by": "hand"})]
+                return [("back", {"reason": "by hand", "by": "hand"})]
             if command == "pause" and not state.paused and state.phase != "going back":
-                return [("pause", {"reason": "requested by the operator"})]
+                return [("pause", {"reason": "by hand"})]
             if command == "resume" and (state.paused or state.phase == "holding"):
                 return [("resume", {})]
         return []
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -110,7 +110,7 @@
         decode_records(lines[0] + lines[2])
     with mock.patch("heronstall.rollout.journal.VERSION", 2):
         newer = encode_record(0, 0, "kind", {})
-    with pytest.raises(JournalError, match="record 0 has version 2; supported is version 1"):
+    with pytest.raises(JournalError, match="version 2 of record 0 is not supported, only 1"):
         decode_records(newer)
     with pytest.raises(JournalError, match="unknown kind 'dance'"):
         State.from_records([{"n": 0, "at": 0, "kind": "dance"}])
@@ -314,7 +314,7 @@
 
 
 @pytest.mark.parametrize(
-    "plant, by, part",
+    "plant, by, expected",
     [
         (Plant(crash_after=10 * SECOND), "crash", "crashed"),
         (Plant(no_yes=True), "yes", "no yes"),
