--- a/heronstall/cli/keep.py
+++ b/heronstall/cli/keep.py
@@ -21,8 +21,8 @@
     Example: heronstall keep deploy/keeper.cue
     """
     from heronstall.keeper.calls import CallError
-    from heronstall.keeper.keeper import Keeper, keeper_file
-    from heronstall.keeper.log import Busy, JournalError
+    from heronstall.keeper.keeper import Supervisor, parse_supervisor_config
+    from heronstall.keeper.log import JournalError, JournalLocked
     from heronstall.keeper.release import ReleaseError
     from heronstall.operator import Operator, start_logging
 
@@ -39,9 +39,9 @@
         until = asyncio.get_running_loop().time() + wait
         while True:
             try:
-                keeper = Keeper(keeper_file(record, file.resolve().parent))
+                keeper = Supervisor(parse_supervisor_config(record, file.resolve().parent))
                 break
-            except Busy:
+            except JournalLocked:
                 if asyncio.get_running_loop().time() > until or done.is_set():
                     raise
                 await asyncio.sleep(0.05)
--- a/heronstall/cli/rollout.py
+++ b/heronstall/cli/rollout.py
@@ -62,10 +62,10 @@
 
 
 def _state(made: Plan) -> State:
-    from heronstall.keeper.log import read
+    from heronstall.keeper.log import read_records
 
     try:
-        return State.from_records(read(Path(made.journal)))
+        return State.from_records(read_records(Path(made.journal)))
     except FileNotFoundError:
         raise BadInput(f"{made.journal}: this rollout has not begun") from None
     except (OSError, JournalError) as error:
@@ -75,10 +75,10 @@
 def _call(made: Plan, word: str) -> bool:
     """Whether a running controller has taken a word."""
     from heronstall.keeper import calls
-    from heronstall.keeper.controller import beside
+    from heronstall.keeper.controller import address_file
 
     try:
-        at = beside(Path(made.journal)).read_text(encoding="ascii").strip()
+        at = address_file(Path(made.journal)).read_text(encoding="ascii").strip()
         return asyncio.run(calls.call(at, word, CALL_TIME)).good
     except (OSError, UnicodeDecodeError):
         return False
@@ -87,7 +87,7 @@
 def _carry(made: Plan, words: tuple[str, ...], as_json: bool) -> None:
     """Be the controller until the end."""
     from heronstall.keeper.controller import Controller, RolloutError, Superseded
-    from heronstall.keeper.log import Busy
+    from heronstall.keeper.log import JournalLocked
     from heronstall.operator import Operator, start_logging
 
     start_logging(Operator(log_level="warning"))
@@ -101,7 +101,7 @@
     try:
         controller = Controller(made, heard)
         asyncio.run(controller.run(words))
-    except Busy:
+    except JournalLocked:
         raise BadInput(f"{made.journal}: a controller runs already; `rollout status` asks it") from None
     except Superseded as error:
         raise TakenOver(str(error)) from None
@@ -278,10 +278,10 @@
 @click.argument("folder", type=click.Path(path_type=Path))
 def report(file: Path, folder: Path) -> None:
     """Write one HTML page on a rollout into FOLDER: each stage's figures, intervals, each step's reason."""
-    from heronstall.keeper.log import read
+    from heronstall.keeper.log import read_records
     from heronstall.report.rollout import write
 
     made = read_plan(file)
     _state(made)
-    records: list[dict[str, Any]] = read(Path(made.journal))
+    records: list[dict[str, Any]] = read_records(Path(made.journal))
     click.echo(str(write(made, records, folder)))
--- a/heronstall/keeper/__init__.py
+++ b/heronstall/keeper/__init__.py
@@ -1,1 +1,1 @@
-"""A machine's dispatchers as processes, and the controller that carries a change through all machines."""
+"""The supervisor of a machine's dispatcher processes, and the controller of a rollout over all machines."""
--- a/heronstall/keeper/calls.py
+++ b/heronstall/keeper/calls.py
@@ -1,7 +1,8 @@
-"""Calls in the form of the operators' door: a line for the call, lines for the reply; asyncio, no decisions.
+"""Calls in the form of the admin protocol: one line for the call, lines for the reply.
 
-A reply is one line that begins with `YES` or `NO`, or rows `name=value` up to a line `END`. What is cut,
-garbled, late or neither is a `CallError`: the caller knows nothing of what was done, and calls again.
+A reply is one line that begins with `YES` or `NO`, or rows `name=value` up to a line `END`. Anything
+truncated, malformed or late is a `CallError`: the caller does not know whether the call was carried out
+and repeats it.
 """
 
 from __future__ import annotations
@@ -14,74 +15,74 @@
 from heronstall import config
 from heronstall.config import ConfigError
 
-LINE = 4096  # bytes of a call at the most
-REPLY = 16 * 1024 * 1024
-CALL_TIME = 6.0  # seconds for a call to come whole
-CALLERS = 64
+MAX_CALL_BYTES = 4096  # including the newline
+MAX_REPLY_BYTES = 16 * 1024 * 1024
+READ_TIMEOUT_S = 6.0  # for a complete call to arrive
+MAX_CONNECTIONS = 64
 END = "END"
 
 
 class CallError(OSError):
-    """No whole reply came."""
+    """No complete reply arrived."""
 
 
 class Reply(NamedTuple):
-    """`good` for YES and for rows."""
+    """A parsed reply; `good` is true for YES and for rows."""
 
     good: bool
     text: str
     rows: dict[str, str]
 
 
-def yes(text: str) -> str:
-    """A reply."""
+def yes_reply(text: str) -> str:
+    """Returns the text of a positive reply."""
     return f"YES {text}\n"
 
 
-def no(text: str) -> str:
-    """A reply; one line whatever the text."""
+def no_reply(text: str) -> str:
+    """Returns the text of a refusal, on one line."""
     return f"NO {' '.join(text.split())}\n"
 
 
-def rows(table: dict[str, str]) -> str:
-    """A reply."""
+def rows_reply(table: dict[str, str]) -> str:
+    """Returns the text of a reply with rows."""
     return "".join(f"{name}={value}\n" for name, value in table.items()) + END + "\n"
 
 
-def address(text: str) -> tuple[str, int]:
-    """Host and port. Raises CallError."""
+def parse_address(text: str) -> tuple[str, int]:
+    """Returns the host and port. Raises CallError."""
     try:
         return config.parse_address(text, "address")
     except ConfigError:
         raise CallError(f"{text!r} is not host:port") from None
 
 
-async def call(to: str, line: str, longest: float) -> Reply:
-    """Make a call. Raises CallError."""
+async def call(peer: str, line: str, timeout_s: float) -> Reply:
+    """Makes a call and returns its reply. Raises CallError."""
     writer: asyncio.StreamWriter | None = None
     try:
-        async with asyncio.timeout(longest):
-            reader, writer = await asyncio.open_connection(*address(to), limit=REPLY)
+        async with asyncio.timeout(timeout_s):
+            reader, writer = await asyncio.open_connection(*parse_address(peer), limit=MAX_REPLY_BYTES)
             writer.write(line.encode() + b"\n")
             data = await reader.read(-1)
     except TimeoutError:
-        raise CallError(f"{to} said nothing in {longest:g} s") from None
+        raise CallError(f"{peer} did not reply within {timeout_s:g} s") from None
     except CallError:
         raise
     except OSError as error:
-        raise CallError(f"{to}: {error}") from None
+        raise CallError(f"{peer}: {error}") from None
     finally:
         if writer is not None:
             writer.transport.abort()
-    return parse(data, to)
+    return parse_reply(data, peer)
 
 
-def parse(data: bytes, who: str = "") -> Reply:
-    """A whole reply. Raises CallError."""
+def parse_reply(data: bytes, peer: str = "") -> Reply:
+    """Parses a complete reply. Raises CallError."""
     try:
         text = data.decode("ascii")
     except UnicodeDecodeError:
-        raise CallError(f"{who}: a reply that is no text") from None
+        raise CallError(f"{peer}: the reply is not ASCII text") from None
     if text.endswith("\n"):
         lines = text[:-1].split("\n")
         if len(lines) == 1 and lines[0].split(" ")[0] in ("YES", "NO"):
@@ -89,41 +90,43 @@
             return Reply(word == "YES", rest, {})
         if lines[-1] == END and all("=" in row for row in lines[:-1]):
             return Reply(True, "", dict(row.split("=", 1) for row in lines[:-1]))
-    raise CallError(f"{who}: a reply that is cut or garbled: {text[-80:]!r}")
+    raise CallError(f"{peer}: the reply is truncated or malformed: {text[-80:]!r}")
 
 
-Answer = Callable[[list[str]], Awaitable[str]]
+CallHandler = Callable[[list[str]], Awaitable[str]]
 
 
-class Desk:
-    """Listens and answers. Call `answer` with the words of each call; its text goes back as it is."""
+class CallServer:
+    """Accepts calls and passes the words of each to `handler`, whose text is sent as it is."""
 
-    def __init__(self, answer: Answer) -> None:
-        self._answer = answer
+    def __init__(self, handler: CallHandler) -> None:
+        self._handler = handler
         self._server: asyncio.Server | None = None
-        self._callers = 0
-
-    async def open(self, at: str) -> str:
-        """Listen; the address, with the port that the system gave for 0. Raises OSError."""
-        host, port = address(at)
-        self._server = await asyncio.start_server(self._serve, host, port, limit=LINE, reuse_address=True)
+        self._connections = 0
+
+    async def open(self, address: str) -> str:
+        """Starts to listen and returns the address, with the assigned port. Raises OSError."""
+        host, port = parse_address(address)
+        self._server = await asyncio.start_server(
+            self._serve, host, port, limit=MAX_CALL_BYTES, reuse_address=True
+        )
         name = self._server.sockets[0].getsockname()
         return f"{name[0]}:{name[1]}"
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self._callers += 1
+        self._connections += 1
         try:
-            if self._callers > CALLERS:
+            if self._connections > MAX_CONNECTIONS:
                 return
-            async with asyncio.timeout(CALL_TIME):
+            async with asyncio.timeout(READ_TIMEOUT_S):
                 line = await reader.readline()
             if line:
                 writer.write((await self._reply(line)).encode("ascii", "backslashreplace"))
                 await writer.drain()
         except (TimeoutError, OSError, ValueError):
-            pass  # a caller that left, or that never said a whole line
+            pass  # the caller disconnected or sent no complete line
         finally:
-            self._callers -= 1
+            self._connections -= 1
             with contextlib.suppress(OSError):
                 writer.close()
 
@@ -131,11 +134,11 @@
         try:
             words = line.decode("ascii").split()
         except UnicodeDecodeError:
-            return no("not text")
-        return await self._answer(words) if words else no("such call")
+            return no_reply("not ASCII text")
+        return await self._handler(words) if words else no_reply("such call")
 
     async def close(self) -> None:
-        """Listen no more."""
+        """Stops listening."""
         if self._server is not None:
             self._server.close()
             self._server = None
--- a/heronstall/keeper/keeper.py
+++ b/heronstall/keeper/keeper.py
@@ -1,8 +1,8 @@
-"""A keeper: runs a machine's dispatchers and does what it is asked of them. Every step is written down first.
+"""The supervisor of a machine's dispatchers. Every step is recorded in its journal before it is carried out.
 
-Calls, in the form of the operators' door: PING; INFO; FIGURES; CHECK file; CLAIM epoch; RUN epoch
-dispatcher digest; STOP dispatcher; START dispatcher. RUN says what is to be so, and may be said again at
-any time.
+Its calls have the form of the admin protocol: PING; INFO; FIGURES; CHECK file; CLAIM epoch; RUN epoch
+dispatcher digest; STOP dispatcher; START dispatcher. RUN states which release a dispatcher should run; it may
+be repeated at any time.
 """
 
 from __future__ import annotations
@@ -21,422 +21,455 @@
 from heronstall.config import ConfigError, configuration, restart_only_changes
 from heronstall.events import say
 from heronstall.keeper import calls, processes
-from heronstall.keeper.calls import CallError, Desk, no, rows, yes
-from heronstall.keeper.log import Log, unix_us
-from heronstall.keeper.place import Do, Fault, Limits, Place, Process
-from heronstall.keeper.release import Release, ReleaseError, compose, of_record, read_release
+from heronstall.keeper.calls import CallError, CallServer, no_reply, rows_reply, yes_reply
+from heronstall.keeper.log import JournalFile, unix_us
+from heronstall.keeper.place import Action, DispatcherState, ExitCause, Limits, Process
+from heronstall.keeper.release import Release, ReleaseError, compose_config, read_release, release_from_record
 from heronstall.rollout.journal import Record
 
-TURN = 0.05  # seconds between looks at what is due
-ASK_TIME = 1.0  # seconds for a dispatcher's door
-AGAIN = 1_000_000  # microseconds until a step that failed is tried again
-COMPACT = 2000  # records in a journal at a start, beyond which it is written anew
-SECOND = 1_000_000
+POLL_INTERVAL_S = 0.05  # between checks for due actions
+ADMIN_CALL_TIMEOUT_S = 1.0
+RETRY_DELAY_US = 1_000_000  # before a failed step is retried
+MAX_JOURNAL_RECORDS = 2000  # a longer journal is compacted at the start
+SECOND = 1_000_000  # in microseconds
 log = logging.getLogger("heronstall.keeper")
 
 
 @dataclass(frozen=True)
-class Kept:
-    """A dispatcher, as the keeper's file names it."""
+class SupervisedDispatcher:
+    """The settings of a supervised dispatcher."""
 
     config: Path
     zone: str
     tmp: Path
-    doors: tuple[str, str]
+    admin_addresses: tuple[str, str]
 
 
 @dataclass(frozen=True)
-class KeeperFile:
-    """The keeper's file; paths are whole."""
+class SupervisorConfig:
+    """The settings of a supervisor, with absolute paths."""
 
     name: str
     address: str
-    state: Path
+    state_dir: Path
     release: Path
     limits: Limits
-    kept: dict[str, Kept]
+    dispatchers: dict[str, SupervisedDispatcher]
 
 
-def keeper_file(record: dict[str, Any], beside: Path) -> KeeperFile:
-    """From the checked record; paths in it start from `beside`."""
+def parse_supervisor_config(record: dict[str, Any], base: Path) -> SupervisorConfig:
+    """Builds the settings from their validated record; relative paths start from `base`."""
 
-    def us(key: str) -> int:
+    def microseconds(key: str) -> int:
         return int(record[key] * SECOND)
 
     limits = Limits(
-        us("yes_s"), us("end_s"), us("pause_s"), us("pause_most_s"), record["loop_ends"], us("loop_s")
+        microseconds("yes_s"),
+        microseconds("end_s"),
+        microseconds("pause_s"),
+        microseconds("pause_most_s"),
+        record["loop_ends"],
+        microseconds("loop_s"),
     )
-    kept = {
-        name: Kept(beside / row["config"], row["zone"], beside / row["tmp"], tuple(row["doors"]))
+    dispatchers = {
+        name: SupervisedDispatcher(base / row["config"], row["zone"], base / row["tmp"], tuple(row["doors"]))
         for name, row in record["dispatchers"].items()
     }
-    return KeeperFile(
-        record["name"], record["address"], beside / record["state"], beside / record["release"], limits, kept
+    return SupervisorConfig(
+        record["name"],
+        record["address"],
+        base / record["state"],
+        base / record["release"],
+        limits,
+        dispatchers,
     )
 
 
-class Keeper:
-    """Holds the places, their processes and the journal. Raises what `Log` and `read_release` do."""
+class Supervisor:
+    """Holds the dispatchers' states, their processes and the journal. Raises what `JournalFile` raises."""
 
-    def __init__(self, file: KeeperFile) -> None:
-        self._file = file
-        file.state.mkdir(parents=True, exist_ok=True)
-        self._log = Log(file.state / "keeper.journal")
+    def __init__(self, config: SupervisorConfig) -> None:
+        self._config = config
+        config.state_dir.mkdir(parents=True, exist_ok=True)
+        self._journal = JournalFile(config.state_dir / "keeper.journal")
         self.epoch = 0
         self._releases: dict[str, Release] = {}
-        self._places = {name: Place(name, file.limits) for name in file.kept}
-        self._watches: dict[str, Callable[[], None]] = {}
-        self._asking: set[str] = set()
-        self._not_before: dict[str, int] = {}  # after a step that failed, a full disk's for one
+        self._dispatchers = {name: DispatcherState(name, config.limits) for name in config.dispatchers}
+        self._exit_watches: dict[str, Callable[[], None]] = {}
+        self._probing: set[str] = set()
+        self._retry_at: dict[str, int] = {}  # after a failed step, for example on a full disk
         self._tasks: set[asyncio.Task[None]] = set()
-        self._woken = asyncio.Event()
-        for record in self._log.records:
+        self._wakeup = asyncio.Event()
+        for record in self._journal.records:
             self._apply(record)
-        if len(self._log.records) > COMPACT:
-            self._log.rewrite(self._shorter())
+        if len(self._journal.records) > MAX_JOURNAL_RECORDS:
+            self._journal.rewrite(self._compacted_records())
 
     # ------------------------------------------------------------------ the journal
 
     def _write(self, kind: str, **fields: Any) -> None:
-        self._apply(self._log.append(kind, fields))
+        self._apply(self._journal.append(kind, fields))
 
-    def _apply(self, r: Record) -> None:
-        kind = r["kind"]
+    def _apply(self, record: Record) -> None:
+        kind = record["kind"]
         if kind == "epoch":
-            self.epoch = max(self.epoch, r["epoch"])
+            self.epoch = max(self.epoch, record["epoch"])
         elif kind == "release":
-            self._releases[r["digest"]] = of_record(r["release"])
-        elif r.get("d") in self._places:
-            place = self._places[r["d"]]
+            self._releases[record["digest"]] = release_from_record(record["release"])
+        elif record.get("d") in self._dispatchers:
+            dispatcher = self._dispatchers[record["d"]]
             if kind in ("state", "process"):
-                place.restore(r)
+                dispatcher.restore(record)
             else:
-                place.apply(r)
-
-    def _shorter(self) -> list[tuple[str, Record]]:
-        made: list[tuple[str, Record]] = [("epoch", {"epoch": self.epoch})]
-        made += [("release", {"digest": d, "release": r.record()}) for d, r in self._releases.items()]
-        for place in self._places.values():
-            made += place.records()
-        return made
+                dispatcher.apply(record)
+
+    def _compacted_records(self) -> list[tuple[str, Record]]:
+        result: list[tuple[str, Record]] = [("epoch", {"epoch": self.epoch})]
+        result += [
+            ("release", {"digest": digest, "release": release.record()})
+            for digest, release in self._releases.items()
+        ]
+        for dispatcher in self._dispatchers.values():
+            result += dispatcher.state_records()
+        return result
 
     # ------------------------------------------------------------------ running
 
     async def run(self, done: asyncio.Event) -> None:
-        """Keep until told to end. Dispatchers go on. Raises ReleaseError, CallError, OSError at the start."""
-        await self._first_release()
-        desk = Desk(self._answer)
-        at = await desk.open(self._file.address)
+        """Supervises until `done` is set; the dispatchers keep running.
+
+        Raises ReleaseError, CallError and OSError at the start.
+        """
+        await self._request_initial_release()
+        server = CallServer(self._handle_call)
+        address = await server.open(self._config.address)
         self._adopt()
-        say(log, events.KEEPING, keeper=self._file.name, address=at, dispatchers=len(self._places))
+        say(
+            log, events.KEEPING, keeper=self._config.name, address=address, dispatchers=len(self._dispatchers)
+        )
         try:
             while not done.is_set():
-                for place in self._places.values():
-                    self._turn(place)
-                self._woken.clear()
-                wake = asyncio.ensure_future(self._woken.wait())
-                end = asyncio.ensure_future(done.wait())
-                await asyncio.wait((wake, end), timeout=TURN, return_when=asyncio.FIRST_COMPLETED)
+                for dispatcher in self._dispatchers.values():
+                    self._poll(dispatcher)
+                self._wakeup.clear()
+                wake = asyncio.ensure_future(self._wakeup.wait())
+                ended = asyncio.ensure_future(done.wait())
+                await asyncio.wait(
+                    (wake, ended), timeout=POLL_INTERVAL_S, return_when=asyncio.FIRST_COMPLETED
+                )
                 wake.cancel()
-                end.cancel()
+                ended.cancel()
         finally:
-            await desk.close()
-            for over in self._watches.values():
-                over()
+            await server.close()
+            for stop_watching in self._exit_watches.values():
+                stop_watching()
             for task in self._tasks:
                 task.cancel()
-            self._log.close()
-            say(log, events.KEPT, keeper=self._file.name)
+            self._journal.close()
+            say(log, events.KEPT, keeper=self._config.name)
 
-    async def _first_release(self) -> None:
-        if all(place.want for place in self._places.values()):
+    async def _request_initial_release(self) -> None:
+        if all(dispatcher.want for dispatcher in self._dispatchers.values()):
             return
-        release = read_release(self._file.release)
-        digest = await self._check(release)
-        for place in self._places.values():
-            if not place.want:
-                self._write("want", d=place.name, digest=digest, epoch=self.epoch)
+        release = read_release(self._config.release)
+        digest = await self._check_release(release)
+        for dispatcher in self._dispatchers.values():
+            if not dispatcher.want:
+                self._write("want", d=dispatcher.name, digest=digest, epoch=self.epoch)
 
     def _adopt(self) -> None:
-        """Find the processes that a former keeper has left."""
-        for place in self._places.values():
-            place.kept_from = unix_us()
-            for process in place.processes:
-                pid = processes.find(process.token, process.pid)
+        """Finds the processes that a former supervisor has started."""
+        for dispatcher in self._dispatchers.values():
+            dispatcher.supervised_since = unix_us()
+            for process in dispatcher.processes:
+                pid = processes.find_process(process.token, process.pid)
                 if not pid:
                     if process.pid:
-                        self._ended(place, process.token, "it ended while nobody kept it", "unseen")
-                    else:  # the former keeper was killed between the word and the deed
-                        self._ended(place, process.token, "it was never started", "never")
+                        self._record_exit(
+                            dispatcher, process.token, "it exited while no supervisor ran", "unseen"
+                        )
+                    else:  # the former supervisor was killed before it started the process
+                        self._record_exit(dispatcher, process.token, "it was never started", "never")
                     continue
-                if pid != process.pid:  # the former keeper had no time to write it
-                    self._write("born", d=place.name, token=process.token, pid=pid)
-                say(log, events.ADOPTED, dispatcher=place.name, pid=pid, release=process.digest)
-                self._watch(place, process.token, pid)
-                if process.told:  # said again, in case it was written and not done
-                    processes.tell(pid, getattr(signal, f"SIG{process.told}"))
-
-    def _turn(self, place: Place) -> None:
+                if pid != process.pid:  # the former supervisor was killed before it recorded the pid
+                    self._write("born", d=dispatcher.name, token=process.token, pid=pid)
+                say(log, events.ADOPTED, dispatcher=dispatcher.name, pid=pid, release=process.digest)
+                self._watch_exit(dispatcher, process.token, pid)
+                if process.told:  # sent again, in case it was recorded and not sent
+                    processes.send_signal(pid, getattr(signal, f"SIG{process.told}"))
+
+    def _poll(self, dispatcher: DispatcherState) -> None:
         now = unix_us()
-        for do in place.due(now) if now >= self._not_before.get(place.name, 0) else []:
+        for action in dispatcher.due_actions(now) if now >= self._retry_at.get(dispatcher.name, 0) else []:
             try:
-                self._do(place, do)
+                self._perform(dispatcher, action)
             except (OSError, ReleaseError) as error:
-                say(log, events.KEEP_FAILED, dispatcher=place.name, what=do.kind, reason=str(error))
-                self._not_before[place.name] = now + AGAIN
-        for process in place.processes:
-            if not process.yes and process.pid and process.token not in self._asking:
-                self._asking.add(process.token)
-                self._spawn(self._ask_yes(place, process))
+                say(log, events.KEEP_FAILED, dispatcher=dispatcher.name, what=action.kind, reason=str(error))
+                self._retry_at[dispatcher.name] = now + RETRY_DELAY_US
+        for process in dispatcher.processes:
+            if not process.yes and process.pid and process.token not in self._probing:
+                self._probing.add(process.token)
+                self._spawn(self._probe_readiness(dispatcher, process))
 
     def _spawn(self, work: Any) -> None:
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    # ------------------------------------------------------------------ what is due
+    # ------------------------------------------------------------------ actions
 
-    def _do(self, place: Place, do: Do) -> None:
-        if do.kind == "start":
-            self._start(place, do.fields["digest"], do.fields["door"])
-        elif do.kind == "tell":
-            self._write("tell", d=place.name, **do.fields)
-            process = place.process(do.fields["token"])
+    def _perform(self, dispatcher: DispatcherState, action: Action) -> None:
+        if action.kind == "start":
+            self._start_process(dispatcher, action.fields["digest"], action.fields["door"])
+        elif action.kind == "tell":
+            self._write("tell", d=dispatcher.name, **action.fields)
+            process = dispatcher.process(action.fields["token"])
             if process is not None and process.pid:
                 number = getattr(signal, f"SIG{process.told}")
                 say(
                     log,
                     events.TOLD,
-                    dispatcher=place.name,
+                    dispatcher=dispatcher.name,
                     pid=process.pid,
                     signal=process.told,
                     reason=process.why,
                 )
-                processes.tell(process.pid, number)
-            elif process is not None:  # it never came to be
-                self._ended(place, process.token, "it was never started", "never")
+                processes.send_signal(process.pid, number)
+            elif process is not None:  # it was never started
+                self._record_exit(dispatcher, process.token, "it was never started", "never")
         else:
-            self._hup(place, do.fields["digest"])
+            self._reload(dispatcher, action.fields["digest"])
 
-    def _config(self, token: str) -> Path:
-        return self._file.state / f"{token}.json"
+    def _config_path(self, token: str) -> Path:
+        return self._config.state_dir / f"{token}.json"
 
-    def _start(self, place: Place, digest: str, door: int) -> None:
+    def _start_process(self, dispatcher: DispatcherState, digest: str, slot: int) -> None:
         token = os.urandom(8).hex()
-        self._write("start", d=place.name, token=token, digest=digest, door=door)
+        self._write("start", d=dispatcher.name, token=token, digest=digest, door=slot)
         try:
             release = self._releases.get(digest)
             if release is None:
-                raise ReleaseError(f"release {digest} is not known here")
+                raise ReleaseError(f"release {digest} is unknown to this supervisor")
             if release.digest() != digest:
-                raise ReleaseError(f"{release.name}: its files have changed since it was checked")
-            kept = self._file.kept[place.name]
-            kept.tmp.mkdir(parents=True, exist_ok=True)
-            config = self._config(token)
-            config.write_text(json.dumps(compose(kept.config, release)), encoding="utf-8")
-            environ = release.environment(config, kept.doors[door], str(kept.tmp), digest, token)
-            output = self._file.state / f"{place.name}.log"
-            pid = processes.start(release.program, release.tree, environ, output)
+                raise ReleaseError(f"{release.name}: its files have changed since the release was checked")
+            settings = self._config.dispatchers[dispatcher.name]
+            settings.tmp.mkdir(parents=True, exist_ok=True)
+            config = self._config_path(token)
+            config.write_text(json.dumps(compose_config(settings.config, release)), encoding="utf-8")
+            environ = release.environment(
+                config, settings.admin_addresses[slot], str(settings.tmp), digest, token
+            )
+            output = self._config.state_dir / f"{dispatcher.name}.log"
+            pid = processes.start_process(release.program, release.tree, environ, output)
         except (OSError, ReleaseError) as error:
-            self._ended(place, token, f"it could not be started: {error}", "own")
+            self._record_exit(dispatcher, token, f"it could not be started: {error}", "own")
             return
-        self._write("born", d=place.name, token=token, pid=pid)
-        say(log, events.KEEP_STARTED, dispatcher=place.name, pid=pid, release=release.name, digest=digest)
-        self._watch(place, token, pid)
-
-    def _watch(self, place: Place, token: str, pid: int) -> None:
-        self._watches[token] = processes.watch(pid, lambda how, fault: self._ended(place, token, how, fault))
-
-    def _ended(self, place: Place, token: str, how: str, fault: Fault) -> None:
-        self._watches.pop(token, None)
-        process = place.process(token)
+        self._write("born", d=dispatcher.name, token=token, pid=pid)
+        say(
+            log, events.KEEP_STARTED, dispatcher=dispatcher.name, pid=pid, release=release.name, digest=digest
+        )
+        self._watch_exit(dispatcher, token, pid)
+
+    def _watch_exit(self, dispatcher: DispatcherState, token: str, pid: int) -> None:
+        self._exit_watches[token] = processes.watch_exit(
+            pid, lambda how, fault: self._record_exit(dispatcher, token, how, fault)
+        )
+
+    def _record_exit(self, dispatcher: DispatcherState, token: str, how: str, fault: ExitCause) -> None:
+        self._exit_watches.pop(token, None)
+        process = dispatcher.process(token)
         if process is None:
             return
-        whose: Fault = "asked" if process.told and fault != "never" else fault
-        say(log, events.KEEP_ENDED, dispatcher=place.name, pid=process.pid, how=how, fault=whose)
+        cause: ExitCause = "asked" if process.told and fault != "never" else fault
+        say(log, events.KEEP_ENDED, dispatcher=dispatcher.name, pid=process.pid, how=how, fault=cause)
         try:
-            self._write("ended", d=place.name, token=token, how=how, fault=whose)
+            self._write("ended", d=dispatcher.name, token=token, how=how, fault=cause)
         except OSError as error:
-            say(log, events.KEEP_FAILED, dispatcher=place.name, what="ended", reason=str(error))
+            say(log, events.KEEP_FAILED, dispatcher=dispatcher.name, what="ended", reason=str(error))
             loop = asyncio.get_running_loop()
-            loop.call_later(AGAIN / SECOND, self._ended, place, token, how, fault)
+            loop.call_later(RETRY_DELAY_US / SECOND, self._record_exit, dispatcher, token, how, fault)
             return
-        if place.looping(unix_us()):
-            say(log, events.LOOPING, dispatcher=place.name, ends=len(place.ends))
-        self._config(token).unlink(missing_ok=True)
-        self._woken.set()
+        if dispatcher.is_crash_looping(unix_us()):
+            say(log, events.LOOPING, dispatcher=dispatcher.name, ends=len(dispatcher.ends))
+        self._config_path(token).unlink(missing_ok=True)
+        self._wakeup.set()
 
-    def _hup(self, place: Place, digest: str) -> None:
-        process, release = place.main, self._releases.get(digest)
+    def _reload(self, dispatcher: DispatcherState, digest: str) -> None:
+        process, release = dispatcher.main, self._releases.get(digest)
         assert process is not None
         if release is None or release.digest() != digest:
-            raise ReleaseError(f"release {digest} is not known here, or has changed")
-        config = compose(self._file.kept[place.name].config, release)
-        self._config(process.token).write_text(json.dumps(config), encoding="utf-8")
-        processes.tell(process.pid, signal.SIGHUP)
-        self._write("hupped", d=place.name, digest=digest)
-        say(log, events.KEEP_RELOADED, dispatcher=place.name, pid=process.pid, digest=digest)
-
-    async def _ask_yes(self, place: Place, process: Process) -> None:
-        """Ask a started process's door once."""
+            raise ReleaseError(f"release {digest} is unknown or has changed")
+        config = compose_config(self._config.dispatchers[dispatcher.name].config, release)
+        self._config_path(process.token).write_text(json.dumps(config), encoding="utf-8")
+        processes.send_signal(process.pid, signal.SIGHUP)
+        self._write("hupped", d=dispatcher.name, digest=digest)
+        say(log, events.KEEP_RELOADED, dispatcher=dispatcher.name, pid=process.pid, digest=digest)
+
+    async def _probe_readiness(self, dispatcher: DispatcherState, process: Process) -> None:
+        """Sends one PING to the admin endpoint of a started process."""
         try:
-            door = self._file.kept[place.name].doors[process.door]
-            reply = await calls.call(door, "PING", ASK_TIME)
-            # The address may be that of a process that is on its way out.
+            address = self._config.dispatchers[dispatcher.name].admin_addresses[process.door]
+            reply = await calls.call(address, "PING", ADMIN_CALL_TIMEOUT_S)
+            # A process that is about to exit may still answer at this address.
             if (
                 reply.good
-                and place.process(process.token) is process
+                and dispatcher.process(process.token) is process
                 and not process.yes
                 and not process.told
             ):
-                self._write("yes", d=place.name, token=process.token)
-                say(log, events.KEEP_YES, dispatcher=place.name, pid=process.pid, digest=process.digest)
-                self._woken.set()
-        except OSError:  # a CallError is one: not yet, or it cannot be written down now
+                self._write("yes", d=dispatcher.name, token=process.token)
+                say(log, events.KEEP_YES, dispatcher=dispatcher.name, pid=process.pid, digest=process.digest)
+                self._wakeup.set()
+        except OSError:  # includes CallError: not ready yet, or the journal cannot be written
             pass
         finally:
-            self._asking.discard(process.token)
+            self._probing.discard(process.token)
 
     # ------------------------------------------------------------------ calls
 
-    async def _answer(self, words: list[str]) -> str:
+    async def _handle_call(self, words: list[str]) -> str:
         try:
             match words:
                 case ["PING"]:
-                    return yes("keeping")
+                    return yes_reply("keeping")
                 case ["INFO"]:
-                    return rows(self._info())
+                    return rows_reply(self._info_rows())
                 case ["FIGURES"]:
-                    return rows(await self._figures())
+                    return rows_reply(await self._figure_rows())
                 case ["CHECK", path]:
-                    return await self._check_call(path)
+                    return await self._handle_check(path)
                 case ["CLAIM", epoch] if epoch.isdecimal():
-                    return self._claim(int(epoch)) or yes(f"epoch {epoch}")
+                    return self._claim_epoch(int(epoch)) or yes_reply(f"epoch {epoch}")
                 case ["RUN", epoch, name, digest] if epoch.isdecimal():
-                    return self._claim(int(epoch)) or self._run(int(epoch), name, digest)
-                case ["STOP" | "START" as word, name] if name in self._places:
-                    return self._stop(self._places[name], word == "STOP")
+                    return self._claim_epoch(int(epoch)) or self._request_release(int(epoch), name, digest)
+                case ["STOP" | "START" as word, name] if name in self._dispatchers:
+                    return self._set_stopped(self._dispatchers[name], word == "STOP")
                 case ["STOP" | "START" | "RUN", *_]:
-                    return no("no such dispatcher here, or words are missing")
-        except OSError as error:  # the journal cannot be written: nothing is done, and the caller is told
-            return no(f"cannot be written down: {error}")
-        return no("such call")
+                    return no_reply("unknown dispatcher or missing arguments")
+        except OSError as error:  # nothing is carried out without its record
+            return no_reply(f"the journal cannot be written: {error}")
+        return no_reply("such call")
 
-    def _claim(self, epoch: int) -> str:
-        """An older controller gets a no; a newer one is the one from now on."""
+    def _claim_epoch(self, epoch: int) -> str:
+        """Returns a refusal for an older controller, else an empty text; records a newer epoch."""
         if epoch < self.epoch:
-            return no(f"older than epoch {self.epoch}")
+            return no_reply(f"older than epoch {self.epoch}")
         if epoch > self.epoch:
             self._write("epoch", epoch=epoch)
         return ""
 
-    def _run(self, epoch: int, name: str, digest: str) -> str:
-        place, release = self._places.get(name), self._releases.get(digest)
-        if place is None or release is None:
-            return no("no such dispatcher here" if place is None else f"release {digest} is not known here")
-        if place.refused and (place.refused_digest, place.refused_epoch) == (digest, epoch):
-            return no(place.refused)
-        if place.want != digest:
-            self._write("want", d=name, digest=digest, epoch=epoch, hup=self._hup_will_do(place, release))
-            self._woken.set()
-        told = place.told(unix_us())
-        return yes("done" if told["digest"] == digest and told["state"] == "serving" else "under way")
-
-    def _hup_will_do(self, place: Place, release: Release) -> bool:
-        """Whether the running process can take the new settings up as it is: only what is re-read differs."""
-        main = place.main
-        before = self._releases.get(main.digest) if main is not None and main.yes else None
-        if main is None or before is None or place.coming is not None:
+    def _request_release(self, epoch: int, name: str, digest: str) -> str:
+        dispatcher, release = self._dispatchers.get(name), self._releases.get(digest)
+        if dispatcher is None or release is None:
+            return no_reply("unknown dispatcher" if dispatcher is None else f"release {digest} is unknown")
+        if dispatcher.refused and (dispatcher.refused_digest, dispatcher.refused_epoch) == (digest, epoch):
+            return no_reply(dispatcher.refused)
+        if dispatcher.want != digest:
+            self._write("want", d=name, digest=digest, epoch=epoch, hup=self._can_reload(dispatcher, release))
+            self._wakeup.set()
+        report = dispatcher.report(unix_us())
+        return yes_reply(
+            "done" if report["digest"] == digest and report["state"] == "serving" else "under way"
+        )
+
+    def _can_reload(self, dispatcher: DispatcherState, release: Release) -> bool:
+        """Returns whether the running process can apply the new settings by rereading them on SIGHUP."""
+        main = dispatcher.main
+        current = self._releases.get(main.digest) if main is not None and main.yes else None
+        if main is None or current is None or dispatcher.coming is not None:
             return False
-        same = ("tree", "python", "run", "parts", "operator")
-        if any(getattr(before, key) != getattr(release, key) for key in same):
+        restart_fields = ("tree", "python", "run", "parts", "operator")
+        if any(getattr(current, key) != getattr(release, key) for key in restart_fields):
             return False
         try:
-            running = json.loads(self._config(main.token).read_text(encoding="utf-8"))
-            coming = compose(self._file.kept[place.name].config, release)
-            return not restart_only_changes(configuration(running), configuration(coming))
+            running = json.loads(self._config_path(main.token).read_text(encoding="utf-8"))
+            new_config = compose_config(self._config.dispatchers[dispatcher.name].config, release)
+            return not restart_only_changes(configuration(running), configuration(new_config))
         except (OSError, ValueError, ConfigError, ReleaseError):
             return False
 
-    def _stop(self, place: Place, stop: bool) -> str:
-        if place.stopped != stop:
-            self._write("stop", d=place.name, stop=stop)
-            self._woken.set()
-        return yes("stopping" if stop else "starting")
+    def _set_stopped(self, dispatcher: DispatcherState, stop: bool) -> str:
+        if dispatcher.stopped != stop:
+            self._write("stop", d=dispatcher.name, stop=stop)
+            self._wakeup.set()
+        return yes_reply("stopping" if stop else "starting")
 
-    async def _check_call(self, path: str) -> str:
+    async def _handle_check(self, path: str) -> str:
         try:
             release = read_release(Path(path))
-            digest = await self._check(release)
-            for kept in {place.want for place in self._places.values()}:
-                before = self._releases[kept]
-                lost = f"{before.name}, which runs now, has changed: there is no way back to it"
+            digest = await self._check_release(release)
+            for current_digest in {dispatcher.want for dispatcher in self._dispatchers.values()}:
+                current = self._releases[current_digest]
+                message = f"{current.name}, which runs now, has changed: there is no way back to it"
                 try:
-                    if before.digest() != kept:
-                        return no(lost)
+                    if current.digest() != current_digest:
+                        return no_reply(message)
                 except ReleaseError as error:
-                    return no(f"{lost}: {error}")
+                    return no_reply(f"{message}: {error}")
         except ReleaseError as error:
-            return no(str(error))
-        return yes(f"{release.name}@{digest}")
+            return no_reply(str(error))
+        return yes_reply(f"{release.name}@{digest}")
 
-    async def _check(self, release: Release) -> str:
-        """Have a release read every dispatcher's settings; its digest. Raises ReleaseError."""
+    async def _check_release(self, release: Release) -> str:
+        """Has a release read each dispatcher's settings and returns its digest. Raises ReleaseError."""
         digest = await asyncio.to_thread(release.digest)
 
-        async def one(name: str, kept: Kept) -> None:
-            path = self._file.state / f"check-{os.urandom(4).hex()}.json"
+        async def check_one(name: str, settings: SupervisedDispatcher) -> None:
+            path = self._config.state_dir / f"check-{os.urandom(4).hex()}.json"
             try:
-                path.write_text(json.dumps(compose(kept.config, release)), encoding="utf-8")
-                await asyncio.to_thread(release.check, path, kept.doors[0], str(kept.tmp))
+                path.write_text(json.dumps(compose_config(settings.config, release)), encoding="utf-8")
+                await asyncio.to_thread(release.check, path, settings.admin_addresses[0], str(settings.tmp))
             except (OSError, ReleaseError) as error:
                 raise ReleaseError(f"{name}: {error}") from None
             finally:
                 path.unlink(missing_ok=True)
 
-        gate = asyncio.Semaphore(4)
+        semaphore = asyncio.Semaphore(4)
 
-        async def gated(name: str, kept: Kept) -> None:
-            async with gate:
-                await one(name, kept)
+        async def check_limited(name: str, settings: SupervisedDispatcher) -> None:
+            async with semaphore:
+                await check_one(name, settings)
 
-        await asyncio.gather(*(gated(name, kept) for name, kept in self._file.kept.items()))
+        await asyncio.gather(
+            *(check_limited(name, settings) for name, settings in self._config.dispatchers.items())
+        )
         if digest not in self._releases:
             self._write("release", digest=digest, release=release.record())
         return digest
 
-    def _info(self) -> dict[str, str]:
+    def _info_rows(self) -> dict[str, str]:
         now = unix_us()
-        made = {
+        result = {
             "keep.v": "1",
-            "keep.name": self._file.name,
+            "keep.name": self._config.name,
             "keep.epoch": str(self.epoch),
             "keep.at": str(now),
         }
-        for name, place in self._places.items():
-            told = {"zone": self._file.kept[name].zone, **place.told(now)}
-            made[f"dispatcher.{name}"] = json.dumps(told, separators=(",", ":"))
-        return made
+        for name, dispatcher in self._dispatchers.items():
+            report = {"zone": self._config.dispatchers[name].zone, **dispatcher.report(now)}
+            result[f"dispatcher.{name}"] = json.dumps(report, separators=(",", ":"))
+        return result
 
-    async def _figures(self) -> dict[str, str]:
-        """What every serving dispatcher's door tells, its rows after its name and a space."""
-        made: dict[str, str] = {}
+    async def _figure_rows(self) -> dict[str, str]:
+        """Returns the metrics of each serving dispatcher; keys begin with its name and a space."""
+        result: dict[str, str] = {}
 
-        async def one(place: Place) -> None:
-            main = place.main
+        async def query(dispatcher: DispatcherState) -> None:
+            main = dispatcher.main
             if main is None or not main.yes:
                 return
-            door = self._file.kept[place.name].doors[main.door]
+            address = self._config.dispatchers[dispatcher.name].admin_addresses[main.door]
             try:
                 ping, detail = await asyncio.gather(
-                    calls.call(door, "PING", ASK_TIME), calls.call(door, "DETAIL", ASK_TIME)
+                    calls.call(address, "PING", ADMIN_CALL_TIMEOUT_S),
+                    calls.call(address, "DETAIL", ADMIN_CALL_TIMEOUT_S),
                 )
             except CallError:
                 return
-            made[f"{place.name} at"] = str(unix_us())
-            made[f"{place.name} ping"] = ping.text
+            result[f"{dispatcher.name} at"] = str(unix_us())
+            result[f"{dispatcher.name} ping"] = ping.text
             for name, value in detail.rows.items():
-                made[f"{place.name} {name.removeprefix('svc.')}"] = value
+                result[f"{dispatcher.name} {name.removeprefix('svc.')}"] = value
 
-        await asyncio.gather(*(one(place) for place in self._places.values()))
-        return made
+        await asyncio.gather(*(query(dispatcher) for dispatcher in self._dispatchers.values()))
+        return result
--- a/heronstall/keeper/log.py
+++ b/heronstall/keeper/log.py
@@ -1,4 +1,4 @@
-"""A journal on disk: records appended, synced before anybody acts on them. Its form is `rollout.journal`."""
+"""A journal on disk; records are synced before they are acted upon. Its format is `rollout.journal`."""
 
 from __future__ import annotations
 
@@ -12,81 +12,81 @@
 from heronstall.rollout.journal import JournalError, Record, decode_records, encode_record
 
 
-class Busy(OSError):
-    """Another process holds the journal."""
+class JournalLocked(OSError):
+    """Another process has locked the journal."""
 
 
 def unix_us() -> int:
-    """Now, in Unix time."""
+    """Returns the current Unix time in microseconds."""
     return time.time_ns() // 1000
 
 
-class Log:
-    """One journal, held by one process at a time. Raises Busy, OSError and JournalError at the opening."""
+class JournalFile:
+    """A journal, locked by one process at a time. Opening raises JournalLocked, OSError and JournalError."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
-        fresh = not path.exists()
+        created = not path.exists()
         self._fd = os.open(path, os.O_RDWR | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC, 0o600)
         try:
             try:
                 fcntl.flock(self._fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
             except BlockingIOError:
-                raise Busy(f"{path} is held by another process") from None
-            if fresh:
-                self._sync_folder()
+                raise JournalLocked(f"{path} is locked by another process") from None
+            if created:
+                self._sync_directory()
             data = path.read_bytes()
-            self.records, whole = decode_records(data)
-            if whole < len(data):  # a record that was never written whole: nobody has acted on it
-                os.ftruncate(self._fd, whole)
+            self.records, complete = decode_records(data)
+            if complete < len(data):  # an incomplete record, which was never acted upon
+                os.ftruncate(self._fd, complete)
                 os.fsync(self._fd)
         except BaseException:
             os.close(self._fd)
             raise
 
-    def _sync_folder(self) -> None:
-        folder = os.open(self.path.parent, os.O_RDONLY | os.O_DIRECTORY)
+    def _sync_directory(self) -> None:
+        directory = os.open(self.path.parent, os.O_RDONLY | os.O_DIRECTORY)
         try:
-            os.fsync(folder)
+            os.fsync(directory)
         finally:
-            os.close(folder)
+            os.close(directory)
 
     def append(self, kind: str, fields: Record) -> Record:
-        """Write a record; it is on the disk when this returns. Raises OSError: then it is not there."""
+        """Writes and syncs a record. Raises OSError, in which case the record is not in the journal."""
         at = max(unix_us(), self.records[-1]["at"] if self.records else 0)
         line = encode_record(len(self.records), at, kind, fields)
-        whole = os.fstat(self._fd).st_size
+        complete = os.fstat(self._fd).st_size
         written = 0
         try:
             while written < len(line):
                 written += os.write(self._fd, line[written:])
             os.fsync(self._fd)
         except OSError:
-            # Guards what is written next: behind half a line it would be damage in the middle.
-            os.ftruncate(self._fd, whole)
+            # A partial line before later records would be damage.
+            os.ftruncate(self._fd, complete)
             raise
         record = {"n": len(self.records), "at": at, "kind": kind, **fields}
         self.records.append(record)
         return record
 
     def rewrite(self, rows: list[tuple[str, Record]]) -> None:
-        """Put shorter records that come to the same in the place of all, at once or not at all."""
-        aside = self.path.with_suffix(".aside")
+        """Atomically replaces all records by fewer equivalent ones."""
+        temporary_path = self.path.with_suffix(".aside")
         with contextlib.suppress(FileNotFoundError):
-            aside.unlink()
-        new = Log(aside)
+            temporary_path.unlink()
+        replacement = JournalFile(temporary_path)
         for kind, fields in rows:
-            new.append(kind, fields)
-        os.replace(aside, self.path)
-        self._sync_folder()
+            replacement.append(kind, fields)
+        os.replace(temporary_path, self.path)
+        self._sync_directory()
         os.close(self._fd)
-        self._fd, self.records = new._fd, new.records
+        self._fd, self.records = replacement._fd, replacement.records
 
     def close(self) -> None:
-        """Let go of it."""
+        """Closes the journal and releases its lock."""
         os.close(self._fd)
 
-    def __enter__(self) -> Log:
+    def __enter__(self) -> JournalFile:
         return self
 
     def __exit__(
@@ -95,9 +95,9 @@
         self.close()
 
 
-def read(path: Path) -> list[Record]:
-    """The records of a journal that another process may be writing. Raises OSError, JournalError."""
+def read_records(path: Path) -> list[Record]:
+    """Returns the records of a journal that may be in use. Raises OSError and JournalError."""
     return decode_records(path.read_bytes())[0]
 
 
-__all__ = ["Busy", "JournalError", "Log", "read", "unix_us"]
+__all__ = ["JournalError", "JournalFile", "JournalLocked", "read_records", "unix_us"]
--- a/heronstall/keeper/place.py
+++ b/heronstall/keeper/place.py
@@ -1,12 +1,11 @@
-"""One dispatcher's processes as a keeper sees them: what is so, and what is to be done next. Free of I/O.
+"""The state of one supervised dispatcher and the actions that follow from it. Free of I/O.
 
-What is so changes by records alone (`apply`), each written before it is acted upon. What is to be done
-follows from what is so (`due`), never from what happened last: so a keeper that was killed anywhere goes on
-by reading, and a thing done twice is done once.
+The state changes only through records (`apply`), each written before it is acted upon. The actions depend on
+the state alone (`due_actions`), never on what happened last: a supervisor that was killed at any point
+resumes by reading its journal, and repeating an action has no further effect.
 
-At most two processes at a time: `main` serves; `coming` was started beside it and has not said yes. Once it
-has, it is `main`, and what was before is told to end. Nothing is told to end for a process that has not
-said yes.
+At most two processes are current: `main` serves; `coming` was started beside it and is not ready. Once it is
+ready, it becomes `main`, and the former one is stopped. No process is stopped for one that is not ready.
 """
 
 from __future__ import annotations
@@ -16,24 +15,24 @@
 
 from heronstall.rollout.journal import Record
 
-Fault = Literal["asked", "own", "outside", "unseen", "never"]
-ENDS_KEPT = 32
+ExitCause = Literal["asked", "own", "outside", "unseen", "never"]
+MAX_RECORDED_EXITS = 32
 
 
 class Limits(NamedTuple):
-    """Of the keeper's file; microseconds."""
+    """Limits of the supervisor's settings; times are in microseconds."""
 
-    yes: int = 10_000_000
-    end: int = 10_000_000
-    pause: int = 500_000
-    pause_most: int = 30_000_000
-    loop_ends: int = 5
-    loop: int = 60_000_000
+    ready_timeout: int = 10_000_000
+    stop_timeout: int = 10_000_000
+    restart_delay: int = 500_000
+    max_restart_delay: int = 30_000_000
+    crash_loop_exits: int = 5
+    crash_loop_window: int = 60_000_000
 
 
 @dataclass
 class Process:
-    """One that was started and is not known to have ended."""
+    """A process that was started and is not known to have exited."""
 
     token: str
     digest: str
@@ -41,73 +40,72 @@
     since: int
     pid: int = 0
     yes: bool = False
-    told: str = ""  # "TERM" or "KILL", once it was told to end
+    told: str = ""  # the signal sent to stop it: "TERM" or "KILL"
     told_at: int = 0
     why: str = ""
 
 
-class Do(NamedTuple):
-    """Something to be done: the record to write, after which it is done."""
+class Action(NamedTuple):
+    """An action to carry out: its record is written first."""
 
     kind: Literal["start", "tell", "hup"]
     fields: dict[str, Any]
 
 
 @dataclass
-class Place:
-    """A dispatcher."""
+class DispatcherState:
+    """The state of a supervised dispatcher."""
 
     name: str
     limits: Limits = Limits()
-    want: str = ""  # the release that is asked for
-    last: str = ""  # the release that served last
-    stopped: bool = False  # by hand
+    want: str = ""  # the requested release
+    last: str = ""  # the last release that served
+    stopped: bool = False  # by the operator
     main: Process | None = None
     coming: Process | None = None
     leaving: list[Process] = field(default_factory=list)
-    hup: str = ""  # a release that the running process is to take up by SIGHUP
+    hup: str = ""  # a release that the running process should load on SIGHUP
     crashes: int = 0
     lost: int = 0
-    ends: list[int] = field(default_factory=list)  # when it ended unasked
+    ends: list[int] = field(default_factory=list)  # times of its unrequested exits
     ended: str = ""
     refused: str = ""
     refused_digest: str = ""
     refused_epoch: int = 0
-    epoch: int = 0  # of who asked last
-    # Since when this keeper has kept it, of no record: what a process did while nobody looked is not held
-    # against it.
-    kept_from: int = 0
+    epoch: int = 0  # of the last controller
+    # When this supervisor took over; not recorded. Timeouts do not include the time without a supervisor.
+    supervised_since: int = 0
 
-    # ------------------------------------------------------------------ what is so
+    # ------------------------------------------------------------------ state
 
     @property
     def processes(self) -> list[Process]:
-        """All that live, as far as is known."""
+        """All processes that are not known to have exited."""
         return [p for p in (self.main, self.coming, *self.leaving) if p is not None]
 
     def process(self, token: str) -> Process | None:
-        """By its mark."""
+        """Returns the process with the given token."""
         return next((p for p in self.processes if p.token == token), None)
 
-    def apply(self, r: Record) -> None:
-        """A record has been written."""
-        kind, at = r["kind"], r["at"]
-        process = self.process(r["token"]) if "token" in r else None
+    def apply(self, record: Record) -> None:
+        """Applies a record that has been written."""
+        kind, at = record["kind"], record["at"]
+        process = self.process(record["token"]) if "token" in record else None
         if kind == "want":
-            self.want, self.epoch = r["digest"], r["epoch"]
-            self.hup = r["digest"] if r.get("hup") else ""
-            if r["epoch"] > self.refused_epoch or r["digest"] != self.refused_digest:
+            self.want, self.epoch = record["digest"], record["epoch"]
+            self.hup = record["digest"] if record.get("hup") else ""
+            if record["epoch"] > self.refused_epoch or record["digest"] != self.refused_digest:
                 self.refused = self.refused_digest = ""
         elif kind == "stop":
-            self.stopped = r["stop"]
+            self.stopped = record["stop"]
         elif kind == "start":
-            made = Process(r["token"], r["digest"], r["door"], at)
+            new_process = Process(record["token"], record["digest"], record["door"], at)
             if self.main is None:
-                self.main = made
+                self.main = new_process
             else:
-                self.coming = made
+                self.coming = new_process
         elif kind == "born" and process is not None:
-            process.pid = r["pid"]
+            process.pid = record["pid"]
         elif kind == "yes" and process is not None:
             process.yes, process.since = True, at
             if process is self.coming:
@@ -116,16 +114,16 @@
                 self.main, self.coming = process, None
             self.last = process.digest
         elif kind == "tell" and process is not None:
-            process.told, process.told_at, process.why = r["signal"], at, r["why"]
+            process.told, process.told_at, process.why = record["signal"], at, record["why"]
         elif kind == "hupped":
             if self.main is not None:
-                self.main.digest = self.last = r["digest"]
+                self.main.digest = self.last = record["digest"]
             self.hup = ""
         elif kind == "ended" and process is not None:
-            self._end(process, at, r["how"], r["fault"])
+            self._apply_exit(process, at, record["how"], record["fault"])
 
-    def _end(self, process: Process, at: int, how: str, fault: Fault) -> None:
-        fresh = not process.yes and process.digest != self.last
+    def _apply_exit(self, process: Process, at: int, how: str, cause: ExitCause) -> None:
+        never_served = not process.yes and process.digest != self.last
         if process in self.leaving:
             self.leaving.remove(process)
             return
@@ -135,88 +133,93 @@
             self.main = None
             if self.coming is not None and self.coming.yes:
                 self.main, self.coming = self.coming, None
-            if self.stopped and fault == "asked":
+            if self.stopped and cause == "asked":
                 return
-        if fault == "never":  # it was written down and not begun: nobody's doing, it is begun anew
+        if cause == "never":  # the start was recorded but not carried out: it is repeated
             return
-        turned = self.want != process.digest
-        if fresh and not turned and self.last:
-            # It never came to serve here: what served before is wanted again, whether it stands or not.
-            self.refused = process.why or f"it ended before its yes: {how}"
+        superseded = self.want != process.digest
+        if never_served and not superseded and self.last:
+            # The release never served here: request the previous one again, whether it runs or not.
+            self.refused = process.why or f"it exited before it was ready: {how}"
             self.refused_digest, self.refused_epoch = process.digest, self.epoch
             self.want = self.last
-        elif not (turned and process.told):
+        elif not (superseded and process.told):
             self.ended = process.why or how
-            self.ends = [*self.ends, at][-ENDS_KEPT:]
-            if fault in ("own", "asked"):  # asked without being turned round: it had not said yes in time
+            self.ends = [*self.ends, at][-MAX_RECORDED_EXITS:]
+            if cause in ("own", "asked"):  # stopped because it was not ready in time
                 self.crashes += 1
             else:
                 self.lost += 1
 
-    # ------------------------------------------------------------------ what is to be done
+    # ------------------------------------------------------------------ actions
 
-    def _recent(self, now: int) -> int:
-        return sum(at > now - self.limits.loop for at in self.ends)
+    def _recent_exits(self, now: int) -> int:
+        return sum(at > now - self.limits.crash_loop_window for at in self.ends)
 
-    def looping(self, now: int) -> bool:
-        """Whether its ends are a loop of crashes."""
-        return self._recent(now) >= self.limits.loop_ends
+    def is_crash_looping(self, now: int) -> bool:
+        """Returns whether the recent exits form a crash loop."""
+        return self._recent_exits(now) >= self.limits.crash_loop_exits
 
-    def start_at(self, now: int) -> int:
-        """When it may be started again: the later the more often it has ended of late."""
-        recent = self._recent(now)
-        if not recent:
+    def restart_at(self, now: int) -> int:
+        """Returns when it may be started again: the delay doubles with each recent exit."""
+        recent_exits = self._recent_exits(now)
+        if not recent_exits:
             return 0
-        return self.ends[-1] + min(self.limits.pause_most, self.limits.pause * (1 << (recent - 1)))
+        return self.ends[-1] + min(
+            self.limits.max_restart_delay, self.limits.restart_delay * (1 << (recent_exits - 1))
+        )
 
-    def _free_door(self) -> int | None:
-        used = {p.door for p in self.processes}
-        return next((door for door in (0, 1) if door not in used), None)
+    def _free_slot(self) -> int | None:
+        used_slots = {p.door for p in self.processes}
+        return next((door for door in (0, 1) if door not in used_slots), None)
 
-    def due(self, now: int) -> list[Do]:
-        """All that is to be done now."""
-        todo: list[Do] = []
+    def due_actions(self, now: int) -> list[Action]:
+        """Returns the actions that are due now."""
+        actions: list[Action] = []
 
-        def tell(process: Process, signal: str, why: str) -> None:
+        def send_signal(process: Process, signal: str, why: str) -> None:
             fields = {"token": process.token, "signal": signal, "why": why}
-            todo.append(Do("tell", fields))
+            actions.append(Action("tell", fields))
 
         for process in self.leaving:
             if not process.told:
-                tell(process, "TERM", "another process serves")
+                send_signal(process, "TERM", "replaced by another process")
         for process in self.processes:
-            if process.told == "TERM" and now - max(process.told_at, self.kept_from) > self.limits.end:
-                tell(process, "KILL", process.why)
-        both = [p for p in (self.main, self.coming) if p is not None]
-        for process in both:
+            if (
+                process.told == "TERM"
+                and now - max(process.told_at, self.supervised_since) > self.limits.stop_timeout
+            ):
+                send_signal(process, "KILL", process.why)
+        current = [p for p in (self.main, self.coming) if p is not None]
+        for process in current:
             if not process.yes and not process.told:
                 if self.coming is process and process.digest != self.want:
-                    tell(process, "KILL", "turned round")
-                elif now - max(process.since, self.kept_from) > self.limits.yes:
-                    tell(process, "KILL", f"no yes in {self.limits.yes / 1e6:g} s")
+                    send_signal(process, "KILL", "another release was requested")
+                elif now - max(process.since, self.supervised_since) > self.limits.ready_timeout:
+                    send_signal(process, "KILL", f"no yes in {self.limits.ready_timeout / 1e6:g} s")
         if self.stopped:
-            for process in both:
+            for process in current:
                 if not process.told:
-                    tell(process, "TERM", "stopped by hand")
-            return todo
+                    send_signal(process, "TERM", "stopped by the operator")
+            return actions
         if self.hup and self.main is not None and self.main.yes and self.coming is None:
-            todo.append(Do("hup", {"digest": self.hup}))
+            actions.append(Action("hup", {"digest": self.hup}))
         elif self.coming is None and self.want:
-            door = self._free_door()
-            replace = self.main is not None and self.main.yes and self.main.digest != self.want
-            if door is not None and (replace or (self.main is None and now >= self.start_at(now))):
-                todo.append(Do("start", {"digest": self.want, "door": door}))
-        return todo
+            door = self._free_slot()
+            must_replace = self.main is not None and self.main.yes and self.main.digest != self.want
+            if door is not None and (must_replace or (self.main is None and now >= self.restart_at(now))):
+                actions.append(Action("start", {"digest": self.want, "door": door}))
+        return actions
 
-    # ------------------------------------------------------------------ what is told
+    # ------------------------------------------------------------------ reports and records
 
-    def told(self, now: int) -> dict[str, Any]:
-        """For INFO."""
+    def report(self, now: int) -> dict[str, Any]:
+        """Returns the dispatcher's fields for INFO."""
         main = self.main
         if self.stopped:
             state, digest = "stopped", self.want
         elif main is None or not main.yes:
-            state, digest = ("looping" if self.looping(now) else "waiting"), ""
+            state, digest = ("looping" if self.is_crash_looping(now) else "waiting"), ""
         elif self.coming is not None or self.leaving or main.digest != self.want or self.hup:
             state, digest = "changing", main.digest
         else:
@@ -235,35 +238,35 @@
             "refused_epoch": self.refused_epoch,
         }
 
-    def records(self) -> list[tuple[str, Record]]:
-        """Records that come to the same, for a shorter journal."""
-        made: list[tuple[str, Record]] = []
+    def state_records(self) -> list[tuple[str, Record]]:
+        """Returns records that restore this state, for a compacted journal."""
+        result: list[tuple[str, Record]] = []
 
-        def put(kind: str, **fields: Any) -> None:
-            made.append((kind, {"d": self.name, **fields}))
+        def add(kind: str, **fields: Any) -> None:
+            result.append((kind, {"d": self.name, **fields}))
 
-        put("state", state={k: getattr(self, k) for k in KEPT})
+        add("state", state={k: getattr(self, k) for k in PERSISTED_FIELDS})
         for process in self.processes:
-            put("process", seat=self._seat(process), process=vars(process).copy())
-        return made
+            add("process", seat=self._role(process), process=vars(process).copy())
+        return result
 
-    def _seat(self, process: Process) -> str:
+    def _role(self, process: Process) -> str:
         return "main" if process is self.main else "coming" if process is self.coming else "leaving"
 
-    def restore(self, r: Record) -> None:
-        """What `records` made."""
-        if r["kind"] == "state":
-            for name in KEPT:
-                setattr(self, name, r["state"][name])
+    def restore(self, record: Record) -> None:
+        """Restores the state from a record of `state_records`."""
+        if record["kind"] == "state":
+            for name in PERSISTED_FIELDS:
+                setattr(self, name, record["state"][name])
             return
-        process = Process(**r["process"])
-        if r["seat"] == "leaving":
+        process = Process(**record["process"])
+        if record["seat"] == "leaving":
             self.leaving.append(process)
         else:
-            setattr(self, r["seat"], process)
+            setattr(self, record["seat"], process)
 
 
-KEPT = (
+PERSISTED_FIELDS = (
     "want",
     "last",
     "stopped",
--- a/heronstall/keeper/processes.py
+++ b/heronstall/keeper/processes.py
@@ -1,4 +1,4 @@
-"""Processes of this machine: started apart from their keeper, found by their mark, watched to their end."""
+"""Processes of this machine: started apart from their supervisor, found by token, watched to exit."""
 
 from __future__ import annotations
 
@@ -10,12 +10,11 @@
 from collections.abc import Callable, Iterator, Mapping, Sequence
 from pathlib import Path
 
-from heronstall.keeper.place import Fault
-from heronstall.keeper.release import KEPT
+from heronstall.keeper.place import ExitCause
+from heronstall.keeper.release import TOKEN_VARIABLE
 
-# Ends that a program brings about by itself; any other signal came from outside, be it a person or the
-# system.
-OWN = frozenset(
+# Signals that a program raises by its own faults; any other signal comes from a person or the system.
+SELF_CAUSED_SIGNALS = frozenset(
     {
         signal.SIGSEGV,
         signal.SIGABRT,
@@ -27,11 +26,11 @@
     }
 )
 PROC = Path("/proc")
-Ended = Callable[[str, Fault], None]
+ExitHandler = Callable[[str, ExitCause], None]
 
 
-def start(command: Sequence[str], tree: str, environ: Mapping[str, str], log: Path) -> int:
-    """Start a process in a session of its own: what befalls its keeper does not befall it. Raises OSError."""
+def start_process(command: Sequence[str], tree: str, environ: Mapping[str, str], log: Path) -> int:
+    """Starts a process in its own session, independent of the supervisor's. Raises OSError."""
     with log.open("ab") as out:
         process = subprocess.Popen(
             command,
@@ -42,24 +41,24 @@
             stderr=out,
             start_new_session=True,
         )
-    process.returncode = 0  # ours to wait for, by its descriptor: the library is to leave it alone
+    process.returncode = 0  # keeps subprocess from reaping it: its exit is awaited through a pidfd
     return process.pid
 
 
-def find(token: str, pid: int) -> int:
-    """The process that bears a mark, looked for under `pid` first; 0 where none lives."""
-    if pid and _bears(pid, token):
+def find_process(token: str, pid: int) -> int:
+    """Returns the pid of the process with a token, trying `pid` first; 0 if none lives."""
+    if pid and _has_token(pid, token):
         return pid
-    return next((one for one in pids() if _bears(one, token)), 0)
+    return next((other for other in list_pids() if _has_token(other, token)), 0)
 
 
-def pids() -> Iterator[int]:
-    """All that the system tells of, those that have just ended too."""
+def list_pids() -> Iterator[int]:
+    """Yields the pids of all processes, including those that have just exited."""
     return (int(entry.name) for entry in PROC.iterdir() if entry.name.isdecimal())
 
 
-def marks(pid: int) -> list[bytes]:
-    """What a process was started with, `NAME=value` each; none for one that has ended or is not ours."""
+def environment_entries(pid: int) -> list[bytes]:
+    """Returns a process's initial environment as `NAME=value`; empty if it exited or is not accessible."""
     try:
         state = (PROC / str(pid) / "stat").read_text().rsplit(") ", 1)[1][0]
         return [] if state in "ZX" else (PROC / str(pid) / "environ").read_bytes().split(b"\0")
@@ -67,29 +66,29 @@
         return []
 
 
-def _bears(pid: int, token: str) -> bool:
-    return f"{KEPT}={token}".encode() in marks(pid)
+def _has_token(pid: int, token: str) -> bool:
+    return f"{TOKEN_VARIABLE}={token}".encode() in environment_entries(pid)
 
 
-def tell(pid: int, number: int) -> None:
-    """Send a signal; a process that has just gone is none to be told."""
+def send_signal(pid: int, number: int) -> None:
+    """Sends a signal; does nothing if the process has exited."""
     with contextlib.suppress(ProcessLookupError):
         os.kill(pid, number)
 
 
-def watch(pid: int, ended: Ended) -> Callable[[], None]:
-    """Have `ended` called once with how it ended and by whose doing. Returns what ends the watch.
+def watch_exit(pid: int, on_exit: ExitHandler) -> Callable[[], None]:
+    """Calls `on_exit` once with the exit's description and cause. Returns a function that stops watching.
 
-    A child tells how it ended; one that a former keeper started does not tell us.
+    The status is known for child processes only, not for those that a former supervisor started.
     """
     loop = asyncio.get_running_loop()
     try:
         fd = os.pidfd_open(pid)
     except ProcessLookupError:
-        loop.call_soon(ended, "it had ended before anybody looked", "unseen")
+        loop.call_soon(on_exit, "it had exited before it was watched", "unseen")
         return lambda: None
 
-    def over() -> None:
+    def stop() -> None:
         nonlocal fd
         if fd >= 0:
             loop.remove_reader(fd)
@@ -99,23 +98,23 @@
     def readable() -> None:
         try:
             _, status = os.waitpid(pid, os.WNOHANG)
-            how, fault = describe(status)
+            how, cause = describe_exit(status)
         except ChildProcessError:
-            how, fault = "how it ended was not to be seen", "unseen"
-        over()
-        ended(how, fault)
+            how, cause = "its exit status is not available", "unseen"
+        stop()
+        on_exit(how, cause)
 
     loop.add_reader(fd, readable)
-    return over
+    return stop
 
 
-def describe(status: int) -> tuple[str, Fault]:
-    """A wait status in words, and whose doing it was."""
+def describe_exit(status: int) -> tuple[str, ExitCause]:
+    """Returns the description and cause of a wait status."""
     if os.WIFSIGNALED(status):
         number = os.WTERMSIG(status)
         try:
             name = signal.Signals(number).name
         except ValueError:
             name = f"signal {number}"
-        return f"killed by {name}", "own" if number in OWN else "outside"
+        return f"killed by {name}", "own" if number in SELF_CAUSED_SIGNALS else "outside"
     return f"exit code {os.WEXITSTATUS(status)}", "own"
--- a/heronstall/keeper/release.py
+++ b/heronstall/keeper/release.py
@@ -1,4 +1,4 @@
-"""A release: a checked-out tree with its own environment, settings and operator's file; one digest of all."""
+"""A release: a source tree with its environment, settings and operator's file, identified by a digest."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 from heronstall.records import RecordsError, load
 
-CHECK_TIME = 30.0  # seconds for a release to read a dispatcher's settings
-RELEASE, KEPT = "HERONSTALL_RELEASE", "HERONSTALL_KEPT"
-SKIPPED = ("__pycache__", ".git")
-# Run by the release's own program: what reads the settings is what will serve with them.
-CHECK = """
+CHECK_TIMEOUT_S = 30.0  # for a release to read a dispatcher's settings
+RELEASE_VARIABLE, TOKEN_VARIABLE = "HERONSTALL_RELEASE", "HERONSTALL_KEPT"
+SKIPPED_FOLDERS = ("__pycache__", ".git")
+# Run by the release's own interpreter, so that the code that will serve reads the settings.
+CHECK_SCRIPT = """
 import os, sys
 from heronstall.config import ConfigError, load
 from heronstall.operator import OperatorError, read
@@ -37,12 +37,12 @@
 
 
 class ReleaseError(ValueError):
-    """A release that cannot be used; the message says why."""
+    """A release that cannot be used; the message states the reason."""
 
 
 @dataclass(frozen=True)
 class Release:
-    """As its file says; paths are whole."""
+    """A release as its file describes it, with absolute paths."""
 
     name: str
     tree: str
@@ -54,100 +54,104 @@
 
     @property
     def program(self) -> tuple[str, ...]:
-        """What is executed, from the tree."""
+        """The command that is executed in the tree."""
         return (self.python, *self.run)
 
     def record(self) -> dict[str, Any]:
-        """For a journal."""
+        """Returns the release in the form it has in a journal."""
         return asdict(self)
 
     def digest(self) -> str:
-        """Of all that is named. Raises ReleaseError where something is missing."""
-        total = hashlib.sha256()
+        """Returns the digest of everything the release names. Raises ReleaseError for a missing file."""
+        checksum = hashlib.sha256()
 
-        def put(*parts: str | bytes) -> None:
+        def update(*parts: str | bytes) -> None:
             for part in parts:
                 data = part.encode() if isinstance(part, str) else part
-                total.update(b"%d " % len(data) + data)
+                checksum.update(b"%d " % len(data) + data)
 
         tree = Path(self.tree)
         try:
             for part in self.parts:
                 root = tree / part
-                found = [root] if root.is_file() else _files(root)
+                found = [root] if root.is_file() else _list_files(root)
                 if not found:
                     raise ReleaseError(f"{self.name}: {root} is missing or empty")
                 for path in found:
-                    put(str(path.relative_to(tree)), path.read_bytes())
-            put("run", *self.run)
+                    update(str(path.relative_to(tree)), path.read_bytes())
+            update("run", *self.run)
             environment = Path(self.python).parent.parent
-            put("python", os.path.realpath(self.python))
+            update("python", os.path.realpath(self.python))
             if not Path(self.python).exists():
                 raise ReleaseError(f"{self.name}: {self.python} is missing")
-            # An installer's own lists name each file and its hash: enough, and far less to read.
+            # RECORD lists each installed file with its hash, so the files need not be read.
             for path in sorted(environment.glob("lib/python*/site-packages/*.dist-info/RECORD")):
-                put(path.parent.name, path.read_bytes())
+                update(path.parent.name, path.read_bytes())
             for name in (self.settings, self.operator):
-                put(Path(name).read_bytes() if name else "")
+                update(Path(name).read_bytes() if name else "")
         except OSError as error:
             raise ReleaseError(f"{self.name}: {error}") from None
-        return total.hexdigest()[:16]
+        return checksum.hexdigest()[:16]
 
     def overlay(self) -> dict[str, Any]:
-        """The keys that replace those of a dispatcher's configuration. Raises ReleaseError."""
+        """Returns the keys that replace those of a dispatcher's configuration. Raises ReleaseError."""
         if not self.settings:
             return {}
         try:
-            told = json.loads(Path(self.settings).read_text(encoding="utf-8"))
+            settings_overlay = json.loads(Path(self.settings).read_text(encoding="utf-8"))
         except (OSError, ValueError) as error:
             raise ReleaseError(f"{self.name}: settings: {error}") from None
-        if not isinstance(told, dict):
-            raise ReleaseError(f"{self.name}: settings: an object is wanted")
-        return told
-
-    def environment(self, config: Path, door: str, tmp: str, digest: str, token: str) -> dict[str, str]:
-        """A process's environment."""
-        told = {k: v for k, v in os.environ.items() if not k.startswith(("NODE_", "HERONSTALL_"))}
-        told |= {"NODE_CONFIG": str(config), "NODE_OPERATOR": door, "TMPDIR": tmp}
-        told |= {RELEASE: f"{self.name}@{digest}", KEPT: token}
+        if not isinstance(settings_overlay, dict):
+            raise ReleaseError(f"{self.name}: settings: not a JSON object")
+        return settings_overlay
+
+    def environment(
+        self, config: Path, admin_address: str, tmp: str, digest: str, token: str
+    ) -> dict[str, str]:
+        """Returns the environment variables of a process."""
+        variables = {k: v for k, v in os.environ.items() if not k.startswith(("NODE_", "HERONSTALL_"))}
+        variables |= {"NODE_CONFIG": str(config), "NODE_OPERATOR": admin_address, "TMPDIR": tmp}
+        variables |= {RELEASE_VARIABLE: f"{self.name}@{digest}", TOKEN_VARIABLE: token}
         if self.operator:
-            told["HERONSTALL_SETTINGS"] = self.operator
-        return told
+            variables["HERONSTALL_SETTINGS"] = self.operator
+        return variables
 
-    def check(self, config: Path, door: str, tmp: str) -> None:
-        """Have this release's own program read a dispatcher's configuration. Blocks. Raises ReleaseError."""
-        environ = self.environment(config, door, tmp, "check", "check")
+    def check(self, config: Path, admin_address: str, tmp: str) -> None:
+        """Has the release's own program read a dispatcher's configuration. Blocks. Raises ReleaseError."""
+        environ = self.environment(config, admin_address, tmp, "check", "check")
         try:
-            done = subprocess.run(
-                [self.python, "-B", "-c", CHECK],
+            result = subprocess.run(
+                [self.python, "-B", "-c", CHECK_SCRIPT],
                 cwd=self.tree,
                 env=environ,
                 capture_output=True,
                 text=True,
-                timeout=CHECK_TIME,
+                timeout=CHECK_TIMEOUT_S,
                 check=False,
             )
         except (OSError, subprocess.TimeoutExpired) as error:
-            raise ReleaseError(f"{self.name}: cannot be run: {error}") from None
-        if done.returncode:
-            told = done.stderr.strip().splitlines() or [f"exit code {done.returncode}"]
-            raise ReleaseError(f"{self.name}: {told[-1]}")
+            raise ReleaseError(f"{self.name}: its check cannot be run: {error}") from None
+        if result.returncode:
+            output = result.stderr.strip().splitlines() or [f"exit code {result.returncode}"]
+            raise ReleaseError(f"{self.name}: {output[-1]}")
 
 
-def _files(root: Path) -> list[Path]:
+def _list_files(root: Path) -> list[Path]:
     found = []
     for folder, names, files in os.walk(root):
-        names[:] = sorted(name for name in names if name not in SKIPPED and not name.endswith(".egg-info"))
+        names[:] = sorted(
+            name for name in names if name not in SKIPPED_FOLDERS and not name.endswith(".egg-info")
+        )
         found += [Path(folder) / name for name in sorted(files) if not name.endswith(".pyc")]
     return found
 
 
-def of_record(record: dict[str, Any], beside: Path = Path("/")) -> Release:
-    """A release from its checked record; paths in it start from `beside`."""
-    tree = beside / record["tree"]
+def release_from_record(record: dict[str, Any], base: Path = Path("/")) -> Release:
+    """Builds a release from its validated record; relative paths start from `base`."""
+    tree = base / record["tree"]
 
-    def whole(name: str) -> str:
-        return str(beside / name) if name else ""
+    def absolute(name: str) -> str:
+        return str(base / name) if name else ""
 
     return Release(
         record["name"],
@@ -155,26 +159,26 @@
         str(tree / record["python"]),
         tuple(record["run"]),
         tuple(record["parts"]),
-        whole(record["settings"]),
-        whole(record["operator"]),
+        absolute(record["settings"]),
+        absolute(record["operator"]),
     )
 
 
 def read_release(path: Path) -> Release:
-    """A release's file. Raises ReleaseError."""
+    """Reads a release's file. Raises ReleaseError."""
     try:
         record = load(path, ("release",))[1]
     except RecordsError as error:
         raise ReleaseError(str(error)) from None
-    return of_record(record, path.resolve().parent)
+    return release_from_record(record, path.resolve().parent)
 
 
-def compose(base: Path, release: Release) -> dict[str, Any]:
-    """A dispatcher's configuration under a release, with a seed of its own. Raises ReleaseError."""
+def compose_config(base: Path, release: Release) -> dict[str, Any]:
+    """Returns a dispatcher's configuration for a release, with a new seed. Raises ReleaseError."""
     try:
-        told = json.loads(base.read_text(encoding="utf-8"))
+        config = json.loads(base.read_text(encoding="utf-8"))
     except (OSError, ValueError) as error:
         raise ReleaseError(f"{base}: {error}") from None
-    if not isinstance(told, dict):
-        raise ReleaseError(f"{base}: an object is wanted")
-    return {**told, **release.overlay(), "seed": secrets.token_hex(8)}
+    if not isinstance(config, dict):
+        raise ReleaseError(f"{base}: not a JSON object")
+    return {**config, **release.overlay(), "seed": secrets.token_hex(8)}
--- a/heronstall/lab/supervised.py
+++ b/heronstall/lab/supervised.py
@@ -14,7 +14,7 @@
 from heronstall.fleet import boundary as b
 from heronstall.fleet.fleet import Plan
 from heronstall.keeper import processes
-from heronstall.keeper.release import KEPT
+from heronstall.keeper.release import TOKEN_VARIABLE
 from heronstall.lab.clock import RealTime
 from heronstall.lab.faults import Faults
 from heronstall.lab.nodes import LabError, Node, Nodes, free_net
@@ -169,10 +169,10 @@
     def marked(self) -> list[tuple[int, dict[str, Any]]]:
         """Every living process that a keeper of this run has started, and its configuration."""
         found = []
-        for pid in processes.pids():
-            told = dict(row.split(b"=", 1) for row in processes.marks(pid) if b"=" in row)
+        for pid in processes.list_pids():
+            told = dict(row.split(b"=", 1) for row in processes.environment_entries(pid) if b"=" in row)
             path = told.get(b"NODE_CONFIG", b"").decode(errors="replace")
-            if path.startswith(str(self.work)) and KEPT.encode() in told:
+            if path.startswith(str(self.work)) and TOKEN_VARIABLE.encode() in told:
                 with contextlib.suppress(OSError, ValueError):
                     found.append((pid, json.loads(Path(path).read_text(encoding="utf-8"))))
         return found
@@ -240,10 +240,10 @@
 
     def records(self) -> list[dict[str, Any]]:
         """What its journal holds."""
-        from heronstall.keeper.log import read
+        from heronstall.keeper.log import read_records
 
         try:
-            return read(self.journal)
+            return read_records(self.journal)
         except FileNotFoundError:
             return []
 
--- a/heronstall/model/rollouts.py
+++ b/heronstall/model/rollouts.py
@@ -18,7 +18,7 @@
 
 from heronstall import interface as i
 from heronstall.fleet.spec import SECOND, Scenario
-from heronstall.keeper.place import Do, Limits, Place, Process
+from heronstall.keeper.place import Action, DispatcherState, Limits, Process
 from heronstall.model.run import ORIGIN_MS, Run
 from heronstall.ops.detail import DetailedMetrics
 from heronstall.rollout.figures import Snapshot
@@ -136,7 +136,7 @@
 class _Stand:
     """A dispatcher: its place, its processes, its own ways."""
 
-    place: Place
+    place: DispatcherState
     living: dict[str, _Living] = field(default_factory=dict)
     job: int = 0
     sent: int = 0
@@ -168,7 +168,7 @@
         self.names = [f"n{n}" for n in range(len(evening.jobs))]
         self.stands = {}
         for name in self.names:
-            place = Place(name, Limits(5_000_000, 5_000_000, 500_000))
+            place = DispatcherState(name, Limits(5_000_000, 5_000_000, 500_000))
             cpu = CPU * math.exp(self._draw.normal(0, 0.1))
             memory = MEMORY_KB * math.exp(self._draw.normal(0, 0.05))
             self.stands[name] = _Stand(place, cpu=cpu, memory=memory)
@@ -189,7 +189,7 @@
     def _apply(self, stand: _Stand, kind: str, **fields: Any) -> None:
         stand.place.apply({"kind": kind, "at": ORIGIN + self.now, **fields})
 
-    def _do(self, stand: _Stand, do: Do) -> None:
+    def _do(self, stand: _Stand, do: Action) -> None:
         if do.kind == "start":
             self._tokens += 1
             token = f"t{self._tokens}"
@@ -212,7 +212,7 @@
         return living.digest == NEW
 
     def _keep(self, stand: _Stand) -> None:
-        for do in stand.place.due(ORIGIN + self.now):
+        for do in stand.place.due_actions(ORIGIN + self.now):
             self._do(stand, do)
         for process in list(stand.place.processes):
             living = stand.living.get(process.token)
@@ -298,7 +298,7 @@
         for name, stand in self.stands.items():
             if not self.reached(name, self.now):
                 continue
-            told = stand.place.told(ORIGIN + self.now)
+            told = stand.place.report(ORIGIN + self.now)
             main = stand.place.main
             snapshot = None
             if main is not None and main.yes:
--- a/tests/cutting.py
+++ b/tests/cutting.py
@@ -17,7 +17,7 @@
 from heronstall.rollout.journal import Record, encode_record
 
 FOLDER = Path(sys.argv[1])
-original_append = log.Log.append
+original_append = log.JournalFile.append
 
 
 def first_time(name: str) -> bool:
@@ -29,7 +29,7 @@
     return True
 
 
-def append_and_die(self: log.Log, kind: str, fields: Record) -> Record:
+def append_and_die(self: log.JournalFile, kind: str, fields: Record) -> Record:
     """Writes a record, or half of it, and kills the process."""
     step = "-".join(str(fields.get(key, "")) for key in ("d", "dispatcher", "stage", "look"))
     name = f"{self.path.stem}-{kind}-{step}".replace("/", "_")
@@ -44,6 +44,6 @@
     return record
 
 
-log.Log.append = append_and_die  # type: ignore[method-assign]
+log.JournalFile.append = append_and_die  # type: ignore[method-assign]
 del sys.argv[1]
 main()
--- a/tests/stories.py
+++ b/tests/stories.py
@@ -24,7 +24,7 @@
 
 from heronstall.fleet.spec import SECOND, Trouble, Zone
 from heronstall.keeper import calls
-from heronstall.keeper.log import read, unix_us
+from heronstall.keeper.log import read_records, unix_us
 from heronstall.lab.run import Run
 from heronstall.lab.supervised import CLI, ROOT, Rollout, SupervisedNodes
 from tests.lab_play import Play, main
@@ -453,7 +453,9 @@
     code = await rollout.end(LONGEST + 60)
     done.set()
     lives = await asyncio.gather(*tending)
-    written = [len(read(keeper.file.parent / "state" / "keeper.journal")) for keeper in story.nodes.keepers]
+    written = [
+        len(read_records(keeper.file.parent / "state" / "keeper.journal")) for keeper in story.nodes.keepers
+    ]
     assert all(life >= least for life in lives), (lives, written)
     return code
 
@@ -488,14 +490,18 @@
         keeper.process.kill()
         while True:
             await asyncio.wait_for(keeper.process.wait(), 30)
-            born = read(journal)[-1]
+            born = read_records(journal)[-1]
             if born["kind"] == "born" and len(story.processes()) > 6:
                 break
             await story.nodes.start_keeper(keeper, (*CUTTING, str(story.work / "k0")))
         await story.wait(lambda: unix_us() - born["at"] > 4_000_000)  # the fault itself
         await story.nodes.start_keeper(keeper)
         await through(story, rollout)
-        later = [r["kind"] for r in read(journal) if r.get("token") == born["token"] and r["at"] > born["at"]]
+        later = [
+            r["kind"]
+            for r in read_records(journal)
+            if r.get("token") == born["token"] and r["at"] > born["at"]
+        ]
         assert later == ["yes"], later
     story.served_all()
 
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -17,9 +17,9 @@
 from hypothesis import strategies as st
 
 from heronstall.fleet.spec import Trouble, Zone
-from heronstall.keeper.calls import CallError, parse, rows
-from heronstall.keeper.log import Busy, Log
-from heronstall.keeper.place import Limits, Place
+from heronstall.keeper.calls import CallError, parse_reply, rows_reply
+from heronstall.keeper.log import JournalFile, JournalLocked
+from heronstall.keeper.place import DispatcherState, Limits
 from heronstall.model.rollouts import NEW, OLD, ORIGIN, Evening, Outcome, Plant, Stage, evening
 from heronstall.records import loads
 from heronstall.rollout import effects, judge, machine
@@ -117,15 +117,15 @@
 
 
 def test_a_full_disk_leaves_no_partial_record_before_later_ones(tmp_path: Path) -> None:
-    with Log(tmp_path / "j") as log:
+    with JournalFile(tmp_path / "j") as log:
         log.append("one", {"x": 1})
         real = os.write
         with mock.patch("os.write", write_partially(real)), pytest.raises(OSError, match="full"):
             log.append("two", {})
         log.append("three", {})
-        with pytest.raises(Busy):
-            Log(tmp_path / "j")
-    with Log(tmp_path / "j") as log:
+        with pytest.raises(JournalLocked):
+            JournalFile(tmp_path / "j")
+    with JournalFile(tmp_path / "j") as log:
         assert [r["kind"] for r in log.records] == ["one", "three"]
 
 
@@ -145,7 +145,7 @@
 @given(st.binary(max_size=200))
 def test_a_reply_is_complete_or_an_error(data: bytes) -> None:
     try:
-        reply = parse(data)
+        reply = parse_reply(data)
     except CallError:
         return
     assert data.endswith(b"\n")
@@ -153,11 +153,11 @@
 
 
 def test_a_truncated_reply_is_an_error() -> None:
-    whole = rows({"a": "1", "b": "2"}).encode()
-    assert parse(whole).rows == {"a": "1", "b": "2"}
+    whole = rows_reply({"a": "1", "b": "2"}).encode()
+    assert parse_reply(whole).rows == {"a": "1", "b": "2"}
     for at in range(len(whole)):
         with pytest.raises(CallError):
-            parse(whole[:at])
+            parse_reply(whole[:at])
 
 
 # ---------------------------------------------------------------------- plan
@@ -197,7 +197,7 @@
         self.records: list[Record] = []
         self.alive: dict[str, str] = {}  # digest by token
         self.now = 0
-        self.place = Place("n", Limits(5, 5, 1, 8, 3, 20))
+        self.place = DispatcherState("n", Limits(5, 5, 1, 8, 3, 20))
 
     def write(self, kind: str, **fields: Any) -> None:
         record = {"kind": kind, "at": self.now, **fields}
@@ -206,7 +206,7 @@
 
     def restart(self) -> None:
         """Starts a new supervisor that replays the records of the former one."""
-        self.place = Place("n", self.place.limits)
+        self.place = DispatcherState("n", self.place.limits)
         for record in self.records:
             self.place.apply(record)
         for process in self.place.processes:
@@ -218,7 +218,7 @@
 
     def poll(self, ready_digests: set[str], max_records: int = 10**9) -> bool:
         """Carries out the due actions; returns whether the supervisor died after `max_records` records."""
-        for action in self.place.due(self.now):
+        for action in self.place.due_actions(self.now):
             if len(self.records) >= max_records:
                 return True
             if action.kind == "start":
@@ -257,7 +257,7 @@
                 supervisor.restart()
                 max_records = 10**9
         assert list(supervisor.alive.values()) == ["new"], max_records
-        assert supervisor.place.told(supervisor.now)["state"] == "serving"
+        assert supervisor.place.report(supervisor.now)["state"] == "serving"
         assert supervisor.place.crashes == 0
 
 
@@ -270,7 +270,7 @@
         supervisor.poll({"old"})
         assert "old" in supervisor.alive.values()
         assert len(supervisor.alive) <= 2
-    status = supervisor.place.told(supervisor.now)
+    status = supervisor.place.report(supervisor.now)
     assert (status["state"], status["digest"], status["want"]) == ("serving", "old", "old")
     assert status["refused"].startswith("no yes in") and status["refused_digest"] == "bad"
     assert not any(r["kind"] == "tell" and r["signal"] == "TERM" for r in supervisor.records)
@@ -300,8 +300,8 @@
             supervisor.alive.pop(token)
             supervisor.write("ended", token=token, how="exit code 1", fault="own")
     gaps = [b - a for a, b in zip(starts, starts[1:], strict=False)]
-    assert gaps[0] < gaps[2] <= 10 and supervisor.place.looping(supervisor.now)
-    assert supervisor.place.told(supervisor.now)["state"] == "looping"
+    assert gaps[0] < gaps[2] <= 10 and supervisor.place.is_crash_looping(supervisor.now)
+    assert supervisor.place.report(supervisor.now)["state"] == "looping"
 
 
 # ---------------------------------------------------------------------- the state machine in virtual time
