--- a/heronstall/cli/keep.py
+++ b/heronstall/cli/keep.py
@@ -21,9 +21,9 @@
     Example: heronstall keep deploy/keeper.cue
     """
     from heronstall.keeper.calls import CallError
-    from heronstall.keeper.keeper import Supervisor, parse_supervisor_config
     from heronstall.keeper.log import JournalError, JournalLocked
     from heronstall.keeper.release import ReleaseError
+    from heronstall.keeper.supervisor import Supervisor, parse_supervisor_config
     from heronstall.operator import Operator, start_logging
 
     start_logging(Operator())
--- a/heronstall/keeper/place.py
+++ b/heronstall/keeper/dispatcher_state.py
@@ -171,7 +171,7 @@
 
     def _free_slot(self) -> int | None:
         used_slots = {p.door for p in self.processes}
-        return next((door for door in (0, 1) if door not in used_slots), None)
+        return next((slot for slot in (0, 1) if slot not in used_slots), None)
 
     def due_actions(self, now: int) -> list[Action]:
         """Returns the actions that are due now."""
@@ -205,10 +205,10 @@
         if self.hup and self.main is not None and self.main.yes and self.coming is None:
             actions.append(Action("hup", {"digest": self.hup}))
         elif self.coming is None and self.want:
-            door = self._free_slot()
+            slot = self._free_slot()
             must_replace = self.main is not None and self.main.yes and self.main.digest != self.want
-            if door is not None and (must_replace or (self.main is None and now >= self.restart_at(now))):
-                actions.append(Action("start", {"digest": self.want, "door": door}))
+            if slot is not None and (must_replace or (self.main is None and now >= self.restart_at(now))):
+                actions.append(Action("start", {"digest": self.want, "door": slot}))
         return actions
 
     # ------------------------------------------------------------------ reports and records
--- a/heronstall/keeper/processes.py
+++ b/heronstall/keeper/processes.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Iterator, Mapping, Sequence
 from pathlib import Path
 
-from heronstall.keeper.place import ExitCause
+from heronstall.keeper.dispatcher_state import ExitCause
 from heronstall.keeper.release import TOKEN_VARIABLE
 
 # Signals that a program raises by its own faults; any other signal comes from a person or the system.
--- a/heronstall/keeper/keeper.py
+++ b/heronstall/keeper/supervisor.py
@@ -22,8 +22,8 @@
 from heronstall.events import say
 from heronstall.keeper import calls, processes
 from heronstall.keeper.calls import CallError, CallServer, no_reply, rows_reply, yes_reply
+from heronstall.keeper.dispatcher_state import Action, DispatcherState, ExitCause, Limits, Process
 from heronstall.keeper.log import JournalFile, unix_us
-from heronstall.keeper.place import Action, DispatcherState, ExitCause, Limits, Process
 from heronstall.keeper.release import Release, ReleaseError, compose_config, read_release, release_from_record
 from heronstall.rollout.journal import Record
 
--- a/heronstall/model/rollouts.py
+++ b/heronstall/model/rollouts.py
@@ -18,7 +18,7 @@
 
 from heronstall import interface as i
 from heronstall.fleet.spec import SECOND, Scenario
-from heronstall.keeper.place import Action, DispatcherState, Limits, Process
+from heronstall.keeper.dispatcher_state import Action, DispatcherState, Limits, Process
 from heronstall.model.run import ORIGIN_MS, Run
 from heronstall.ops.detail import DetailedMetrics
 from heronstall.rollout.figures import Snapshot
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -18,8 +18,8 @@
 
 from heronstall.fleet.spec import Trouble, Zone
 from heronstall.keeper.calls import CallError, parse_reply, rows_reply
+from heronstall.keeper.dispatcher_state import DispatcherState, Limits
 from heronstall.keeper.log import JournalFile, JournalLocked
-from heronstall.keeper.place import DispatcherState, Limits
 from heronstall.model.rollouts import NEW, OLD, ORIGIN, Evening, Outcome, Plant, Stage, evening
 from heronstall.records import loads
 from heronstall.rollout import effects, judge, machine
