--- a/heronstall/dataplane/batch_runner.py
+++ b/heronstall/dataplane/batch_runner.py
@@ -12,7 +12,7 @@
 import structlog
 from multidict import CIMultiDict
 
-from heronstall.batch.leases import ITEM_LIMIT
+from heronstall.batch.leases import MAX_ITEMS_PER_CALL
 from heronstall.batch.outcomes import Outcome
 from heronstall.dataplane.admission import Admission
 from heronstall.dataplane.attempts import ITEM_SILENCE_S, Attempt
@@ -163,7 +163,7 @@
     async def _poll(self, shard: str) -> None:
         while not self.stopping:
             slot_freed = self._slot_freed
-            limit = self._lease_limits.get(shard, ITEM_LIMIT)
+            limit = self._lease_limits.get(shard, MAX_ITEMS_PER_CALL)
             want = min(limit, self._wanted_count(shard))
             began = time.monotonic()
             reply = await self._request_leases(shard, want, slot_freed)
@@ -174,7 +174,7 @@
                 self._lease_limits[shard] = max(1, limit // 2)  # a lost reply is sent again: request less
                 await asyncio.sleep(POLL_RETRY_DELAY_S)
                 continue
-            self._lease_limits[shard] = min(ITEM_LIMIT, 2 * limit)
+            self._lease_limits[shard] = min(MAX_ITEMS_PER_CALL, 2 * limit)
             self._polled_at[shard] = began
             leases = LeaseReply().parse(reply.body)
             for job in leases.ended:
@@ -355,7 +355,7 @@
             succeeded = True
             return outcome
         except UnsendablePath:
-            return Outcome.UNDOABLE
+            return Outcome.UNPROCESSABLE
         except (aiohttp.ClientError, ConnectionError, TimeoutError):
             admission.record_failure(worker)
             return None
@@ -378,7 +378,7 @@
         if upstream.status != 200:
             await upstream.read()
             if upstream.status == 422:
-                return Outcome.UNDOABLE
+                return Outcome.UNPROCESSABLE
             if upstream.status == 500:
                 return Outcome.FAILED
             if upstream.status == 503:
--- a/heronstall/dataplane/prompt_placement.py
+++ b/heronstall/dataplane/prompt_placement.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 
 from heronstall.dataplane.prefixes import SharedPrefix
-from heronstall.distribution.view import View
+from heronstall.distribution.view import ControlStateView
 from heronstall.transport.frames import Kind, Status
 from heronstall.transport.links import Links
 from heronstall.transport.messages import PlaceReply, PlaceRequest
@@ -34,7 +34,9 @@
 class PromptPlacer:
     """Requests placements for this dispatcher's large prompts."""
 
-    def __init__(self, links: Links, view: View, clock: Callable[[], float] = time.monotonic) -> None:
+    def __init__(
+        self, links: Links, view: ControlStateView, clock: Callable[[], float] = time.monotonic
+    ) -> None:
         self._links, self._view, self._clock = links, view, clock
         self._failed_at: dict[str, float] = {}
         # By service: tokens prefilled and seconds to the first event, reported with the next request.
@@ -71,7 +73,7 @@
         now = self._clock()
         responsive = [
             node
-            for node in self._view.control
+            for node in self._view.control_addresses
             if now - self._failed_at.get(node, -NODE_RETRY_DELAY_S) >= NODE_RETRY_DELAY_S
         ]
         return max(responsive, key=lambda node: zlib.crc32(f"{service}|{node}".encode()), default=None)
--- a/heronstall/distribution/view.py
+++ b/heronstall/distribution/view.py
@@ -1,30 +1,30 @@
-"""What a node has pulled of the control state, by version vector. No version ever goes back."""
+"""The control state that a node has pulled, by version vector. No version ever decreases."""
 
 from __future__ import annotations
 
-from heronstall.sessions.loads import WorkerLoad, unpack
+from heronstall.sessions.loads import WorkerLoad, unpack_loads
 from heronstall.transport.messages import Placement, ShardVersion, SyncReply, Worker, WorkerChange
 
 
-class View:
-    """Configuration, placements and workers as this node knows them."""
+class ControlStateView:
+    """The configuration, placements and workers known to this node."""
 
     def __init__(self) -> None:
         self.versions: dict[str, int] = {}
         self.document = b""
         self.placements: dict[str, Placement] = {}
         self.workers: dict[str, dict[str, Worker]] = {}
-        self.control: tuple[str, ...] = ()
-        self.edges = 1
-        self.edge_number = 0  # this dispatcher's place among the live ones, from 1; 0: not told
-        self.loads: dict[str, WorkerLoad] = {}  # what the other dispatchers have at each worker
+        self.control_addresses: tuple[str, ...] = ()
+        self.dispatcher_count = 1
+        self.dispatcher_rank = 0  # this dispatcher's position among the live ones, from 1; 0 if unknown
+        self.loads: dict[str, WorkerLoad] = {}  # load of the other dispatchers on each worker
 
-    def vector(self) -> list[ShardVersion]:
-        """What this node holds, for its next pull."""
+    def version_vector(self) -> list[ShardVersion]:
+        """Returns the versions that this node holds, for its next pull."""
         return [ShardVersion(shard, version) for shard, version in self.versions.items()]
 
-    def take(self, reply: SyncReply) -> set[str]:
-        """Take an answer; the names of what has changed."""
+    def apply(self, reply: SyncReply) -> set[str]:
+        """Applies the reply to a pull and returns the names of the parts that changed."""
         changed: set[str] = set()
         if reply.config_version > self.versions.get("config", 0) and reply.document:
             self.versions["config"] = reply.config_version
@@ -32,29 +32,29 @@
             changed.add("config")
         if reply.placement_version > self.versions.get("placement", 0):
             self.versions["placement"] = reply.placement_version
-            self.placements = {p.shard: p for p in reply.placements}
+            self.placements = {placement.shard: placement for placement in reply.placements}
             changed.add("placement")
         for delta in reply.workers:
             if delta.version > self.versions.get(delta.shard, 0):
                 self.versions[delta.shard] = delta.version
-                self._take_workers(delta.shard, delta.complete, list(delta.changes))
+                self._apply_workers(delta.shard, delta.complete, list(delta.changes))
                 changed.add("workers")
-        self.control = tuple(reply.control) or self.control
-        self.edges = max(1, reply.edges)
-        self.edge_number = reply.edge_number
-        self.loads = {load.worker: load for load in unpack(reply.loads)}
+        self.control_addresses = tuple(reply.control) or self.control_addresses
+        self.dispatcher_count = max(1, reply.edges)
+        self.dispatcher_rank = reply.edge_number
+        self.loads = {load.worker: load for load in unpack_loads(reply.loads)}
         return changed
 
     def all_workers(self) -> dict[str, Worker]:
-        """Workers by identity, over all shards."""
+        """Returns the workers of all shards by identity."""
         return {name: worker for shard in self.workers.values() for name, worker in shard.items()}
 
-    def placement_of(self, shard: str) -> tuple[str, ...]:
-        """The replicas of a batch shard."""
+    def replicas_of(self, shard: str) -> tuple[str, ...]:
+        """Returns the replicas of a batch shard."""
         placement = self.placements.get(shard)
         return tuple(placement.replicas) if placement else ()
 
-    def _take_workers(self, shard: str, complete: bool, changes: list[WorkerChange]) -> None:
+    def _apply_workers(self, shard: str, complete: bool, changes: list[WorkerChange]) -> None:
         table = self.workers.setdefault(shard, {})
         if complete:
             table.clear()
--- a/tests/tier/test_store_simulation.py
+++ b/tests/tier/test_store_simulation.py
@@ -15,7 +15,7 @@
 
 from heronstall.controlplane.core import Core
 from heronstall.controlplane.store import Store
-from heronstall.replication.leases import Leases
+from heronstall.replication.leases import ReadLeases
 from heronstall.storage.journal import Journal
 from heronstall.transport.frames import Status
 from heronstall.transport.links import Reply
@@ -48,7 +48,7 @@
     """Planted: the log is written and not synced."""
 
     def sync(journal: Journal) -> None:
-        journal._synced = journal._length
+        journal._synced_length = journal._log_length
 
     with mock.patch.object(Journal, "sync", sync):
         yield
@@ -66,7 +66,10 @@
         lambda: mock.patch.object(Store, "_decided", staticmethod(decided_at_once)), 2
     ),
     "an owner answers before it has applied its log": Planted(
-        lambda: mock.patch.object(Leases, "established", property(lambda leases: leases._state.leads)), 1
+        lambda: mock.patch.object(
+            ReadLeases, "established", property(lambda leases: leases._state.is_leader)
+        ),
+        1,
     ),
     "a machine counts as emptied at once": Planted(
         lambda: mock.patch.object(Core, "_emptied", lambda core, replica: True), 3
@@ -113,15 +116,15 @@
             left.add(path.read_bytes())
         self.assertTrue(all(found.startswith(b"safe") for found in left), left)
         self.assertLessEqual({b"safe", b"saferest"}, left)
-        self.assertEqual(self.files.torn, 40)
+        self.assertEqual(self.files.torn_files, 40)
 
     def test_a_node_may_end_within_its_next_sync(self) -> None:
         struck: list[bool] = []
-        self.files.doom(self.folder, lambda: struck.append(True))
+        self.files.crash_at_next_sync(self.folder, lambda: struck.append(True))
         with (self.folder / "log").open("wb") as file, self.assertRaises(Crashed):
             self.files.sync(file.fileno())
         self.assertEqual(struck, [True])
-        self.assertFalse(self.files.spare(self.folder))
+        self.assertFalse(self.files.cancel_crash(self.folder))
 
 
 class Situations(unittest.TestCase):
