--- a/heronstall/keeper/dispatcher_state.py
+++ b/heronstall/keeper/dispatcher_state.py
@@ -36,10 +36,10 @@
 
     token: str
     digest: str
-    door: int
-    since: int
+    door: int  # index of its admin address
+    since: int  # time of its start, then of its readiness
     pid: int = 0
-    yes: bool = False
+    yes: bool = False  # whether it has reported that it is ready
     told: str = ""  # the signal sent to stop it: "TERM" or "KILL"
     told_at: int = 0
     why: str = ""
--- a/heronstall/rollout/__init__.py
+++ b/heronstall/rollout/__init__.py
@@ -1,6 +1,6 @@
-"""A change carried through a fleet in stages: its plan, its journal, its steps and its judge. Free of I/O."""
+"""Staged rollouts: the plan, the journal, the state machine and the statistical judge. Free of I/O."""
 
 import os
 
-# The judge's matrices are small: threads that wait for each other cost many times what they do.
+# The judge's matrices are small: synchronizing threads costs many times the computation.
 os.environ.setdefault("OPENBLAS_NUM_THREADS", "1")
--- a/heronstall/rollout/judge.py
+++ b/heronstall/rollout/judge.py
@@ -339,13 +339,13 @@
     begin = min((s.at for s in first.values()), default=0)
     end = max((s.at for s in last.values()), default=0)
 
-    def split_series(pieces: int, worth_alone: bool) -> list[dict[str, dict[str, Point]]]:
+    def split_series(pieces: int, worth_only: bool) -> list[dict[str, dict[str, Point]]]:
         edges = [begin + (end - begin) * k // pieces for k in range(pieces + 1)]
         nearest = [min(series, key=lambda row: abs(_earliest_time(row) - edge)) for edge in edges]
         piece_points = []
         for a, b in zip(nearest, nearest[1:], strict=False):
             piece_points.append(
-                {name: measure_points(a[name], b[name], worth_alone) for name in a if name in b}
+                {name: measure_points(a[name], b[name], worth_only) for name in a if name in b}
             )
         return piece_points
 
--- a/heronstall/rollout/machine.py
+++ b/heronstall/rollout/machine.py
@@ -361,7 +361,7 @@
                     measured[name] = row
         return self._judge, measured
 
-    # ------------------------------------------------------------------ going back
+    # ------------------------------------------------------------------ rollback
 
     def _rollback_steps(self, fleet: FleetObservation) -> list[Step]:
         state = self.state
