--- a/heronstall/keeper/calls.py
+++ b/heronstall/keeper/calls.py
@@ -134,7 +134,7 @@
         try:
             words = line.decode("ascii").split()
         except UnicodeDecodeError:
-            return no_reply("not ASCII text")
+            return no_reply("not text")
         return await self._handler(words) if words else no_reply("such call")
 
     async def close(self) -> None:
--- a/heronstall/keeper/dispatcher_state.py
+++ b/heronstall/keeper/dispatcher_state.py
@@ -140,7 +140,7 @@
         superseded = self.want != process.digest
         if never_served and not superseded and self.last:
             # The release never served here: request the previous one again, whether it runs or not.
-            self.refused = process.why or f"it exited before it was ready: {how}"
+            self.refused = process.why or f"it ended before its yes: {how}"
             self.refused_digest, self.refused_epoch = process.digest, self.epoch
             self.want = self.last
         elif not (superseded and process.told):
@@ -183,7 +183,7 @@
 
         for process in self.leaving:
             if not process.told:
-                send_signal(process, "TERM", "replaced by another process")
+                send_signal(process, "TERM", "another process serves")
         for process in self.processes:
             if (
                 process.told == "TERM"
@@ -194,13 +194,13 @@
         for process in current:
             if not process.yes and not process.told:
                 if self.coming is process and process.digest != self.want:
-                    send_signal(process, "KILL", "another release was requested")
+                    send_signal(process, "KILL", "turned round")
                 elif now - max(process.since, self.supervised_since) > self.limits.ready_timeout:
                     send_signal(process, "KILL", f"no yes in {self.limits.ready_timeout / 1e6:g} s")
         if self.stopped:
             for process in current:
                 if not process.told:
-                    send_signal(process, "TERM", "stopped by the operator")
+                    send_signal(process, "TERM", "stopped by hand")
             return actions
         if self.hup and self.main is not None and self.main.yes and self.coming is None:
             actions.append(Action("hup", {"digest": self.hup}))
--- a/heronstall/keeper/processes.py
+++ b/heronstall/keeper/processes.py
@@ -85,7 +85,7 @@
     try:
         fd = os.pidfd_open(pid)
     except ProcessLookupError:
-        loop.call_soon(on_exit, "it had exited before it was watched", "unseen")
+        loop.call_soon(on_exit, "it had ended before anybody looked", "unseen")
         return lambda: None
 
     def stop() -> None:
@@ -100,7 +100,7 @@
             _, status = os.waitpid(pid, os.WNOHANG)
             how, cause = describe_exit(status)
         except ChildProcessError:
-            how, cause = "its exit status is not available", "unseen"
+            how, cause = "how it ended was not to be seen", "unseen"
         stop()
         on_exit(how, cause)
 
--- a/heronstall/keeper/release.py
+++ b/heronstall/keeper/release.py
@@ -102,7 +102,7 @@
         except (OSError, ValueError) as error:
             raise ReleaseError(f"{self.name}: settings: {error}") from None
         if not isinstance(settings_overlay, dict):
-            raise ReleaseError(f"{self.name}: settings: not a JSON object")
+            raise ReleaseError(f"{self.name}: settings: an object is wanted")
         return settings_overlay
 
     def environment(
@@ -130,7 +130,7 @@
                 check=False,
             )
         except (OSError, subprocess.TimeoutExpired) as error:
-            raise ReleaseError(f"{self.name}: its check cannot be run: {error}") from None
+            raise ReleaseError(f"{self.name}: cannot be run: {error}") from None
         if result.returncode:
             output = result.stderr.strip().splitlines() or [f"exit code {result.returncode}"]
             raise ReleaseError(f"{self.name}: {output[-1]}")
@@ -180,5 +180,5 @@
     except (OSError, ValueError) as error:
         raise ReleaseError(f"{base}: {error}") from None
     if not isinstance(config, dict):
-        raise ReleaseError(f"{base}: not a JSON object")
+        raise ReleaseError(f"{base}: an object is wanted")
     return {**config, **release.overlay(), "seed": secrets.token_hex(8)}
--- a/heronstall/keeper/supervisor.py
+++ b/heronstall/keeper/supervisor.py
@@ -186,7 +186,7 @@
                 if not pid:
                     if process.pid:
                         self._record_exit(
-                            dispatcher, process.token, "it exited while no supervisor ran", "unseen"
+                            dispatcher, process.token, "it ended while nobody kept it", "unseen"
                         )
                     else:  # the former supervisor was killed before it started the process
                         self._record_exit(dispatcher, process.token, "it was never started", "never")
@@ -249,9 +249,9 @@
         try:
             release = self._releases.get(digest)
             if release is None:
-                raise ReleaseError(f"release {digest} is unknown to this supervisor")
+                raise ReleaseError(f"release {digest} is not known here")
             if release.digest() != digest:
-                raise ReleaseError(f"{release.name}: its files have changed since the release was checked")
+                raise ReleaseError(f"{release.name}: its files have changed since it was checked")
             settings = self._config.dispatchers[dispatcher.name]
             settings.tmp.mkdir(parents=True, exist_ok=True)
             config = self._config_path(token)
@@ -345,9 +345,9 @@
                 case ["STOP" | "START" as word, name] if name in self._dispatchers:
                     return self._set_stopped(self._dispatchers[name], word == "STOP")
                 case ["STOP" | "START" | "RUN", *_]:
-                    return no_reply("unknown dispatcher or missing arguments")
+                    return no_reply("no such dispatcher here, or words are missing")
         except OSError as error:  # nothing is carried out without its record
-            return no_reply(f"the journal cannot be written: {error}")
+            return no_reply(f"cannot be written down: {error}")
         return no_reply("such call")
 
     def _claim_epoch(self, epoch: int) -> str:
@@ -361,7 +361,9 @@
     def _request_release(self, epoch: int, name: str, digest: str) -> str:
         dispatcher, release = self._dispatchers.get(name), self._releases.get(digest)
         if dispatcher is None or release is None:
-            return no_reply("unknown dispatcher" if dispatcher is None else f"release {digest} is unknown")
+            return no_reply(
+                "no such dispatcher here" if dispatcher is None else f"release {digest} is not known here"
+            )
         if dispatcher.refused and (dispatcher.refused_digest, dispatcher.refused_epoch) == (digest, epoch):
             return no_reply(dispatcher.refused)
         if dispatcher.want != digest:
--- a/heronstall/rollout/figures.py
+++ b/heronstall/rollout/figures.py
@@ -68,14 +68,16 @@
 
     rows = [
         Figure("worth", "share", tolerances["worth"], False, "worth not served in time"),
-        Figure("attempts", "log", log_tolerance("attempts"), True, "attempts per job"),
-        Figure("connects", "log", log_tolerance("connects"), True, "connections opened per job"),
-        Figure("probes", "log", log_tolerance("probes"), True, "probes per job"),
-        Figure("cpu", "log", log_tolerance("cpu"), False, "CPU time per job"),
+        Figure("attempts", "log", log_tolerance("attempts"), True, "attempts a job"),
+        Figure("connects", "log", log_tolerance("connects"), True, "connections opened a job"),
+        Figure("probes", "log", log_tolerance("probes"), True, "probes a job"),
+        Figure("cpu", "log", log_tolerance("cpu"), False, "CPU a job"),
         Figure("memory", "log", log_tolerance("memory"), False, "memory"),
         Figure("loop", "log", log_tolerance("loop"), False, "delay of its loop, 99th percentile"),
         # Detects a dispatcher that reports ready but cannot be reached by clients.
-        Figure("traffic", "log", -math.log(max(1e-6, 1 - tolerances["traffic"])), False, "loss of traffic"),
+        Figure(
+            "traffic", "log", -math.log(max(1e-6, 1 - tolerances["traffic"])), False, "jobs that stay away"
+        ),
     ]
     for name in names:
         rows += [
@@ -85,7 +87,7 @@
                 "share",
                 tolerances["failed"],
                 False,
-                f"{name} failed or abandoned by clients",
+                f"{name} failed or given up by clients",
             ),
             Figure(f"late.{name}", "share", tolerances["late"], False, f"{name} served late"),
             Figure(f"p50.{name}", "log", log_tolerance("latency"), False, f"{name}, median"),
--- a/heronstall/rollout/machine.py
+++ b/heronstall/rollout/machine.py
@@ -143,7 +143,7 @@
                 else self._changing_steps(fleet)
             )
         if gap:
-            return [("calm", {"text": "no observation for too long: the watch is restarted"})]
+            return [("calm", {"text": "nobody looked for a while: the watch begins anew"})]
         return self._watching_steps(fleet)
 
     def _operator_steps(self) -> list[Step]:
@@ -180,11 +180,14 @@
                 reason = f"{name} crashed with the new release: {observation.last_exit}"
                 return [("back", {"reason": reason, "by": "crash"})]
             if observation.guard_alarms > 0 and observation.digest == self.new_digest:
-                reason = f"{name}: its safety guards prevented {observation.guard_alarms} rule violations"
+                reason = f"{name}: its own guards met a rule about to break, {observation.guard_alarms} times"
                 return [("back", {"reason": reason, "by": "rule"})]
             if observation.losses > exit_counts["lost"]:
                 if sum(state.stage_losses.values()) + 1 >= LOSSES_TO_ROLL_BACK:
-                    reason = f"{name} was lost ({observation.last_exit}), the second loss in this stage"
+                    reason = (
+                        f"{name} was lost ({observation.last_exit}),"
+                        " the second in this stage: no chance any more"
+                    )
                     return [("back", {"reason": reason, "by": "crash"})]
                 return [
                     (
@@ -236,9 +239,9 @@
             self._footprint_at = fleet.at
             return [("trouble", {"text": description})]
         if state.trouble and not description:
-            return [("calm", {"text": "the fleet is back at its level before the rollout"})]
+            return [("calm", {"text": "the fleet does as before the rollout again"})]
         if state.trouble and fleet.at - state.trouble_since > self.plan.degradation_timeout:
-            description = f"the fleet is degraded and does not recover: {state.trouble}"
+            description = f"the fleet does worse than before, and it does not pass: {state.trouble}"
             return [("back", {"reason": description, "by": "trouble"})]
         if state.trouble:
             return self._footprint_steps(fleet)
@@ -254,7 +257,7 @@
         harmful = judge.footprint(points, state.changed, footprint_alpha(self.plan, state.footprint_looks))
         steps: list[Step] = [("look", {"foot": True, "bad": [f.text() for f in harmful]})]
         if harmful:
-            reason = f"during a degradation ({state.trouble}) the new release adds load: {harmful[0].text()}"
+            reason = f"in a trouble ({state.trouble}) new sends more than old: {harmful[0].text()}"
             steps.append(("back", {"reason": reason, "by": "footprint"}))
         return steps
 
@@ -332,8 +335,8 @@
         if state.verdict == "harm":
             return [("back", {"reason": look["harm"][0], "by": "judge", "all": look["harm"]})]
         if state.verdict == "short":
-            shortage = f"fewer than {self.plan.min_jobs} jobs to compare for {', '.join(look['short'])}"
-            return [("hold", {"reason": f"too little data: {shortage}"})]
+            shortage = f"fewer than {self.plan.min_jobs} jobs to compare of {', '.join(look['short'])}"
+            return [("hold", {"reason": f"too little to tell: {shortage}"})]
         return [("good", {"stage": state.stage, "jobs": look["jobs"]})]
 
     def _next_stage_steps(self) -> list[Step]:
@@ -346,7 +349,7 @@
             self._unreachable_since = fleet.at
         if fleet.at - self._unreachable_since <= self.plan.degradation_timeout:
             return []
-        return [("hold", {"reason": f"unreachable: {', '.join(sorted(names))}"})]
+        return [("hold", {"reason": f"not heard: {', '.join(sorted(names))}"})]
 
     def _collect_points(self, fleet: FleetObservation) -> tuple[Judge, dict[str, dict[str, Any]]]:
         state = self.state
@@ -372,7 +375,7 @@
             if observation.digest == original_digest and observation.state == "serving":
                 return [("returned", {"dispatcher": name})]
             if self._has_refused(observation, original_digest):
-                return [("hold", {"reason": f"{name} did not roll back: {observation.refusal_reason}"})]
+                return [("hold", {"reason": f"{name} does not go back: {observation.refusal_reason}"})]
         pending = state.pending_rollback
         selected = select_changes(pending, state.rolling_back, state.placements, self.plan.max_unavailable)
         if selected:
@@ -403,7 +406,7 @@
 
 def describe_state(state: State) -> Iterator[str]:
     """Yields the state of a rollout in a few lines for operators."""
-    yield f"{state.release or 'not started'}: {state.phase}, epoch {state.epoch}"
+    yield f"{state.release or 'nothing begun'}: {state.phase}, epoch {state.epoch}"
     if state.placements:
         changed = len([n for n in state.changed if n not in state.rolled_back])
         yield f"  {changed} of {len(state.placements)} dispatchers run the new release"
