--- a/heronstall/keeper/controller.py
+++ b/heronstall/keeper/controller.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 from heronstall import events
-from heronstall.events import say
+from heronstall.events import log_event
 from heronstall.keeper import calls
 from heronstall.keeper.calls import CallError, CallServer, Reply, no_reply, rows_reply, yes_reply
 from heronstall.keeper.log import JournalFile, unix_us
@@ -145,7 +145,7 @@
         details = {
             key: str(fields[key]) for key in ("dispatcher", "reason", "text", "stage") if key in fields
         }
-        say(log, events.ROLLOUT, step=kind, told=" ".join(f"{k}={v}" for k, v in details.items()))
+        log_event(log, events.ROLLOUT_STEP, step=kind, told=" ".join(f"{k}={v}" for k, v in details.items()))
 
     async def run(self, commands: tuple[str, ...] = ()) -> None:
         """Carries the rollout to its end; `commands` are the operator's commands at the start.
--- a/heronstall/keeper/supervisor.py
+++ b/heronstall/keeper/supervisor.py
@@ -19,7 +19,7 @@
 
 from heronstall import events
 from heronstall.config import ConfigError, configuration, restart_only_changes
-from heronstall.events import say
+from heronstall.events import log_event
 from heronstall.keeper import calls, processes
 from heronstall.keeper.calls import CallError, CallServer, no_reply, rows_reply, yes_reply
 from heronstall.keeper.dispatcher_state import Action, DispatcherState, ExitCause, Limits, Process
@@ -144,8 +144,12 @@
         server = CallServer(self._handle_call)
         address = await server.open(self._config.address)
         self._adopt()
-        say(
-            log, events.KEEPING, keeper=self._config.name, address=address, dispatchers=len(self._dispatchers)
+        log_event(
+            log,
+            events.SUPERVISOR_STARTED,
+            keeper=self._config.name,
+            address=address,
+            dispatchers=len(self._dispatchers),
         )
         try:
             while not done.is_set():
@@ -166,7 +170,7 @@
             for task in self._tasks:
                 task.cancel()
             self._journal.close()
-            say(log, events.KEPT, keeper=self._config.name)
+            log_event(log, events.SUPERVISOR_STOPPED, keeper=self._config.name)
 
     async def _request_initial_release(self) -> None:
         if all(dispatcher.want for dispatcher in self._dispatchers.values()):
@@ -193,7 +197,9 @@
                     continue
                 if pid != process.pid:  # the former supervisor was killed before it recorded the pid
                     self._write("born", d=dispatcher.name, token=process.token, pid=pid)
-                say(log, events.ADOPTED, dispatcher=dispatcher.name, pid=pid, release=process.digest)
+                log_event(
+                    log, events.PROCESS_ADOPTED, dispatcher=dispatcher.name, pid=pid, release=process.digest
+                )
                 self._watch_exit(dispatcher, process.token, pid)
                 if process.told:  # sent again, in case it was recorded and not sent
                     processes.send_signal(pid, getattr(signal, f"SIG{process.told}"))
@@ -204,7 +210,13 @@
             try:
                 self._perform(dispatcher, action)
             except (OSError, ReleaseError) as error:
-                say(log, events.KEEP_FAILED, dispatcher=dispatcher.name, what=action.kind, reason=str(error))
+                log_event(
+                    log,
+                    events.PROCESS_ACTION_FAILED,
+                    dispatcher=dispatcher.name,
+                    what=action.kind,
+                    reason=str(error),
+                )
                 self._retry_at[dispatcher.name] = now + RETRY_DELAY_US
         for process in dispatcher.processes:
             if not process.yes and process.pid and process.token not in self._probing:
@@ -226,9 +238,9 @@
             process = dispatcher.process(action.fields["token"])
             if process is not None and process.pid:
                 number = getattr(signal, f"SIG{process.told}")
-                say(
+                log_event(
                     log,
-                    events.TOLD,
+                    events.PROCESS_SIGNALLED,
                     dispatcher=dispatcher.name,
                     pid=process.pid,
                     signal=process.told,
@@ -265,8 +277,13 @@
             self._record_exit(dispatcher, token, f"it could not be started: {error}", "own")
             return
         self._write("born", d=dispatcher.name, token=token, pid=pid)
-        say(
-            log, events.KEEP_STARTED, dispatcher=dispatcher.name, pid=pid, release=release.name, digest=digest
+        log_event(
+            log,
+            events.PROCESS_STARTED,
+            dispatcher=dispatcher.name,
+            pid=pid,
+            release=release.name,
+            digest=digest,
         )
         self._watch_exit(dispatcher, token, pid)
 
@@ -281,16 +298,20 @@
         if process is None:
             return
         cause: ExitCause = "asked" if process.told and fault != "never" else fault
-        say(log, events.KEEP_ENDED, dispatcher=dispatcher.name, pid=process.pid, how=how, fault=cause)
+        log_event(
+            log, events.PROCESS_ENDED, dispatcher=dispatcher.name, pid=process.pid, how=how, fault=cause
+        )
         try:
             self._write("ended", d=dispatcher.name, token=token, how=how, fault=cause)
         except OSError as error:
-            say(log, events.KEEP_FAILED, dispatcher=dispatcher.name, what="ended", reason=str(error))
+            log_event(
+                log, events.PROCESS_ACTION_FAILED, dispatcher=dispatcher.name, what="ended", reason=str(error)
+            )
             loop = asyncio.get_running_loop()
             loop.call_later(RETRY_DELAY_US / SECOND, self._record_exit, dispatcher, token, how, fault)
             return
         if dispatcher.is_crash_looping(unix_us()):
-            say(log, events.LOOPING, dispatcher=dispatcher.name, ends=len(dispatcher.ends))
+            log_event(log, events.CRASH_LOOP, dispatcher=dispatcher.name, ends=len(dispatcher.ends))
         self._config_path(token).unlink(missing_ok=True)
         self._wakeup.set()
 
@@ -303,7 +324,7 @@
         self._config_path(process.token).write_text(json.dumps(config), encoding="utf-8")
         processes.send_signal(process.pid, signal.SIGHUP)
         self._write("hupped", d=dispatcher.name, digest=digest)
-        say(log, events.KEEP_RELOADED, dispatcher=dispatcher.name, pid=process.pid, digest=digest)
+        log_event(log, events.PROCESS_RELOADED, dispatcher=dispatcher.name, pid=process.pid, digest=digest)
 
     async def _probe_readiness(self, dispatcher: DispatcherState, process: Process) -> None:
         """Sends one PING to the admin endpoint of a started process."""
@@ -318,7 +339,13 @@
                 and not process.told
             ):
                 self._write("yes", d=dispatcher.name, token=process.token)
-                say(log, events.KEEP_YES, dispatcher=dispatcher.name, pid=process.pid, digest=process.digest)
+                log_event(
+                    log,
+                    events.PROCESS_READY,
+                    dispatcher=dispatcher.name,
+                    pid=process.pid,
+                    digest=process.digest,
+                )
                 self._wakeup.set()
         except OSError:  # includes CallError: not ready yet, or the journal cannot be written
             pass
