--- a/heronstall/report/rollout.py
+++ b/heronstall/report/rollout.py
@@ -81,7 +81,7 @@
 
 def rollout_page(plan: Plan, records: list[dict[str, Any]]) -> str:
     """Returns the HTML page; it references no external resources."""
-    state = State.of(records)
+    state = State.from_records(records)
     steps = []
     for r in records:
         if r["kind"] in UNLISTED_KINDS and not r.get("foot"):
@@ -117,7 +117,8 @@
     return (
         '<!doctype html>\n<html lang="en"><head><meta charset="utf-8">'
         f"<title>heronstall: rollout {escape(plan.name)}</title><style>{STYLE}</style></head><body>"
-        f"<h1>Rollout {escape(plan.name)}</h1><p>{escape(state.release)}, {len(state.homes)} dispatchers."
+        f"<h1>Rollout {escape(plan.name)}</h1><p>{escape(state.release)},"
+        f" {len(state.placements)} dispatchers."
         f' <b class="{status_class}">{state.phase}{reason_text}.</b></p>'
         f"<h2>Steps</h2><table>{''.join(steps)}</table>{''.join(watch_sections)}"
         f"<h2>Stages</h2><table>{stages}</table></body></html>\n"
--- a/tests/cutting.py
+++ b/tests/cutting.py
@@ -14,10 +14,10 @@
 
 from heronstall.cli import main
 from heronstall.keeper import log
-from heronstall.rollout.journal import Record, pack
+from heronstall.rollout.journal import Record, encode_record
 
 FOLDER = Path(sys.argv[1])
-original_append = log.Log.append
+original_append = log.JournalFile.append
 
 
 def first_time(name: str) -> bool:
@@ -29,13 +29,13 @@
     return True
 
 
-def append_and_die(self: log.Log, kind: str, fields: Record) -> Record:
+def append_and_die(self: log.JournalFile, kind: str, fields: Record) -> Record:
     """Writes a record, or half of it, and kills the process."""
     step = "-".join(str(fields.get(key, "")) for key in ("d", "dispatcher", "stage", "look"))
     name = f"{self.path.stem}-{kind}-{step}".replace("/", "_")
     index = len(self.records)
     if index % 3 == 1 and first_time(f"{name}-half"):
-        line = pack(index, log.unix_us(), kind, fields)
+        line = encode_record(index, log.unix_us(), kind, fields)
         os.write(self._fd, line[: len(line) // 2])
         os.kill(os.getpid(), signal.SIGKILL)
     record = original_append(self, kind, fields)
@@ -44,6 +44,6 @@
     return record
 
 
-log.Log.append = append_and_die  # type: ignore[method-assign]
+log.JournalFile.append = append_and_die  # type: ignore[method-assign]
 del sys.argv[1]
 main()
