--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -33,7 +33,7 @@
 
 from heronstall.cli.common import read_scenario
 from heronstall.fleet import boundary as b
-from heronstall.fleet.desk import Desk
+from heronstall.fleet.list_service import ListService
 from heronstall.lab.nodes import DEFAULT, Nodes
 from heronstall.lab.peered import PeeredNodes
 from heronstall.lab.run import Run
@@ -72,7 +72,7 @@
 
 def _play(way: Way, n: int, speed: float, seed: int) -> tuple[float, float, float, float]:
     """Calls a dispatcher, the part turned away, the median and the last news in seconds."""
-    draw, desk = random.Random(seed), Desk(speed, PLACES)
+    draw, desk = random.Random(seed), ListService(speed, PLACES)
     begun = [draw.random() * STARTS for _ in range(n)]
     horizon = [max(0.2, way.spread * n)] * n
     tries = [0] * n
@@ -81,7 +81,7 @@
     news = []
     while heap:
         now, k = heapq.heappop(heap)
-        ready = desk.ask(round(now * 1e6), k)
+        ready = desk.request(round(now * 1e6), k)
         if ready is not None:
             news.append(ready / 1e6)
             continue
@@ -94,8 +94,8 @@
         tries[k] += 1
         heapq.heappush(heap, (now + wait, k))
     news.sort()
-    turned = sum(row.answered is None for row in desk.asked)
-    return len(desk.asked) / n, turned / len(desk.asked), news[n // 2], news[-1]
+    turned = sum(row.answered is None for row in desk.requests)
+    return len(desk.requests) / n, turned / len(desk.requests), news[n // 2], news[-1]
 
 
 def asking(n: int, seeds: int) -> None:
@@ -116,11 +116,11 @@
     """The line of `peers`."""
     rows = []
     for seed in range(seeds):
-        made = Watched(seed, Desk(lists, PLACES), packed=False)
+        made = Watched(seed, ListService(lists, PLACES), packed=False)
         made.start_all(n, over=round(STARTS * 1e6))
         made.run(15_000_000)
         news = sorted(made.news.values())
-        turned = sum(row.answered is None for row in made.desk.asked)
+        turned = sum(row.answered is None for row in made.desk.requests)
         rows.append((len(made.calls), turned, news[len(news) // 2] / 1e6, news[-1] / 1e6, n - len(news)))
     calls, turned, median, last, without = (statistics.median(column) for column in zip(*rows, strict=True))
     print(
@@ -134,7 +134,7 @@
     """The line of `obeyed`."""
     rows = []
     for seed in range(seeds):
-        made = Watched(seed, Desk(lists, PLACES), packed=False)
+        made = Watched(seed, ListService(lists, PLACES), packed=False)
         made.start_all(n, over=round(STARTS * 1e6))
         made.run(25_000_000)
         calls = len(made.calls)
--- a/heronstall/fleet/__init__.py
+++ b/heronstall/fleet/__init__.py
@@ -1,6 +1,7 @@
-"""The physics of what heronstall serves: backend servers, ways, discovery, clients and their troubles.
+"""Simulates the environment of a dispatcher: backend servers, network, discovery, clients and their failures.
 
-No clock, no sockets, no decisions: everything is driven through a `Timeline`, which `model` gives a heap of
-virtual times and `lab` a real loop. The audit of the rules and the score are here too; they see nothing but
-what crosses the boundary between dispatchers and the rest. All times are whole microseconds.
+The package has no clock and no sockets and makes no dispatch decisions. A `Timeline` drives it: `model`
+supplies one backed by a heap of virtual times, `lab` one backed by a real event loop. The audit of the rules
+and the score are here too; they only see what crosses the boundary between dispatchers and their environment.
+All times are integer microseconds.
 """
--- a/heronstall/fleet/boundary.py
+++ b/heronstall/fleet/boundary.py
@@ -1,7 +1,7 @@
-"""What crosses the boundary between dispatchers and the rest, as the rest sees it: all the audit gets.
+"""Events at the boundary between dispatchers and their environment: the only input of the audit.
 
-Moments are those of the run's clock, in microseconds. On sockets, a write counts when the far end's kernel
-has it, before any emulated way.
+Events are recorded as the environment observes them, with times of the run's clock in microseconds. On
+sockets, a write is recorded when the receiving kernel has it, before any emulated network latency.
 """
 
 from __future__ import annotations
@@ -12,16 +12,16 @@
 
 
 class NodeUp(NamedTuple):
-    """A dispatcher has been started."""
+    """A dispatcher was started."""
 
     at: int
     node: int
 
 
 class NodeDown(NamedTuple):
-    """A dispatcher has ended. `asked_at`: when it was asked to (SIGTERM); None: it was killed or crashed.
+    """A dispatcher ended. `asked_at`: the time of its SIGTERM; None: it was killed or crashed.
 
-    `crashed`: it ended by itself though nobody asked it to.
+    `crashed`: it ended by itself without having been asked to.
     """
 
     at: int
@@ -31,7 +31,7 @@
 
 
 class Taken(NamedTuple):
-    """A client's request is on the dispatcher's machine, whole."""
+    """A client's request has arrived completely on the dispatcher's machine."""
 
     at: int
     node: int
@@ -41,7 +41,10 @@
 
 
 class Answered(NamedTuple):
-    """A client has a whole answer. `own`: a 200 holds a result that a server made for this request."""
+    """A client has received a complete answer.
+
+    `own`: a 200 carries a result that a server made for this request.
+    """
 
     at: int
     node: int
@@ -51,7 +54,7 @@
 
 
 class Unanswered(NamedTuple):
-    """The dispatcher ended the connection without a whole answer."""
+    """The dispatcher closed the connection without a complete answer."""
 
     at: int
     node: int
@@ -59,7 +62,7 @@
 
 
 class Recalled(NamedTuple):
-    """A close crossed a request that the client takes for unread: it will send it once more."""
+    """The connection closed during a request; the client assumes it was not read and resends it."""
 
     at: int
     node: int
@@ -67,7 +70,7 @@
 
 
 class Left(NamedTuple):
-    """The client has left."""
+    """The client closed its connection before an answer."""
 
     at: int
     node: int
@@ -75,7 +78,7 @@
 
 
 class Written(NamedTuple):
-    """The first byte of an attempt has left the dispatcher."""
+    """The dispatcher sent the first byte of an attempt."""
 
     at: int
     node: int
@@ -85,7 +88,7 @@
 
 
 class Arrived(NamedTuple):
-    """The last byte of an attempt has: it may run from now on."""
+    """The last byte of an attempt arrived at the server; it may run from now on."""
 
     at: int
     node: int
@@ -95,7 +98,7 @@
 
 
 class Over(NamedTuple):
-    """An attempt is over, as the dispatcher's machine saw it."""
+    """An attempt ended, as observed on the dispatcher's machine."""
 
     at: int
     node: int
@@ -106,17 +109,17 @@
 
 
 class ToldOf(NamedTuple):
-    """Discovery has written a server's state to a dispatcher."""
+    """Discovery reported a server's state to a dispatcher."""
 
     at: int
     node: int
     server: int
     state: str
-    boot_ms: int = 0  # which of the server's processes, by the moment of its start; 0: not told
+    boot_ms: int = 0  # start time that identifies the server's process; 0: not reported
 
 
 class Fell(NamedTuple):
-    """A cold server was pushed over by this much work of each dispatcher, in the last window."""
+    """A cold server failed from overload. `pushed`: the work of each dispatcher in the last window."""
 
     at: int
     server: int
@@ -125,7 +128,7 @@
 
 
 class Probed(NamedTuple):
-    """A dispatcher has probed a server."""
+    """A dispatcher probed a server."""
 
     at: int
     node: int
--- a/heronstall/fleet/fleet.py
+++ b/heronstall/fleet/fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of one scenario and seed: every part made and wired, ready for whoever brings the timeline."""
+"""Builds the simulated fleet of a scenario and seed, to be driven by a given timeline."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 
 import numpy as np
 
-from heronstall.fleet.caller import Callers, Front
-from heronstall.fleet.roster import Endpoint, Roster
-from heronstall.fleet.server import Repeats, Server
+from heronstall.fleet.client import ClientBalancer, ClientRetries
+from heronstall.fleet.discovery import DiscoveryService, Endpoint
+from heronstall.fleet.server import RepeatFilter, Server
 from heronstall.fleet.spec import Scenario
 from heronstall.fleet.streams import Streams
 from heronstall.fleet.timeline import Timeline
 from heronstall.fleet.traffic import Request, mean_work, quotas, requests
-from heronstall.fleet.troubles import Dispatchers, Troubles
-from heronstall.fleet.ways import Ways
+from heronstall.fleet.troubles import Dispatchers, TroubleSchedule
+from heronstall.fleet.zone_network import ZoneNetwork
 
 
 def kinds_of_servers(scenario: Scenario, streams: Streams) -> list[int]:
-    """The kind of each server: as near the kinds' shares as whole servers allow, in a drawn order."""
+    """Returns the kind of each server, in random order, as close to the kinds' shares as possible."""
     shares = np.asarray([k.share for k in scenario.kinds])
     count = scenario.servers
     edges = np.round(np.cumsum(shares) / shares.sum() * count).astype(int)
@@ -27,38 +27,43 @@
 
 
 def zones_of_servers(scenario: Scenario) -> list[int]:
-    """The zone of each server."""
+    """Returns the zone of each server."""
     return [z for z, zone in enumerate(scenario.zones) for _ in range(zone.servers)]
 
 
 def zones_of_dispatchers(scenario: Scenario) -> list[int]:
-    """The zone of each dispatcher."""
+    """Returns the zone of each dispatcher."""
     return [z for z, zone in enumerate(scenario.zones) for _ in range(zone.dispatchers)]
 
 
 class Plan:
-    """What is known of a run before it starts: traffic, quotas, clients. Needs no timeline."""
+    """The parts of a run that are determined before it starts: traffic, quotas and clients.
+
+    Needs no timeline.
+    """
 
     def __init__(self, scenario: Scenario, seed: int) -> None:
         self.scenario, self.seed = scenario, seed
         self.streams = streams = Streams(seed)
         kinds = kinds_of_servers(scenario, streams)
-        speeds = [streams.figure(scenario.kinds[k].speed, "server", n, "speed") for n, k in enumerate(kinds)]
+        speeds = [
+            streams.draw_from(scenario.kinds[k].speed, "server", n, "speed") for n, k in enumerate(kinds)
+        ]
         self.capacity = sum(speed * scenario.kinds[k].cores for speed, k in zip(speeds, kinds, strict=True))
         self.means = mean_work(scenario, streams)
         self.quota = quotas(scenario, self.capacity, self.means)
         self.requests: list[Request] = requests(scenario, streams, self.quota)
-        self.callers = Callers(scenario, streams)
-        self.front = Front(scenario, streams)
+        self.client_retries = ClientRetries(scenario, streams)
+        self.client_balancer = ClientBalancer(scenario, streams)
 
     @property
     def load(self) -> float:
-        """The work asked for, as a part of what the warm fleet can do in the run's time."""
+        """Returns the offered work relative to what the warm fleet can do during the run."""
         return sum(r.work for r in self.requests) / (self.capacity * self.scenario.length)
 
 
 class Fleet:
-    """The servers' side of a run."""
+    """The server side of a run: servers, network, discovery and troubles."""
 
     def __init__(
         self,
@@ -70,21 +75,21 @@
     ) -> None:
         streams = Streams(seed)
         self.scenario = scenario
-        self.ways = Ways(scenario, streams, timeline)
-        repeats = [Repeats() for _ in scenario.zones]
+        self.network = ZoneNetwork(scenario, streams, timeline)
+        repeats = [RepeatFilter() for _ in scenario.zones]
         kinds, zones = kinds_of_servers(scenario, streams), zones_of_servers(scenario)
         self.servers = [
             Server(scenario, streams, timeline, n, zone, kind, repeats[zone])
             for n, (zone, kind) in enumerate(zip(zones, kinds, strict=True))
         ]
-        self.roster = Roster(scenario, streams, timeline, self.servers, endpoint)
-        self.troubles = Troubles(
-            scenario, streams, timeline, self.servers, self.ways, self.roster, dispatchers
+        self.discovery = DiscoveryService(scenario, streams, timeline, self.servers, endpoint)
+        self.troubles = TroubleSchedule(
+            scenario, streams, timeline, self.servers, self.network, self.discovery, dispatchers
         )
 
 
 def settings_of(plan: Plan, node: int) -> dict[str, Any]:
-    """What the platform tells a dispatcher of this site: the settings object, in its names and units."""
+    """Returns the settings object of a dispatcher, with the names and units of the platform."""
     s = plan.scenario
     zones = zones_of_dispatchers(s)
     return {
@@ -152,5 +157,5 @@
 
 
 def report_object(report: Any) -> dict[str, float]:
-    """A load report by its names on the sockets."""
+    """Returns a load report with its field names on the wire."""
     return {"eps": report.eps, "inflight": report.inflight, "util": report.util, "x0": report.free}
--- a/heronstall/fleet/ledger.py
+++ b/heronstall/fleet/ledger.py
@@ -1,4 +1,4 @@
-"""What a run comes to: fates of requests and costs in, one record out, the same from model and lab."""
+"""Builds the result record of a run from request outcomes and costs, identically for model and lab."""
 
 from __future__ import annotations
 
@@ -8,67 +8,74 @@
 
 from heronstall.fleet.audit import Breach
 from heronstall.fleet.fleet import Plan, zones_of_dispatchers, zones_of_servers
-from heronstall.fleet.score import Costs, Fate, score
+from heronstall.fleet.score import Costs, RequestOutcome, score
 
-LOWEST, HIGHEST, DIGITS = 100, 600_000_000, 3  # microseconds that the latency histograms tell apart
+MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS = (
+    100,
+    600_000_000,
+    3,
+)  # range (microseconds) and resolution of the latency histograms
 PERCENTILES = (50.0, 90.0, 99.0)
 
 
-class Fates:
-    """What became of every request, try by try. Latency counts from when a request was due, not sent."""
+class RequestOutcomes:
+    """The outcomes of all requests.
+
+    Latency counts from the time a request was due, not from when it was sent.
+    """
 
     def __init__(self, plan: Plan) -> None:
         self._plan = plan
-        self.rows = [Fate(r) for r in plan.requests]
+        self.rows = [RequestOutcome(r) for r in plan.requests]
         self.useful = 0.0
 
     def tried(self, number: int) -> None:
-        """A try has begun."""
+        """Records that a try has started."""
         self.rows[number].tries += 1
 
     def served(self, number: int, at: int, by: int) -> None:
-        """The client has the result of a server."""
+        """Records that the client has received the result of a server."""
         fate = self.rows[number]
         if fate.served_at is None:
             fate.served_at, fate.served_by, fate.final_at, fate.last = at, by, at, "served"
             self.useful += fate.request.work
 
     def ended(self, number: int, at: int, last: str) -> None:
-        """The client has given the request up, with this as its last word."""
+        """Records that the client has given up the request with `last` as its final status."""
         fate = self.rows[number]
         if fate.served_at is None:
             fate.final_at, fate.last = at, last
 
     def latencies(self) -> dict[str, dict[str, float]]:
-        """Milliseconds from due to served, by class."""
+        """Returns the number served and latency percentiles in milliseconds for each class."""
         rows: dict[str, dict[str, float]] = {}
         for n, c in enumerate(self._plan.scenario.classes):
-            histogram = HdrHistogram(LOWEST, HIGHEST, DIGITS)
+            histogram = HdrHistogram(MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
             for fate in self.rows:
                 if fate.request.cls == n and fate.served_at is not None:
-                    histogram.record_value(max(LOWEST, fate.served_at - fate.request.at))
-            told = {f"p{p:g}_ms": histogram.get_value_at_percentile(p) / 1000 for p in PERCENTILES}
-            rows[c.name] = {"served": float(histogram.get_total_count()), **told}
+                    histogram.record_value(max(MIN_LATENCY_US, fate.served_at - fate.request.at))
+            summary = {f"p{p:g}_ms": histogram.get_value_at_percentile(p) / 1000 for p in PERCENTILES}
+            rows[c.name] = {"served": float(histogram.get_total_count()), **summary}
         return rows
 
 
 def result(
     kind: str,
     plan: Plan,
-    fates: Fates,
+    fates: RequestOutcomes,
     costs: Costs,
     breaches: list[Breach],
     more: dict[str, Any],
     timing: dict[str, Any],
 ) -> dict[str, Any]:
-    """The record of a run. Only what stands under `timing` may differ between two runs of one seed."""
+    """Returns the record of a run. Only `timing` may differ between two runs with the same seed."""
     s = plan.scenario
-    told = score(s, fates.rows, costs).row()
+    summary = score(s, fates.rows, costs).row()
     return {
         "kind": kind,
         "scenario": s.name,
         "seed": plan.seed,
-        **told,
+        **summary,
         "rules_broken": [b.row() for b in breaches],
         "latency": fates.latencies(),
         "load": round(plan.load, 4),
@@ -82,5 +89,5 @@
 
 
 def zones(plan: Plan) -> tuple[list[int], list[int]]:
-    """The zones of the dispatchers and of the servers."""
+    """Returns the zone of each dispatcher and the zone of each server."""
     return zones_of_dispatchers(plan.scenario), zones_of_servers(plan.scenario)
--- a/heronstall/fleet/score.py
+++ b/heronstall/fleet/score.py
@@ -1,4 +1,4 @@
-"""The score of a run: service by worth less what is priced, as the operators weigh them."""
+"""The score of a run: the weighted service level minus priced costs, with the operators' weights."""
 
 from __future__ import annotations
 
@@ -10,12 +10,15 @@
 from heronstall.fleet.spec import SECOND, Scenario
 from heronstall.fleet.traffic import Request
 
-WINDOW, STEP = 10 * SECOND, SECOND
+WINDOW_US, WINDOW_STEP_US = 10 * SECOND, SECOND
 
 
 @dataclass(slots=True)
-class Fate:
-    """What became of a request, over all its tries. `final_at`: when its client had its last word."""
+class RequestOutcome:
+    """The outcome of a request over all its tries.
+
+    `final_at`: when the client received the result or gave up.
+    """
 
     request: Request
     served_at: int | None = None
@@ -27,10 +30,10 @@
 
 @dataclass(frozen=True)
 class Costs:
-    """What a run used. Work is microseconds at speed 1."""
+    """The resources that a run used. Work is in microseconds at speed 1."""
 
-    worked: float  # by all servers, on jobs
-    useful: float  # of it, for the answers that clients got
+    worked: float  # work done on jobs by all servers
+    useful: float  # the part of it that led to answers received by clients
     attempts: int
     crossings: int
     probes: int
@@ -39,7 +42,7 @@
 
 @dataclass(frozen=True)
 class Score:
-    """The figures of a run, each between 0 and 1 unless it says otherwise."""
+    """The score and its components; shares of worth are between 0 and 1."""
 
     score: float
     service: float
@@ -49,9 +52,9 @@
     worst_tenant: float
     classes: dict[str, float]
     tenants: dict[str, float]
-    waste: float  # work that served no answer, as a part of what was asked for
-    crossings: float  # by first try
-    probes: float  # by first try
+    waste: float  # work that led to no received answer, relative to the offered work
+    crossings: float  # per first try
+    probes: float  # per first try
     late_fail: float
     served: int
     refused: int
@@ -59,10 +62,10 @@
     requests: int
     tries: int
     attempts: int
-    timeline: list[dict[str, float]]  # second by second
+    timeline: list[dict[str, float]]  # one entry per second
 
     def row(self) -> dict[str, Any]:
-        """As plain values, rounded so that two machines agree."""
+        """Returns the fields as plain values, rounded so that results agree between machines."""
         named = {name: getattr(self, name) for name in self.__dataclass_fields__}
         return _rounded(named)  # type: ignore[no-any-return]
 
@@ -75,13 +78,16 @@
     return [_rounded(v) for v in value] if isinstance(value, list) else value
 
 
-def _part(worth: np.ndarray, good: np.ndarray, mask: np.ndarray) -> float:
+def _worth_share(worth: np.ndarray, good: np.ndarray, mask: np.ndarray) -> float:
     asked = float(worth[mask].sum())
     return float(good[mask].sum()) / asked if asked > 0.0 else 1.0
 
 
-def score(scenario: Scenario, fates: list[Fate], costs: Costs) -> Score:
-    """Weigh a run. A client's retries belong to its first try; what came in the warm-up does not count."""
+def score(scenario: Scenario, fates: list[RequestOutcome], costs: Costs) -> Score:
+    """Scores a run.
+
+    Retries belong to their first try; the service level ignores requests due in the warm-up.
+    """
     counted = [f for f in fates if f.request.at >= scenario.warm]
     at = np.asarray([f.request.at for f in counted], dtype=np.int64)
     worth = np.asarray([f.request.worth for f in counted])
@@ -90,22 +96,26 @@
     )
     good = worth * in_time
     every = np.ones(len(counted), dtype=bool)
-    whole = _part(worth, good, every)
+    whole = _worth_share(worth, good, every)
     windows = [
-        _part(worth, good, (at >= start) & (at < start + WINDOW))
-        for start in range(scenario.warm, max(scenario.warm + 1, scenario.length - WINDOW + 1), STEP)
+        _worth_share(worth, good, (at >= start) & (at < start + WINDOW_US))
+        for start in range(
+            scenario.warm, max(scenario.warm + 1, scenario.length - WINDOW_US + 1), WINDOW_STEP_US
+        )
     ]
     cls = np.asarray([f.request.cls for f in counted], dtype=np.int64)
     tenant = np.asarray([f.request.tenant for f in counted], dtype=np.int64)
     within = np.asarray([f.request.within for f in counted], dtype=bool)
-    classes = {c.name: _part(worth, good, cls == n) for n, c in enumerate(scenario.classes)}
-    tenants = {t.name: _part(worth, good, (tenant == n) & within) for n, t in enumerate(scenario.tenants)}
+    classes = {c.name: _worth_share(worth, good, cls == n) for n, c in enumerate(scenario.classes)}
+    tenants = {
+        t.name: _worth_share(worth, good, (tenant == n) & within) for n, t in enumerate(scenario.tenants)
+    }
     parts = (whole, min(windows, default=whole), min(classes.values()), min(tenants.values(), default=whole))
     service = sum(weight * part for weight, part in zip(scenario.goal, parts, strict=True))
     offered = sum(f.request.work for f in fates) or 1.0
     waste = max(0.0, costs.worked - costs.useful) / offered
-    late = np.asarray([_late_fail(f) for f in counted], dtype=bool)
-    late_fail = _part(worth, worth * late, every) if counted else 0.0
+    late = np.asarray([_failed_late(f) for f in counted], dtype=bool)
+    late_fail = _worth_share(worth, worth * late, every) if counted else 0.0
     first = max(1, len(fates))
     p = scenario.prices
     priced = p["waste"] * waste + p["cross"] * costs.crossings / first
@@ -129,17 +139,17 @@
         requests=len(fates),
         tries=sum(f.tries for f in fates),
         attempts=costs.attempts,
-        timeline=_seconds(scenario, at, worth, good),
+        timeline=_per_second(scenario, at, worth, good),
     )
 
 
-def _late_fail(fate: Fate) -> bool:
+def _failed_late(fate: RequestOutcome) -> bool:
     if fate.served_at is not None:
         return False
     return fate.final_at is None or fate.final_at > fate.request.aim_at
 
 
-def _seconds(
+def _per_second(
     scenario: Scenario, at: np.ndarray, worth: np.ndarray, good: np.ndarray
 ) -> list[dict[str, float]]:
     rows = []
--- a/heronstall/fleet/timeline.py
+++ b/heronstall/fleet/timeline.py
@@ -1,4 +1,4 @@
-"""What drives the fleet: a clock to read and moments to be called at."""
+"""The interface that drives the fleet: a clock and scheduled callbacks."""
 
 from __future__ import annotations
 
@@ -7,18 +7,21 @@
 
 
 class Moment(Protocol):
-    """A call to come."""
+    """A scheduled callback."""
 
     def cancel(self) -> None:
-        """Have it not come."""
+        """Cancels the callback."""
 
 
 class Timeline(Protocol):
-    """Time in whole microseconds from the run's start; it never goes back."""
+    """Time in integer microseconds since the start of the run; it never decreases."""
 
     @property
     def now(self) -> int:
-        """The present."""
+        """Returns the current time."""
 
     def at(self, when: int, call: Callable[[], None]) -> Moment:
-        """Call at `when`, or as soon as possible after it; calls of one moment in the order asked for."""
+        """Schedules `call` for `when` or as soon as possible after it.
+
+        Callbacks scheduled for the same time run in the order in which they were scheduled.
+        """
--- a/heronstall/fleet/traffic.py
+++ b/heronstall/fleet/traffic.py
@@ -1,7 +1,7 @@
-"""Clients' first tries, all drawn ahead: when they come, what they are, where, and how much work they hold.
+"""Clients' first tries, all drawn in advance: their times, classes, tenants, zones and work.
 
-Arrivals do not wait for answers (open loop). Each cause has a stream of its own, so that another rate, say,
-leaves the sizes of the n-th job as they were.
+Arrivals do not wait for answers (open loop). Each cause has a random stream of its own, so that a different
+rate, for example, does not change the work of the n-th job.
 """
 
 from __future__ import annotations
@@ -11,17 +11,17 @@
 import numpy as np
 from numpy.typing import NDArray
 
-from heronstall.fleet.spec import SECOND, JobClass, Scenario, Work
+from heronstall.fleet.spec import SECOND, JobClass, Scenario, WorkDistribution
 from heronstall.fleet.streams import Streams
 
-GRID = 10_000  # microseconds; the rate is taken as even within
-BURST_S = 2.0  # seconds of its quota that a tenant may send at once and stay within its share
+RATE_GRID_US = 10_000  # microseconds; the rate is treated as constant within an interval
+BURST_SECONDS = 2.0  # seconds of its quota that a tenant may send in a burst within its share
 Floats = NDArray[np.float64]
 
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """One first try. Times and work are microseconds, work at speed 1."""
+    """A request's first try. Times and work are in microseconds, work at speed 1."""
 
     number: int
     at: int
@@ -31,15 +31,15 @@
     work: float
     hint: int
     key: str
-    front: float  # between 0 and 1: where the front's draw falls
-    within: bool  # its tenant's share
+    front: float  # between 0 and 1: the draw that selects the dispatcher
+    within: bool  # whether it is within its tenant's share
     worth: float
     aim_at: int
     deadline: int
 
 
 def rate_at(scenario: Scenario, at: Floats) -> Floats:
-    """Arrivals a second at these moments."""
+    """Returns the arrivals per second at the given times."""
     rate = np.full(at.shape, float(scenario.rate))
     for shape in scenario.shapes:
         if shape.kind == "wave":
@@ -53,9 +53,9 @@
 
 
 def arrivals(scenario: Scenario, streams: Streams) -> NDArray[np.int64]:
-    """The moments of all first tries, in order."""
-    grid = np.arange(0, scenario.length + GRID, GRID, dtype=np.float64)
-    mass = np.concatenate(([0.0], np.cumsum(rate_at(scenario, grid[:-1]) * GRID / SECOND)))
+    """Returns the times of all first tries, in order."""
+    grid = np.arange(0, scenario.length + RATE_GRID_US, RATE_GRID_US, dtype=np.float64)
+    mass = np.concatenate(([0.0], np.cumsum(rate_at(scenario, grid[:-1]) * RATE_GRID_US / SECOND)))
     expected = float(mass[-1])
     stream = streams.of("arrivals")
     cv = scenario.bursts
@@ -72,12 +72,12 @@
     return np.asarray(np.interp(unit, mass, grid), dtype=np.int64)
 
 
-def _sizes(work: Work, mean: float, stream: np.random.Generator, size: int) -> Floats:
+def _draw_work(work: WorkDistribution, mean: float, stream: np.random.Generator, size: int) -> Floats:
     if work.kind == "fixed":
         return np.full(size, mean)
     if work.kind == "lognormal":
         return np.asarray(mean * np.exp(work.sigma * stream.standard_normal(size) - work.sigma**2 / 2.0))
-    # Pareto of this mean, cut off: what the cut takes from the mean is put back by scaling.
+    # Truncated Pareto, scaled so that the truncation does not change the mean.
     low = 1.0 - stream.random(size)
     raw = np.minimum(low ** (-1.0 / work.alpha), work.most)
     expected = (work.alpha - work.most ** (1.0 - work.alpha)) / (work.alpha - 1.0)
@@ -85,24 +85,30 @@
 
 
 def mean_work(scenario: Scenario, streams: Streams) -> list[float]:
-    """The mean work of each class's jobs on this seed, in microseconds at speed 1."""
-    return [streams.figure(c.work.mean, "class", c.name, "mean") for c in scenario.classes]
+    """Returns the mean work of each class's jobs for this seed, in microseconds at speed 1."""
+    return [streams.draw_from(c.work.mean, "class", c.name, "mean") for c in scenario.classes]
 
 
-def _pick(weights: list[float], draws: Floats) -> NDArray[np.int64]:
+def _weighted_choice(weights: list[float], draws: Floats) -> NDArray[np.int64]:
     edges = np.cumsum(np.asarray(weights, dtype=np.float64))
     return np.asarray(np.searchsorted(edges / edges[-1], draws, side="right").clip(0, len(weights) - 1))
 
 
 def quotas(scenario: Scenario, capacity: float, means: list[float]) -> list[float]:
-    """Each tenant's requests a second within its share; the fleet does `capacity` work a microsecond."""
+    """Returns each tenant's requests per second within its share.
+
+    `capacity` is the work that the fleet can do per microsecond.
+    """
     shares = np.asarray([c.share for c in scenario.classes])
     mean = float((shares * np.asarray(means)).sum() / shares.sum())
     return [t.share * capacity * SECOND / mean for t in scenario.tenants]
 
 
 def requests(scenario: Scenario, streams: Streams, quota: list[float]) -> list[Request]:
-    """All first tries, in order of time; `quota` is each tenant's requests a second within its share."""
+    """Returns all first tries in order of time.
+
+    `quota` holds each tenant's requests per second within its share.
+    """
     moments = arrivals(scenario, streams)
     count = len(moments)
     classes, tenants = scenario.classes, scenario.tenants
@@ -111,14 +117,14 @@
     def draws(name: str) -> Floats:
         return streams.of("requests", name).random(count)
 
-    zone = _pick([z.traffic for z in scenario.zones], draws("zone"))
-    cls = _pick([c.share for c in classes], draws("class"))
-    tenant = _pick([t.traffic for t in tenants] or [1.0], draws("tenant"))
+    zone = _weighted_choice([z.traffic for z in scenario.zones], draws("zone"))
+    cls = _weighted_choice([c.share for c in classes], draws("class"))
+    tenant = _weighted_choice([t.traffic for t in tenants] or [1.0], draws("tenant"))
     front, tail = draws("front"), draws("tail")
     work, hint = np.empty(count), np.empty(count)
     for n, c in enumerate(classes):
         mine = cls == n
-        work[mine] = _sizes(c.work, means[n], streams.of("requests", "work", c.name), count)[mine]
+        work[mine] = _draw_work(c.work, means[n], streams.of("requests", "work", c.name), count)[mine]
         rough = streams.of("requests", "hint", c.name).standard_normal(count)[mine]
         hint[mine] = work[mine] * np.exp(c.hint * rough - c.hint**2 / 2.0)
     for trouble in scenario.troubles:
@@ -126,7 +132,7 @@
             struck = (moments >= trouble.at) & (moments < trouble.at + trouble.length) & (tail < trouble.part)
             struck &= cls == next(n for n, c in enumerate(classes) if c.name == trouble.cls)
             work[struck] *= trouble.size
-    level = [BURST_S * q for q in quota]
+    level = [BURST_SECONDS * q for q in quota]
     last = [0] * len(quota)
     rows: list[Request] = []
     for n in range(count):
@@ -134,7 +140,7 @@
         within = True
         if quota:
             q = quota[owner]
-            level[owner] = min(BURST_S * q, level[owner] + q * (at - last[owner]) / SECOND)
+            level[owner] = min(BURST_SECONDS * q, level[owner] + q * (at - last[owner]) / SECOND)
             last[owner] = at
             within = level[owner] >= 1.0
             level[owner] -= float(within)
--- a/heronstall/fleet/troubles.py
+++ b/heronstall/fleet/troubles.py
@@ -1,38 +1,38 @@
-"""Troubles on their way: at each one's moment it is done to its targets, at its end undone.
+"""Applies the troubles (simulated failures) of a scenario at their start and reverts them at their end.
 
-Two troubles may meet on one server; each counts for itself, and an end undoes its own beginning alone.
+Troubles may overlap on one server. Each is counted separately, and its end reverts only its own effect.
 """
 
 from __future__ import annotations
 
 from typing import Protocol
 
-from heronstall.fleet.roster import Roster
+from heronstall.fleet.discovery import DiscoveryService
 from heronstall.fleet.server import Server
 from heronstall.fleet.spec import Scenario, Trouble
 from heronstall.fleet.streams import Streams
 from heronstall.fleet.timeline import Timeline
-from heronstall.fleet.ways import Ways
+from heronstall.fleet.zone_network import ZoneNetwork
 
 
 class Dispatchers(Protocol):
-    """What a host lets troubles do to dispatchers and connections."""
+    """The operations that a host offers to apply troubles to dispatchers and connections."""
 
     def crash(self, node: int, back: int) -> None:
-        """Kill it outright; it is started again at `back`."""
+        """Kills the dispatcher; it is started again at `back`."""
 
     def restart(self, node: int, back: int) -> None:
-        """Ask it to end (SIGTERM); it is started again once it has, not before `back`."""
+        """Stops the dispatcher by SIGTERM; it is started again after it has ended, not before `back`."""
 
     def set_resets(self, share: float) -> None:
-        """From now on so large a share of exchanges meets a broken connection; 0 ends it."""
+        """Breaks the connection in this share of exchanges from now on; 0 ends it."""
 
     def set_stale(self, after: int | None) -> None:
-        """From now on connections idle for so long are dead without a word; None ends it."""
+        """Silently breaks connections that were idle for `after` microseconds; None ends it."""
 
 
-def chosen(streams: Streams, what: str, nth: int, part: float, among: list[int]) -> list[int]:
-    """A part of `among`, at least one, drawn for the nth trouble."""
+def draw_targets(streams: Streams, what: str, nth: int, part: float, among: list[int]) -> list[int]:
+    """Draws the given part of `among`, at least one element, for the nth trouble."""
     if not among:
         return []
     size = max(1, min(len(among), round(part * len(among))))
@@ -40,14 +40,14 @@
     return sorted(among[int(n)] for n in picks)
 
 
-def nodes_of(scenario: Scenario, streams: Streams, nth: int, trouble: Trouble) -> list[int]:
-    """The dispatchers that the nth trouble strikes."""
+def target_dispatchers(scenario: Scenario, streams: Streams, nth: int, trouble: Trouble) -> list[int]:
+    """Returns the dispatchers that the nth trouble affects."""
     among = list(range(scenario.dispatchers))
-    return chosen(streams, "dispatchers", nth, trouble.part, among)
+    return draw_targets(streams, "dispatchers", nth, trouble.part, among)
 
 
-class Troubles:
-    """Puts a scenario's troubles on the timeline."""
+class TroubleSchedule:
+    """Schedules the troubles of a scenario on the timeline."""
 
     def __init__(
         self,
@@ -55,64 +55,64 @@
         streams: Streams,
         timeline: Timeline,
         servers: list[Server],
-        ways: Ways,
-        roster: Roster,
+        network: ZoneNetwork,
+        discovery: DiscoveryService,
         dispatchers: Dispatchers | None,
     ) -> None:
-        self._s, self._streams, self._time = scenario, streams, timeline
-        self._servers, self._ways, self._roster, self._hosts = servers, ways, roster, dispatchers
+        self._scenario, self._streams, self._timeline = scenario, streams, timeline
+        self._servers, self._network, self._discovery, self._dispatchers = servers, network, discovery, dispatchers
         self.log: list[tuple[int, str]] = []
         for nth, trouble in enumerate(scenario.troubles):
-            timeline.at(trouble.at, lambda nth=nth, t=trouble: self._begin(nth, t))  # type: ignore[misc]
+            timeline.at(trouble.at, lambda nth=nth, t=trouble: self._begin_trouble(nth, t))  # type: ignore[misc]
 
     def targets(self, nth: int, trouble: Trouble) -> list[Server]:
-        """The servers that the nth trouble strikes."""
-        names = [z.name for z in self._s.zones]
+        """Returns the servers that the nth trouble affects."""
+        names = [z.name for z in self._scenario.zones]
         zone = names.index(trouble.zone) if trouble.zone is not None else None
         among = [s.number for s in self._servers if zone is None or s.zone == zone]
-        return [self._servers[n] for n in chosen(self._streams, "servers", nth, trouble.part, among)]
+        return [self._servers[n] for n in draw_targets(self._streams, "servers", nth, trouble.part, among)]
 
-    def strike(self, trouble: Trouble) -> None:
-        """Begin one now that the scenario does not have; its `at` says nothing."""
-        self._begin(len(self._s.troubles) + len(self.log), trouble)
+    def inject(self, trouble: Trouble) -> None:
+        """Starts a trouble that is not part of the scenario immediately; its `at` is ignored."""
+        self._begin_trouble(len(self._scenario.troubles) + len(self.log), trouble)
 
-    def _begin(self, nth: int, t: Trouble) -> None:
-        now = self._time.now
+    def _begin_trouble(self, nth: int, t: Trouble) -> None:
+        now = self._timeline.now
         end = now + t.length
         self.log.append((now, t.kind))
 
-        def later(call: object) -> None:
-            self._time.at(end, call)  # type: ignore[arg-type]
+        def at_end(call: object) -> None:
+            self._timeline.at(end, call)  # type: ignore[arg-type]
 
         if t.kind == "zone-cut":
-            zone = [z.name for z in self._s.zones].index(t.zone or "")
-            self._ways.cut(zone, True)
-            later(lambda: self._ways.cut(zone, False))
+            zone = [z.name for z in self._scenario.zones].index(t.zone or "")
+            self._network.cut(zone, True)
+            at_end(lambda: self._network.cut(zone, False))
         elif t.kind == "discovery-silent":
-            self._roster.silence(True)
-            later(lambda: self._roster.silence(False))
+            self._discovery.silence(True)
+            at_end(lambda: self._discovery.silence(False))
         elif t.kind in ("dispatcher-crash", "dispatcher-restart", "resets", "stale"):
-            self._to_dispatchers(nth, t, end)
-        elif t.kind != "heavy-tail":  # that one is in the traffic already
+            self._apply_to_dispatchers(nth, t, end)
+        elif t.kind != "heavy-tail":  # heavy tails are already part of the traffic
             for server in self._servers if t.kind in ("cold-fleet", "late-reports") else self.targets(nth, t):
-                self._to_server(server, t, end)
+                self._apply_to_server(server, t, end)
 
-    def _to_dispatchers(self, nth: int, t: Trouble, end: int) -> None:
-        hosts = self._hosts
-        if hosts is None:
+    def _apply_to_dispatchers(self, nth: int, t: Trouble, end: int) -> None:
+        dispatchers = self._dispatchers
+        if dispatchers is None:
             return
         if t.kind == "resets":
-            hosts.set_resets(t.part)
-            self._time.at(end, lambda: hosts.set_resets(0.0))
+            dispatchers.set_resets(t.part)
+            self._timeline.at(end, lambda: dispatchers.set_resets(0.0))
         elif t.kind == "stale":
-            hosts.set_stale(int(t.size * 1_000_000))
-            self._time.at(end, lambda: hosts.set_stale(None))
+            dispatchers.set_stale(int(t.size * 1_000_000))
+            self._timeline.at(end, lambda: dispatchers.set_stale(None))
         else:
-            for node in nodes_of(self._s, self._streams, nth, t):
-                (hosts.crash if t.kind == "dispatcher-crash" else hosts.restart)(node, end)
+            for node in target_dispatchers(self._scenario, self._streams, nth, t):
+                (dispatchers.crash if t.kind == "dispatcher-crash" else dispatchers.restart)(node, end)
 
-    def _to_server(self, server: Server, t: Trouble, end: int) -> None:
-        at = self._time.at
+    def _apply_to_server(self, server: Server, t: Trouble, end: int) -> None:
+        at = self._timeline.at
         if t.kind == "silent":
             server.silence(True, t.stands)
             at(end, lambda: server.silence(False, t.stands))
@@ -137,6 +137,6 @@
 
             def replace() -> None:
                 server.kill()
-                self._time.at(end + t.back, server.start)
+                self._timeline.at(end + t.back, server.start)
 
             at(end, replace)
--- a/heronstall/lab/connection.py
+++ b/heronstall/lab/connection.py
@@ -13,11 +13,11 @@
 import h11
 
 from heronstall.fleet import boundary as b
-from heronstall.fleet.caller import result_of
+from heronstall.fleet.client import result_of
 from heronstall.fleet.fleet import report_object
-from heronstall.fleet.server import LAST, Job, Server, Word
+from heronstall.fleet.server import FINAL_EVENTS, AttemptUpdate, Job, Server
 from heronstall.fleet.spec import Scenario
-from heronstall.fleet.ways import Ways
+from heronstall.fleet.zone_network import ZoneNetwork
 from heronstall.lab.clock import RealTime
 
 LINGER_OFF = struct.pack("ii", 1, 0)  # close with a reset
@@ -28,7 +28,7 @@
 
     scenario: Scenario
     time: RealTime
-    ways: Ways
+    ways: ZoneNetwork
     resets: float
     stale: int | None
 
@@ -189,7 +189,7 @@
 
     # ------------------------------------------------------------------ out
 
-    def _told(self, word: Word) -> None:
+    def _told(self, word: AttemptUpdate) -> None:
         job = self._job
         if not self.gone and job is not None:
             self._carry(False, lambda: self._say(job, word))
@@ -205,27 +205,27 @@
         self._send(h11.Response(status_code=status, headers=headers), h11.Data(data=body), h11.EndOfMessage())
         self._next()
 
-    def _say(self, job: Job, word: Word) -> None:
+    def _say(self, job: Job, word: AttemptUpdate) -> None:
         """One word of the server, as the protocol has it."""
         if self.gone or self._job is not job:
             return
-        if word.said == "rejected":
+        if word.event == "rejected":
             self._over("rejected")
             load = [("Srv-Load", json.dumps(report_object(word.report)))] if word.report else []
             self._plain(503, b"", [("Srv-Declined", "1"), *load])
             return
         if self._parser.our_state is h11.SEND_RESPONSE:
             self._send(h11.Response(status_code=200, headers=[("Transfer-Encoding", "chunked")]))
-        line: dict[str, object] = {"id": job.id, "from": self.server.uid, "state": word.said}
-        if word.said == "running":
+        line: dict[str, object] = {"id": job.id, "from": self.server.uid, "state": word.event}
+        if word.event == "running":
             line["share"] = round(word.share, 3)
-        elif word.said == "done":
+        elif word.event == "done":
             line["result"] = result_of(job.id, self.server.uid)
         if word.report is not None:
             line["load"] = report_object(word.report)
         self._send(h11.Data(data=json.dumps(line).encode() + b"\n"))
-        if word.said in LAST:
-            self._over(word.said)  # type: ignore[arg-type]
+        if word.event in FINAL_EVENTS:
+            self._over(word.event)  # type: ignore[arg-type]
             self._send(h11.EndOfMessage())
             self._next()
 
--- a/heronstall/lab/faults.py
+++ b/heronstall/lab/faults.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any, NamedTuple
 
-from heronstall.fleet.spec import SECOND, Fault, Passing
+from heronstall.fleet.spec import SECOND, Fault, MessageCondition
 from heronstall.lab.relay import Carried, Direction, Relay, Way
 
 SLICE = 0.02  # seconds of a turn in which a slowed process runs its share
@@ -68,7 +68,7 @@
             else:
                 self._lay(n, fault, fault.when)
 
-    def _lay(self, n: int, fault: Fault, when: Passing) -> None:
+    def _lay(self, n: int, fault: Fault, when: MessageCondition) -> None:
         for relay in self._matching(when.link):
             way = relay.way("there" if when.way == "there" else "back")
             way.trap(when.says.encode(), when.unit, when.nth, lambda: self._strike(n, fault))
--- a/heronstall/lab/load.py
+++ b/heronstall/lab/load.py
@@ -17,7 +17,7 @@
 import h11
 
 from heronstall.fleet import boundary as b
-from heronstall.fleet.caller import Came, Try, seconds
+from heronstall.fleet.client import Try, TryResult, seconds
 from heronstall.fleet.fleet import Plan
 from heronstall.fleet.spec import SECOND, Scenario
 from heronstall.lab.clock import RealTime, lateness
@@ -34,7 +34,7 @@
     """A try's end, and when it came."""
 
     try_: Try
-    came: Came
+    came: TryResult
     at: int
     server: int
 
@@ -65,7 +65,7 @@
             self._arrivals()
         elif what == "front":
             node, up = value
-            self.plan.front.known_up[node] = up
+            self.plan.client_balancer.known_up[node] = up
         elif what == "enough":  # no more first tries; those that are out go on to their end
             self.open -= len(self.mine) - self._next
             del self.mine[self._next :]
@@ -87,7 +87,7 @@
         while self._next < len(self.mine) and self.mine[self._next].at - ahead <= now:
             request = self.mine[self._next]
             self._next += 1
-            self.begin(self.plan.callers.first(replace(request, at=now) if ahead else request))
+            self.begin(self.plan.client_retries.first(replace(request, at=now) if ahead else request))
         if self._next < len(self.mine):
             wait = self.mine[self._next].at - ahead - now
             wait = max(1, int(wait / times) if now < end else wait)
@@ -99,7 +99,7 @@
         # A client that is late itself has no more time for that: its deadline runs from when it was due.
         left = tried.time_left - max(0, self.time.now - tried.at)
         tried = Try(tried.request, tried.nth, tried.id, tried.at, max(1000, left))
-        picked = self.plan.front.pick(tried.request.zone, tried.request.front)
+        picked = self.plan.client_balancer.pick(tried.request.zone, tried.request.front)
         if picked is None:
             self.came(tried, "unreachable")
             return
@@ -124,7 +124,7 @@
             _, connection = await asyncio.wait_for(made, CONNECT_TIME)
         except (TimeoutError, OSError):
             # Of a request that met a close nobody knows whether it was read: that is no refused connection.
-            self.came(tried, "broke" if tried.again else "unreachable")
+            self.came(tried, "broke" if tried.resent else "unreachable")
             return
         connection.send(tried)
 
@@ -136,11 +136,11 @@
         else:
             connection.close()
 
-    def came(self, tried: Try, came: Came, retry_after: int = 0, server: int = -1) -> None:
+    def came(self, tried: Try, came: TryResult, retry_after: int = 0, server: int = -1) -> None:
         """A try has ended so."""
         now = self.time.now
         self.ends.append(End(tried, came, now, server))
-        again = self.plan.callers.again(tried, came, now, retry_after)
+        again = self.plan.client_retries.next_try(tried, came, now, retry_after)
         if again is not None:
             self.time.at(again.at, lambda: self.begin(again))
             return
@@ -271,10 +271,10 @@
             return
         self._due.cancel()
         load, now = self._load, self._load.time.now
-        if self._reused and self._response is None and now - self._taken_at < CROSSED and not tried.again:
+        if self._reused and self._response is None and now - self._taken_at < CROSSED and not tried.resent:
             # The close crossed a request that had not been read: it is sent once more, on a new connection.
             load.crossings.append(b.Recalled(now, self.node, tried.id))
-            load.dial(self.node, replace(tried, again=True))
+            load.dial(self.node, replace(tried, resent=True))
             return
         load.crossings.append(b.Unanswered(load.time.now, self.node, tried.id))
         load.came(tried, "broke")
--- a/heronstall/lab/manual_requests.py
+++ b/heronstall/lab/manual_requests.py
@@ -10,7 +10,7 @@
 import contextlib
 from dataclasses import dataclass, field
 
-from heronstall.fleet.caller import try_id
+from heronstall.fleet.client import try_id
 from heronstall.lab.nodes import PORT
 from heronstall.lab.run import Run
 
--- a/heronstall/lab/run.py
+++ b/heronstall/lab/run.py
@@ -15,10 +15,10 @@
 from heronstall.fleet import boundary as b
 from heronstall.fleet.audit import Audit
 from heronstall.fleet.fleet import Plan
-from heronstall.fleet.ledger import Fates, result, zones
+from heronstall.fleet.ledger import RequestOutcomes, result, zones
 from heronstall.fleet.score import Costs
 from heronstall.fleet.spec import SECOND, Scenario, ScenarioError, Trouble
-from heronstall.fleet.troubles import nodes_of
+from heronstall.fleet.troubles import target_dispatchers
 from heronstall.lab import load, world
 from heronstall.lab.clock import RealTime, lateness, monotonic
 from heronstall.lab.faults import Faults, mine
@@ -181,7 +181,7 @@
     def _troubles(self) -> None:
         for nth, trouble in enumerate(self.scenario.troubles):
             if trouble.kind in ("dispatcher-crash", "dispatcher-restart"):
-                for number in nodes_of(self.scenario, self.plan.streams, nth, trouble):
+                for number in target_dispatchers(self.scenario, self.plan.streams, nth, trouble):
                     self.time.at(trouble.at, lambda n=number, t=trouble: self._strike(n, t))  # type: ignore[misc]
 
     def _strike(self, number: int, trouble: Trouble) -> None:
@@ -192,7 +192,7 @@
         nodes, time = self.nodes, self.time
         back = time.now + trouble.length
         if trouble.kind == "dispatcher-crash":
-            notices = self.plan.streams.figure(self.scenario.front, "front", node.number, "notices")
+            notices = self.plan.streams.draw_from(self.scenario.front, "front", node.number, "notices")
             nodes.kill(node)
             time.at(time.now + int(notices), lambda: self._front(node.number, node.process is not None))
         else:
@@ -250,7 +250,7 @@
     def _result(self, told_world: Any, told: list[Any], wall: float) -> dict[str, Any]:
         crossings, tallies, fallen, world_late, world_took, asked, accepted = told_world
         dispatcher_zones, server_zones = zones(self.plan)
-        fates, ends = Fates(self.plan), []
+        fates, ends = RequestOutcomes(self.plan), []
         for _, some, _, _ in told:
             ends += some
         for end in sorted(ends, key=lambda e: (e.at, e.try_.id)):
@@ -304,7 +304,7 @@
         return result("lab", self.plan, fates, costs, breaches, more, timing)
 
     @staticmethod
-    def _fate(fates: Fates, end: End) -> None:
+    def _fate(fates: RequestOutcomes, end: End) -> None:
         number = end.try_.request.number
         fates.tried(number)
         if end.came == "served":
--- a/heronstall/lab/standalone.py
+++ b/heronstall/lab/standalone.py
@@ -6,7 +6,7 @@
 from collections import Counter
 from typing import Any
 
-from heronstall.fleet.ledger import Fates
+from heronstall.fleet.ledger import RequestOutcomes
 from heronstall.fleet.spec import SECOND, Scenario
 from heronstall.lab.clock import lateness, monotonic
 from heronstall.lab.load import Load
@@ -20,7 +20,7 @@
     last = scenario.length + max(c.deadline for c in scenario.classes) + AFTER_END
     while load.time.now < last and (load.open or load.time.now < scenario.length):
         await asyncio.sleep(0.1)
-    fates = Fates(load.plan)
+    fates = RequestOutcomes(load.plan)
     for end in load.ends:
         fates.tried(end.try_.request.number)
         if end.came == "served":
--- a/heronstall/lab/starts.py
+++ b/heronstall/lab/starts.py
@@ -7,12 +7,12 @@
 from typing import Any
 
 from heronstall.fleet import boundary as b
-from heronstall.fleet.desk import Asked
+from heronstall.fleet.list_service import ListRequest
 from heronstall.fleet.spec import SECOND
 
 
 def starts(
-    asked: Sequence[Asked], accepted: Sequence[tuple[int, int]], crossings: Iterable[b.Crossing]
+    asked: Sequence[ListRequest], accepted: Sequence[tuple[int, int]], crossings: Iterable[b.Crossing]
 ) -> dict[str, Any]:
     """Counts and times from the first start after the run's beginning on; empty where there was none.
 
--- a/heronstall/lab/watch.py
+++ b/heronstall/lab/watch.py
@@ -11,8 +11,8 @@
 import h11
 
 from heronstall.fleet import boundary as b
-from heronstall.fleet.desk import Desk
-from heronstall.fleet.roster import Roster
+from heronstall.fleet.discovery import DiscoveryService
+from heronstall.fleet.list_service import ListService
 from heronstall.lab.clock import RealTime
 
 HEARTBEAT = 2.0  # seconds between empty lines
@@ -22,7 +22,12 @@
     """What one dispatcher can ask, and all its watches."""
 
     def __init__(
-        self, node: int, roster: Roster, time: RealTime, cross: Callable[[b.Crossing], None], desk: Desk
+        self,
+        node: int,
+        roster: DiscoveryService,
+        time: RealTime,
+        cross: Callable[[b.Crossing], None],
+        desk: ListService,
     ) -> None:
         self.node, self.roster, self.time, self._cross, self.desk = node, roster, time, cross, desk
         self.watches: dict[WatchConnection, None] = {}
@@ -42,7 +47,7 @@
 
     def whole(self) -> dict[str, Any]:
         """The whole list, told now."""
-        message = self.roster.whole(self.node)
+        message = self.roster.full_state(self.node)
         self.note(message)
         return message
 
@@ -88,7 +93,7 @@
             self._send(h11.Response(status_code=404, headers=[("Content-Length", "0")]), h11.EndOfMessage())
             return
         now = agent.time.now  # 0 before the run's start: its first lists are no part of what is measured
-        ready = agent.desk.ask(now, agent.node) if now else 0
+        ready = agent.desk.request(now, agent.node) if now else 0
         if ready is None:
             busy = h11.Response(status_code=503, headers=[("Content-Length", "0")])
             self._send(busy, h11.EndOfMessage())
--- a/heronstall/lab/world.py
+++ b/heronstall/lab/world.py
@@ -12,10 +12,10 @@
 from typing import Any
 
 from heronstall.fleet import boundary as b
-from heronstall.fleet.caller import try_id
-from heronstall.fleet.desk import Desk
+from heronstall.fleet.client import try_id
 from heronstall.fleet.fleet import Fleet, Plan
 from heronstall.fleet.ledger import zones
+from heronstall.fleet.list_service import ListService
 from heronstall.fleet.server import Server
 from heronstall.fleet.spec import Scenario
 from heronstall.fleet.streams import Table, uniforms
@@ -48,7 +48,7 @@
         self._zones = zones(self.plan)[0]
         self.faults = Faults(mine(scenario.faults, True), seed, self.time.at)
         self.fleet = Fleet(scenario, seed, self.time, self._endpoint, self)
-        self.ways = self.fleet.ways
+        self.ways = self.fleet.network
         self.ways.on_cut.append(lambda zone: self._listen_all())
         self.ways.on_heal.insert(0, lambda zone: self._listen_all())
         for server in self.fleet.servers:
@@ -56,12 +56,12 @@
         for node in range(scenario.dispatchers):
             for server in self.fleet.servers:
                 self._listeners[node, server.number] = Listener(self._accepts(node, server))
-        roster = self.fleet.roster
-        self.desk = Desk(scenario.lists_per_s, scenario.places)
+        roster = self.fleet.discovery
+        self.desk = ListService(scenario.lists_per_s, scenario.places)
         self.agents = [
             Agent(n, roster, self.time, self.cross, self.desk) for n in range(scenario.dispatchers)
         ]
-        roster.on_told.append(lambda node, message: self.agents[node].tell(message))
+        roster.on_update.append(lambda node, message: self.agents[node].tell(message))
         self._discovery = [Listener(self._accepted(agent)) for agent in self.agents]
         for request in self.plan.requests:
             self._numbers[try_id(request.number, 0)] = request.number
@@ -140,7 +140,9 @@
     def _changed(self, server: Server, change: str) -> None:
         mine = [c for c in self._connections if c.server is server]
         if change == "fell":
-            self.cross(b.Fell(self.time.now, server.number, server.started_at, server.pushers()))
+            self.cross(
+                b.Fell(self.time.now, server.number, server.started_at, server.overload_by_dispatcher())
+            )
         elif change == "vanished":
             for connection in mine:
                 connection.deaf = True
@@ -170,11 +172,11 @@
         """A word from the run's process."""
         if what == "begin":
             origin, unix_ms = value
-            self.fleet.roster.origin_ms = unix_ms
+            self.fleet.discovery.origin_ms = unix_ms
             self.time.begin(origin)
             self.faults.begin(lambda name: [])
         elif what == "held":
-            self._pipe.send((f"held {value}", self.fleet.roster.whole(value)))
+            self._pipe.send((f"held {value}", self.fleet.discovery.full_state(value)))
         elif what == "live":
             rows = [
                 (
@@ -192,12 +194,12 @@
             ]
             self._pipe.send(("live", rows))
         elif what == "trouble":
-            self.fleet.troubles.strike(value)
+            self.fleet.troubles.inject(value)
         elif what == "end":
             tallies = [s.tally for s in self.fleet.servers]
             fallen = [s.uid for s in self.fleet.servers if s.fallen]
             told = (self.crossings, tallies, fallen, lateness(self.time.late), self.faults.took())
-            self._pipe.send(("world", (*told, self.desk.asked, self.accepted)))
+            self._pipe.send(("world", (*told, self.desk.requests, self.accepted)))
 
     def addresses(self) -> list[str]:
         """Where each dispatcher finds discovery."""
--- a/heronstall/model/mesh.py
+++ b/heronstall/model/mesh.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from heronstall.fleet.desk import Desk
+from heronstall.fleet.list_service import ListService
 from heronstall.membership.messages import Duty, Message, Row, State, pack, unpack
 from heronstall.membership.relays import MAX_LIST_AGE_US, SERVING_DUTIES, RelayRole
 from heronstall.membership.swim import DEFAULT_LIMITS, Address, Limits, Member, Outgoing, Swim
@@ -148,7 +148,7 @@
     LOOK = 50_000
     UNANSWERED = 2_600_000  # until a call that is not answered is given up
 
-    def __init__(self, seed: int, desk: Desk, **more: Any) -> None:
+    def __init__(self, seed: int, desk: ListService, **more: Any) -> None:
         super().__init__(seed, **more)
         self.desk = desk
         self.service: Callable[[str], bool] = lambda name: True
@@ -224,7 +224,7 @@
                 self._knows(name)
         elif now >= self._asked.get(name, 0):
             self.calls.append((now, name))
-            ready = self.desk.ask(now, int(name[1:])) if up else None
+            ready = self.desk.request(now, int(name[1:])) if up else None
             backoff, self._asked[name] = self._backoff[name], 1 << 62
             backoff.clients = sum(row.duty is Duty.RELAY for row in self.members[name].living())
             if not up:
--- a/heronstall/model/run.py
+++ b/heronstall/model/run.py
@@ -14,9 +14,9 @@
 from heronstall.decide import Balancer
 from heronstall.fleet import boundary as b
 from heronstall.fleet.audit import Audit
-from heronstall.fleet.caller import Came, Try
+from heronstall.fleet.client import Try, TryResult
 from heronstall.fleet.fleet import Fleet, Plan, settings_of
-from heronstall.fleet.ledger import Fates, result, zones
+from heronstall.fleet.ledger import RequestOutcomes, result, zones
 from heronstall.fleet.score import Costs
 from heronstall.fleet.server import Server
 from heronstall.fleet.spec import SECOND, Scenario
@@ -82,7 +82,7 @@
             self.dispatcher.observers.append(self.observer)
         self.table = table
         run.cross(b.NodeUp(run.time.now, self.number))
-        self.told(run.fleet.roster.whole(self.number), persisted=True)
+        self.told(run.fleet.discovery.full_state(self.number), persisted=True)
         self._sweep()
 
     def _sweep(self) -> None:
@@ -136,7 +136,7 @@
         run, now = self.run, self.run.time.now
         own = answer.body.startswith(f"{tried.id}@".encode())
         run.cross(b.Answered(now, self.number, tried.id, STATUS[answer.kind], own))
-        came: Came = "failed" if answer.kind == "unusable" else answer.kind
+        came: TryResult = "failed" if answer.kind == "unusable" else answer.kind
         run.came(tried, came, answer.retry_after, answer.body)
         self._maybe_end()
 
@@ -183,14 +183,14 @@
         self.resets = 0.0
         self.stale: int | None = None
         self.fleet = Fleet(scenario, seed, self.time, lambda node, s: f"10.0.0.1:{s.number + 1}", self)
-        self.ways, self.servers = self.fleet.ways, self.fleet.servers
-        self.fleet.roster.origin_ms = ORIGIN_MS
-        self.fleet.roster.on_told.append(lambda node, told: self.nodes[node].told(told))
+        self.ways, self.servers = self.fleet.network, self.fleet.servers
+        self.fleet.discovery.origin_ms = ORIGIN_MS
+        self.fleet.discovery.on_update.append(lambda node, told: self.nodes[node].told(told))
         for server in self.servers:
             server.on_change.append(self._server_changed)
         dispatcher_zones, server_zones = zones(self.plan)
         self.audit = Audit(scenario, server_zones)
-        self.fates = Fates(self.plan)
+        self.fates = RequestOutcomes(self.plan)
         self.nodes = [Node(self, n, zone) for n, zone in enumerate(dispatcher_zones)]
         self._zones = dispatcher_zones, server_zones
         self._settings: dict[int, dict[str, Any]] = {}
@@ -227,7 +227,9 @@
 
     def _server_changed(self, server: Server, change: str) -> None:
         if change == "fell":
-            self.cross(b.Fell(self.time.now, server.number, server.started_at, server.pushers()))
+            self.cross(
+                b.Fell(self.time.now, server.number, server.started_at, server.overload_by_dispatcher())
+            )
         elif change in ("died", "returned"):
             for node in self.nodes:
                 if node.up:
@@ -238,7 +240,9 @@
     def crash(self, node: int, back: int) -> None:
         """Kill a dispatcher; it is back at `back`."""
         self.nodes[node].crash()
-        noticed = self.time.now + int(self.plan.streams.figure(self.scenario.front, "front", node, "notices"))
+        noticed = self.time.now + int(
+            self.plan.streams.draw_from(self.scenario.front, "front", node, "notices")
+        )
         self.time.at(noticed, lambda: self._front(node))
         self.time.at(back, lambda: self._start_again(node))
 
@@ -249,7 +253,7 @@
         self.time.at(back, lambda: self._start_again(node))
 
     def _front(self, node: int) -> None:
-        self.plan.front.known_up[node] = self.nodes[node].up and not self.nodes[node].draining
+        self.plan.client_balancer.known_up[node] = self.nodes[node].up and not self.nodes[node].draining
 
     def _start_again(self, node: int) -> None:
         if self.nodes[node].up:
@@ -277,24 +281,24 @@
         while self._next < len(requests) and requests[self._next].at <= self.time.now:
             request = requests[self._next]
             self._next += 1
-            self._try(self.plan.callers.first(request))
+            self._try(self.plan.client_retries.first(request))
         if self._next < len(requests):
             self.time.at(requests[self._next].at, self._arrivals)
 
     def _try(self, tried: Try) -> None:
         self.fates.tried(tried.request.number)
-        picked = self.plan.front.pick(tried.request.zone, tried.request.front)
+        picked = self.plan.client_balancer.pick(tried.request.zone, tried.request.front)
         if picked is None or not self.nodes[picked].up:
             self.came(tried, "unreachable", 0)
             return
         self.nodes[picked].submit(tried)
 
-    def came(self, tried: Try, came: Came, retry_after: int, body: bytes = b"") -> None:
+    def came(self, tried: Try, came: TryResult, retry_after: int, body: bytes = b"") -> None:
         """A try has ended so, for its client."""
         number, now = tried.request.number, self.time.now
         if came == "served":
             self.fates.served(number, now, int(body.split(b"@s-")[1], 16))
-        again = self.plan.callers.again(tried, came, now, retry_after)
+        again = self.plan.client_retries.next_try(tried, came, now, retry_after)
         if again is not None:
             self.time.at(again.at, lambda: self._try(again))
             return
--- a/heronstall/model/wire.py
+++ b/heronstall/model/wire.py
@@ -11,11 +11,11 @@
 from heronstall import interface as i
 from heronstall.config import Config
 from heronstall.fleet import boundary as b
-from heronstall.fleet.caller import Try, result_of
+from heronstall.fleet.client import Try, result_of
 from heronstall.fleet.fleet import report_object
-from heronstall.fleet.server import LAST, Job, Server, Word
+from heronstall.fleet.server import FINAL_EVENTS, AttemptUpdate, Job, Server
 from heronstall.fleet.streams import Streams, Table, uniforms
-from heronstall.fleet.ways import Ways
+from heronstall.fleet.zone_network import ZoneNetwork
 from heronstall.model.compat import (
     KEEP_AGAIN,
     LEARNS_IDLE,
@@ -46,7 +46,7 @@
     """What a wire needs of the run."""
 
     time: VirtualTime
-    ways: Ways
+    ways: ZoneNetwork
     servers: list[Server]
     resets: float
     stale: int | None
@@ -73,7 +73,7 @@
 class Exchange:
     """A request on a connection; `came` is told of each message that gets back, `broke` of a break."""
 
-    def came(self, word: Word) -> None:
+    def came(self, word: AttemptUpdate) -> None:
         """A word."""
 
     def broke(self) -> None:
@@ -329,23 +329,23 @@
         if server.up and not server.away:
             server.offer(job)
 
-    def _told(self, word: Word) -> None:
+    def _told(self, word: AttemptUpdate) -> None:
         conn = self._conn
         if conn is not None and not conn.dead:
             self._wire.back(conn, lambda: self.came(word))
 
-    def came(self, word: Word) -> None:
+    def came(self, word: AttemptUpdate) -> None:
         """A word about the job has got back."""
         conn = self._conn
         if self._ended or conn is None or conn.dead:
             return
-        if word.said not in LAST:
-            share = None if word.said == "started" else word.share
+        if word.event not in FINAL_EVENTS:
+            share = None if word.event == "started" else word.share
             self._wire.dispatcher.note(self._session, self._server, self._index, share)
             return
         if word.report is not None:
             self._report = read_report(self._wire.config, report_object(word.report))
-        self._end(SAID.get(word.said, Ending.RETURNED))
+        self._end(SAID.get(word.event, Ending.RETURNED))
 
     def broke(self) -> None:
         """The connection has broken under it."""
@@ -432,9 +432,9 @@
         if conn.dead or not server.answers:
             return
         report = server.probe()
-        self._wire.back(conn, lambda: self.came(Word("done", 0.0, report)))
+        self._wire.back(conn, lambda: self.came(AttemptUpdate("done", 0.0, report)))
 
-    def came(self, word: Word) -> None:
+    def came(self, word: AttemptUpdate) -> None:
         """The answer."""
         report = None
         if word.report is not None:
@@ -472,7 +472,7 @@
     return wire.config.settings.classes[tried.request.cls].effect == "keyed"
 
 
-def _once(ways: Ways, call: Callable[[], None]) -> Callable[[int], None]:
+def _once(ways: ZoneNetwork, call: Callable[[], None]) -> Callable[[int], None]:
     def healed(zone: int) -> None:
         ways.on_heal.remove(healed)
         call()
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -10,7 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from heronstall.fleet.desk import Desk
+from heronstall.fleet.list_service import ListService
 from heronstall.membership.messages import (
     CHECKSUM_COUNT,
     Duty,
@@ -251,7 +251,7 @@
 
 @pytest.mark.parametrize(("count", "most"), [(12, 8), (100, 8), (300, 12)])
 def test_a_cold_start_makes_few_calls_to_the_list_service(count: int, most: int) -> None:
-    mesh = Watched(3, Desk(7, 8), packed=False)
+    mesh = Watched(3, ListService(7, 8), packed=False)
     mesh.start_all(count, over=3 * SECOND)
     mesh.run(12 * SECOND)
     assert len(mesh.calls) <= most and len(mesh.news) == count
@@ -261,7 +261,7 @@
 
 
 def test_dead_relays_are_replaced_and_the_other_members_do_not_ask() -> None:
-    mesh = Watched(5, Desk(7, 8))
+    mesh = Watched(5, ListService(7, 8))
     mesh.start_all(24, over=SECOND)
     mesh.run(10 * SECOND)
     before, killed = len(mesh.calls), mesh.now
@@ -277,7 +277,7 @@
 
 
 def test_an_unreachable_list_service_is_asked_by_a_few_members_at_a_time() -> None:
-    mesh = Watched(5, Desk(0, 8), packed=False)
+    mesh = Watched(5, ListService(0, 8), packed=False)
     mesh.service = lambda name: False
     mesh.start_all(40, over=SECOND)
     mesh.run(60 * SECOND)
@@ -301,7 +301,7 @@
 
 
 def test_a_relay_that_alone_cannot_reach_the_list_service_is_replaced() -> None:
-    mesh = Watched(5, Desk(7, 8))
+    mesh = Watched(5, ListService(7, 8))
     mesh.start_all(12, over=SECOND)
     mesh.run(8 * SECOND)
     unreachable = members_with_duty(mesh)[0]
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from heronstall.fleet.desk import Desk
+from heronstall.fleet.list_service import ListService
 from heronstall.start.backoff import (
     MAX_PAUSE,
     MAX_RETRY_AFTER,
@@ -44,20 +44,20 @@
     """The service serves seven lists per second, eight at a time; all nodes ask within two seconds."""
     last_served, calls = [], []
     for seed in range(5):
-        desk, rng = Desk(7, 8), random.Random(seed)
+        desk, rng = ListService(7, 8), random.Random(seed)
         backoffs = [DiscoveryBackoff(nodes, random.Random(seed * 1000 + n)) for n in range(nodes)]
         heap = [(rng.randrange(2_000_000), n) for n in range(nodes)]
         heapq.heapify(heap)
         latest = 0
         while heap:
             now, n = heapq.heappop(heap)
-            ready = desk.ask(now, n)
+            ready = desk.request(now, n)
             if ready is None:
                 heapq.heappush(heap, (now + backoffs[n].pause(UNANSWERED, Refusal(), now), n))
             else:
                 latest = max(latest, ready)
         last_served.append(latest / 1e6)
-        calls.append(len(desk.asked) / nodes)
+        calls.append(len(desk.requests) / nodes)
     limit = nodes / 7
     assert sorted(last_served)[2] < 2.4 * limit, last_served
     # Above 100 nodes the pause after a first refusal is shorter than their number requires, so most are
@@ -65,12 +65,12 @@
     assert max(calls) < (2.4 if nodes <= 100 else 2.9), calls
 
 
-def serve_all(desk: Desk, clients: list[DiscoveryBackoff], empty: set[int]) -> list[float]:
+def serve_all(desk: ListService, clients: list[DiscoveryBackoff], empty: set[int]) -> list[float]:
     """Lets all clients ask from the same moment on; returns the seconds after which each got its list."""
     heap, served_at = [(0, n) for n in range(len(clients))], [0.0] * len(clients)
     while heap:
         now, n = heapq.heappop(heap)
-        ready = desk.ask(now, n)
+        ready = desk.request(now, n)
         if ready is None:
             wait = clients[n].pause(UNANSWERED, Refusal(), now, has_list=n not in empty)
             heapq.heappush(heap, (now + wait, n))
@@ -80,9 +80,9 @@
 
 
 def test_a_slow_list_service_gets_fewer_calls_the_longer_it_refuses_them() -> None:
-    desk = Desk(1, 8)
+    desk = ListService(1, 8)
     served_at = serve_all(desk, [DiscoveryBackoff(100, random.Random(n)) for n in range(100)], set())
-    assert len(desk.asked) < 520 and max(served_at) < 150  # a constant pace takes 656 calls
+    assert len(desk.requests) < 520 and max(served_at) < 150  # a constant pace takes 656 calls
     backoff = DiscoveryBackoff(100, random.Random(1))
     backoff.pause(UNANSWERED, Refusal(), now=0)
     assert max(backoff.pause(UNANSWERED, Refusal(), now=90_000_000) for _ in range(30)) > 60_000_000
@@ -92,7 +92,9 @@
 
 def test_clients_without_a_list_are_served_before_the_others() -> None:
     empty = set(range(0, 100, 5))
-    served_at = serve_all(Desk(7, 8), [DiscoveryBackoff(100, random.Random(n)) for n in range(100)], empty)
+    served_at = serve_all(
+        ListService(7, 8), [DiscoveryBackoff(100, random.Random(n)) for n in range(100)], empty
+    )
     without, others = (
         sorted(served_at[n] for n in empty),
         sorted(served_at[n] for n in range(100) if n not in empty),
