--- a/heronstall/fleet/zone_network.py
+++ b/heronstall/fleet/zone_network.py
@@ -33,12 +33,12 @@
         self.on_heal: list[Callable[[int], None]] = []
         self.on_cut: list[Callable[[int], None]] = []
 
-    def time(self, a: int, b: int, message: int) -> int:
+    def latency(self, a: int, b: int, message: int) -> int:
         """Returns the latency in microseconds from zone `a` to zone `b` for the message with this number."""
         base = self._base[a][b]
         return int(base * (1.0 + self._jitter * self._extra[a][b][message]))
 
-    def open(self, a: int, b: int) -> bool:
+    def reachable(self, a: int, b: int) -> bool:
         """Whether messages between the two zones currently get through."""
         return a == b or not (self._cut[a] or self._cut[b])
 
--- a/heronstall/lab/connection.py
+++ b/heronstall/lab/connection.py
@@ -91,7 +91,7 @@
     def _way(self, inward: bool) -> int:
         self._messages += 1
         a, z = (self.zone, self.server.zone) if inward else (self.server.zone, self.zone)
-        return self.host.ways.time(a, z, self._messages * 31 + self.node * 7919 + self.server.number)
+        return self.host.ways.latency(a, z, self._messages * 31 + self.node * 7919 + self.server.number)
 
     def _carry(self, inward: bool, call: Callable[[], None]) -> None:
         """Make a call when a message gets to the other end; one that meets a cut waits for its end."""
@@ -99,7 +99,7 @@
         if not time.now:  # before the run's start, dispatchers look round already: no clock delays them yet
             call()
             return
-        if not ways.open(self.zone, self.server.zone):
+        if not ways.reachable(self.zone, self.server.zone):
 
             def healed(zone: int) -> None:
                 ways.on_heal.remove(healed)
--- a/heronstall/model/wire.py
+++ b/heronstall/model/wire.py
@@ -114,11 +114,11 @@
 
     def _carry(self, conn: Conn, outward: bool, call: Callable[[], None]) -> None:
         world, there = self.world, conn.server.zone
-        if not world.ways.open(self.zone, there):
+        if not world.ways.reachable(self.zone, there):
             world.ways.on_heal.append(_once(world.ways, lambda: self._carry(conn, outward, call)))
             return
         way = (self.zone, there) if outward else (there, self.zone)
-        when = world.time.now + world.ways.time(*way, self.message())
+        when = world.time.now + world.ways.latency(*way, self.message())
         if outward:
             when = conn.last_out = max(when, conn.last_out)
         else:
@@ -162,17 +162,17 @@
         life, ways = self.life, self.world.ways
         limit = min(until, life.now + self.config.connect_timeout)
         there = physical.zone
-        trip = ways.time(self.zone, there, self.message()) + ways.time(there, self.zone, self.message())
+        trip = ways.latency(self.zone, there, self.message()) + ways.latency(there, self.zone, self.message())
 
         def too_late() -> None:
             none(Ending.UNSENT_IN_TIME if life.now >= until else Ending.REFUSED)
 
-        if not ways.open(self.zone, there) or physical.away or life.now + trip > limit:
+        if not ways.reachable(self.zone, there) or physical.away or life.now + trip > limit:
             life.at(limit, too_late)
             return
 
         def comes_up() -> None:
-            if physical.away or not ways.open(self.zone, there):
+            if physical.away or not ways.reachable(self.zone, there):
                 life.at(limit, too_late)
             elif not physical.connect():
                 none(Ending.REFUSED)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -230,15 +230,15 @@
     healed: list[int] = []
     network.on_heal.append(healed.append)
     assert (
-        network.time(0, 0, 1) == 1000 and 10_000 <= network.time(0, 1, 1) == network.time(1, 0, 9) <= 20_000
+        network.latency(0, 0, 1) == 1000 and 10_000 <= network.latency(0, 1, 1) == network.latency(1, 0, 9) <= 20_000
     )
     network.cut(0, True)
     network.cut(0, True)
-    assert network.open(0, 0) and not network.open(0, 1) and not network.open(1, 0)
+    assert network.reachable(0, 0) and not network.reachable(0, 1) and not network.reachable(1, 0)
     network.cut(0, False)
-    assert not network.open(0, 1) and healed == []
+    assert not network.reachable(0, 1) and healed == []
     network.cut(0, False)
-    assert network.open(0, 1) and healed == [0]
+    assert network.reachable(0, 1) and healed == [0]
 
 
 STEPS = st.lists(
