--- a/heronstall/fleet/audit.py
+++ b/heronstall/fleet/audit.py
@@ -68,7 +68,7 @@
     answered: int | None = None
     left: bool = False
     attempts: dict[int, _Attempt] = field(default_factory=dict)
-    trail: list[b.Crossing] = field(default_factory=list)
+    crossings: list[b.Crossing] = field(default_factory=list)
 
 
 class Audit:
@@ -130,7 +130,7 @@
             handler(c)
 
     def _record_request(self, c: b.Taken) -> None:
-        self._sessions[c.id] = _Session(c.node, c.cls, c.at, c.time_left, trail=[c])
+        self._sessions[c.id] = _Session(c.node, c.cls, c.at, c.time_left, crossings=[c])
 
     def _record_recall(self, c: b.Recalled) -> None:
         session = self._sessions.get(c.id)
@@ -174,8 +174,8 @@
         }
 
     def _report_breach(self, rule: Rule, at: int, node: int, text: str, session: _Session | None) -> None:
-        trail = session.trail[-MAX_EVIDENCE:] if session is not None else []
-        self._breaches.append(Breach(rule, at, node, text, tuple(_format_crossing(c) for c in trail)))
+        crossings = session.crossings[-MAX_EVIDENCE:] if session is not None else []
+        self._breaches.append(Breach(rule, at, node, text, tuple(_format_crossing(c) for c in crossings)))
 
     # ------------------------------------------------------------------ one final answer per request
 
@@ -183,7 +183,7 @@
         session = self._sessions.get(c.id)
         if session is None:
             return
-        session.trail.append(c)
+        session.crossings.append(c)
         limit = session.taken + session.time_left + self._scenario.answer_grace + self._slack
         if isinstance(c, b.Left):  # a client that waited until the limit did not leave early
             session.left = session.left or (session.answered is None and c.at < limit)
@@ -252,7 +252,7 @@
         if session is None:
             self._report_breach("one-effect", c.at, c.node, f"{c.id} sent without a client request", None)
             return
-        session.trail.append(c)
+        session.crossings.append(c)
         self._check_drain(c, session)
         for earlier in session.attempts.values():
             if earlier.over is None and earlier.concurrent is None:
@@ -293,7 +293,7 @@
         attempt = session.attempts.get(c.attempt) if session is not None else None
         if session is None or attempt is None:
             return
-        session.trail.append(c)
+        session.crossings.append(c)
         if isinstance(c, b.Arrived):
             attempt.arrived = c.at
         elif attempt.over is None:
@@ -308,24 +308,24 @@
     # ------------------------------------------------------------------ drains and cold starts
 
     def _check_drain(self, c: b.Written, session: _Session) -> None:
-        known_state = self._server_states.get((c.node, c.server))
-        if known_state is None or known_state[0] == "SERVING":
+        reported = self._server_states.get((c.node, c.server))
+        if reported is None or reported[0] == "SERVING":
             return
-        if self._shared and self._latest_serving_boot.get(c.server, 0) > known_state[2]:
+        if self._shared and self._latest_serving_boot.get(c.server, 0) > reported[2]:
             return  # a later process serves there
-        delay_us = c.at - known_state[1] - self._scenario.drain_grace - self._slack
+        delay_us = c.at - reported[1] - self._scenario.drain_grace - self._slack
         if delay_us > 0:
-            text = f"{c.id} sent to {c.server} {delay_us / 1000:.1f} ms after the grace ({known_state[0]})"
+            text = f"{c.id} sent to {c.server} {delay_us / 1000:.1f} ms after the grace ({reported[0]})"
             self._report_breach("drain", c.at, c.node, text, session)
 
     def _check_cold_overload(self, c: b.Fell) -> None:
         total = sum(c.pushed.values())
         informed_work = 0.0
         for node, work in c.pushed.items():
-            known_state = self._server_states.get((node, c.server))
+            reported = self._server_states.get((node, c.server))
             informed_work += (
                 work
-                if known_state is not None and known_state[0] == "SERVING" and known_state[1] >= c.started_at
+                if reported is not None and reported[0] == "SERVING" and reported[1] >= c.started_at
                 else 0.0
             )
         if total and informed_work >= BLAME_SHARE * total:
--- a/heronstall/fleet/client.py
+++ b/heronstall/fleet/client.py
@@ -63,10 +63,10 @@
         up = up or [n for n, ok in enumerate(self.known_up) if ok]
         if not up:
             return None
-        mark = draw * sum(self.weights[n] for n in up)
+        remaining = draw * sum(self.weights[n] for n in up)
         for n in up:
-            mark -= self.weights[n]
-            if mark < 0.0:
+            remaining -= self.weights[n]
+            if remaining < 0.0:
                 return n
         return up[-1]
 
@@ -83,7 +83,7 @@
         left = total_deadline(self._scenario, request)
         return Try(request, 0, try_id(request.number, 0), request.at, left)
 
-    def next_try(self, last: Try, came: TryResult, now: int, retry_after: int) -> Try | None:
+    def next_try(self, last: Try, outcome: TryResult, now: int, retry_after: int) -> Try | None:
         """Returns the try after `last`, to be started at its `at`, or None if the client does not retry.
 
         A request that may have run is retried only if its class is safe, or keyed with repeats dropped by all
@@ -91,14 +91,14 @@
         connection proves it.
         """
         s, c = self._scenario, self._scenario.classes[last.request.cls]
-        if came in ("served", "late") or last.nth >= s.retries:
+        if outcome in ("served", "late") or last.nth >= s.retries:
             return None
-        harmless = came in ("refused", "unreachable") or c.effect == "safe"
+        harmless = outcome in ("refused", "unreachable") or c.effect == "safe"
         if not harmless and not (c.effect == "keyed" and c.group == "all"):
             return None
         low, high = s.wait
         wait = (low + (high - low) * self._waits[2 * last.request.number + last.nth]) * 2.0**last.nth
-        if came == "refused" and s.honours:
+        if outcome == "refused" and s.honours:
             wait = max(wait, float(min(retry_after, s.retry_after)))
         at = now + int(wait)
         left = last.request.deadline - at
--- a/heronstall/fleet/discovery.py
+++ b/heronstall/fleet/discovery.py
@@ -69,7 +69,7 @@
         self._publish(server, state)
 
     def _on_vanish_detected(self, server: Server) -> None:
-        if server.away:
+        if server.vanished:
             self._publish(server, DELETED)
 
     def _publish(self, server: Server, state: str) -> None:
--- a/heronstall/fleet/ledger.py
+++ b/heronstall/fleet/ledger.py
@@ -35,25 +35,25 @@
 
     def served(self, number: int, at: int, by: int) -> None:
         """Records that the client has received the result of a server."""
-        fate = self.rows[number]
-        if fate.served_at is None:
-            fate.served_at, fate.served_by, fate.final_at, fate.last = at, by, at, "served"
-            self.useful += fate.request.work
+        outcome = self.rows[number]
+        if outcome.served_at is None:
+            outcome.served_at, outcome.served_by, outcome.final_at, outcome.last = at, by, at, "served"
+            self.useful += outcome.request.work
 
     def ended(self, number: int, at: int, last: str) -> None:
         """Records that the client has given up the request with `last` as its final status."""
-        fate = self.rows[number]
-        if fate.served_at is None:
-            fate.final_at, fate.last = at, last
+        outcome = self.rows[number]
+        if outcome.served_at is None:
+            outcome.final_at, outcome.last = at, last
 
     def latencies(self) -> dict[str, dict[str, float]]:
         """Returns the number served and latency percentiles in milliseconds for each class."""
         rows: dict[str, dict[str, float]] = {}
         for n, c in enumerate(self._plan.scenario.classes):
             histogram = HdrHistogram(MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
-            for fate in self.rows:
-                if fate.request.cls == n and fate.served_at is not None:
-                    histogram.record_value(max(MIN_LATENCY_US, fate.served_at - fate.request.at))
+            for outcome in self.rows:
+                if outcome.request.cls == n and outcome.served_at is not None:
+                    histogram.record_value(max(MIN_LATENCY_US, outcome.served_at - outcome.request.at))
             summary = {f"p{p:g}_ms": histogram.get_value_at_percentile(p) / 1000 for p in PERCENTILES}
             rows[c.name] = {"served": float(histogram.get_total_count()), **summary}
         return rows
@@ -62,7 +62,7 @@
 def result(
     kind: str,
     plan: Plan,
-    fates: RequestOutcomes,
+    outcomes: RequestOutcomes,
     costs: Costs,
     breaches: list[Breach],
     more: dict[str, Any],
@@ -70,14 +70,14 @@
 ) -> dict[str, Any]:
     """Returns the record of a run. Only `timing` may differ between two runs with the same seed."""
     s = plan.scenario
-    summary = score(s, fates.rows, costs).row()
+    summary = score(s, outcomes.rows, costs).row()
     return {
         "kind": kind,
         "scenario": s.name,
         "seed": plan.seed,
         **summary,
         "rules_broken": [b.row() for b in breaches],
-        "latency": fates.latencies(),
+        "latency": outcomes.latencies(),
         "load": round(plan.load, 4),
         "size": {"dispatchers": s.dispatchers, "servers": s.servers, "zones": len(s.zones)},
         "troubles": [
--- a/heronstall/fleet/score.py
+++ b/heronstall/fleet/score.py
@@ -83,12 +83,12 @@
     return float(good[mask].sum()) / asked if asked > 0.0 else 1.0
 
 
-def score(scenario: Scenario, fates: list[RequestOutcome], costs: Costs) -> Score:
+def score(scenario: Scenario, outcomes: list[RequestOutcome], costs: Costs) -> Score:
     """Scores a run.
 
     Retries belong to their first try; the service level ignores requests due in the warm-up.
     """
-    counted = [f for f in fates if f.request.at >= scenario.warm]
+    counted = [f for f in outcomes if f.request.at >= scenario.warm]
     at = np.asarray([f.request.at for f in counted], dtype=np.int64)
     worth = np.asarray([f.request.worth for f in counted])
     in_time = np.asarray(
@@ -112,11 +112,11 @@
     }
     parts = (whole, min(windows, default=whole), min(classes.values()), min(tenants.values(), default=whole))
     service = sum(weight * part for weight, part in zip(scenario.goal, parts, strict=True))
-    offered = sum(f.request.work for f in fates) or 1.0
+    offered = sum(f.request.work for f in outcomes) or 1.0
     waste = max(0.0, costs.worked - costs.useful) / offered
     late = np.asarray([_failed_late(f) for f in counted], dtype=bool)
     late_fail = _worth_share(worth, worth * late, every) if counted else 0.0
-    first = max(1, len(fates))
+    first = max(1, len(outcomes))
     p = scenario.prices
     priced = p["waste"] * waste + p["cross"] * costs.crossings / first
     priced += p["late_fail"] * late_fail + p["probe"] * costs.probes / first
@@ -133,20 +133,20 @@
         crossings=costs.crossings / first,
         probes=costs.probes / first,
         late_fail=late_fail,
-        served=sum(1 for f in fates if f.served_at is not None),
-        refused=sum(1 for f in fates if f.served_at is None and f.last == "refused"),
-        failed=sum(1 for f in fates if f.served_at is None and f.last != "refused"),
-        requests=len(fates),
-        tries=sum(f.tries for f in fates),
+        served=sum(1 for f in outcomes if f.served_at is not None),
+        refused=sum(1 for f in outcomes if f.served_at is None and f.last == "refused"),
+        failed=sum(1 for f in outcomes if f.served_at is None and f.last != "refused"),
+        requests=len(outcomes),
+        tries=sum(f.tries for f in outcomes),
         attempts=costs.attempts,
         timeline=_per_second(scenario, at, worth, good),
     )
 
 
-def _failed_late(fate: RequestOutcome) -> bool:
-    if fate.served_at is not None:
+def _failed_late(outcome: RequestOutcome) -> bool:
+    if outcome.served_at is not None:
         return False
-    return fate.final_at is None or fate.final_at > fate.request.aim_at
+    return outcome.final_at is None or outcome.final_at > outcome.request.aim_at
 
 
 def _per_second(
--- a/heronstall/fleet/server.py
+++ b/heronstall/fleet/server.py
@@ -42,7 +42,7 @@
 
 
 class Job:
-    """An attempt at a server. `tell` is called with each update."""
+    """An attempt at a server. `on_update` is called with each update."""
 
     __slots__ = (
         "id",
@@ -51,10 +51,10 @@
         "work",
         "slots",
         "node",
-        "tell",
+        "on_update",
         "left",
         "started",
-        "noted",
+        "last_progress_at",
         "over",
         "gone",
     )
@@ -66,12 +66,19 @@
         key: str | None,
         work: float,
         node: int,
-        tell: Callable[[AttemptUpdate], None],
+        on_update: Callable[[AttemptUpdate], None],
     ) -> None:
-        self.id, self.number, self.key, self.work, self.node, self.tell = id, number, key, work, node, tell
+        self.id, self.number, self.key, self.work, self.node, self.on_update = (
+            id,
+            number,
+            key,
+            work,
+            node,
+            on_update,
+        )
         self.slots = 1
         self.left = work
-        self.started = self.noted = -1
+        self.started = self.last_progress_at = -1
         self.over = self.gone = False
 
 
@@ -137,7 +144,7 @@
         self.queue: deque[Job] = deque()
         self.connections = 0
         self.up = True  # the process runs
-        self.away = False  # the machine vanished; connections stay open
+        self.vanished = False  # the machine vanished; connections stay open
         self.fallen = False  # failed from overload; it stays down
         self.draining = False
         self.started_at = -k.cold  # warm from the start of the run
@@ -163,33 +170,33 @@
     @property
     def answers(self) -> bool:
         """Whether the server currently responds."""
-        return self.up and not self.away and not self._silent
+        return self.up and not self.vanished and not self._silent
 
-    def warmth(self, now: int) -> float:
+    def warm_share(self, now: int) -> float:
         """Returns the available share of the full capacity."""
         k, age = self.spec, now - self.started_at
         return 1.0 if age >= k.cold else k.cold_from + (1.0 - k.cold_from) * max(0, age) / k.cold
 
-    def pace(self, now: int) -> float:
+    def core_rate(self, now: int) -> float:
         """Returns the work that a core does per microsecond, before crowding."""
-        return 0.0 if self._stalled or not self.up or self.away else self.capacity(now) / self.spec.cores
+        return 0.0 if self._stalled or not self.up or self.vanished else self.capacity(now) / self.spec.cores
 
     def capacity(self, now: int) -> float:
         """Returns the work that all cores can do per microsecond, even while work is stopped."""
         return (
             self._full_capacity
             if now >= self.started_at + self.spec.cold
-            else self._full_capacity * self.warmth(now)
+            else self._full_capacity * self.warm_share(now)
         )
 
     def _rate(self, now: int) -> float:
         """Returns the work done on each running job per microsecond."""
         k, n = self.spec, len(self.running)
         shared = n + (self._pending_overhead > 0.0)
-        pace = self.pace(now)
+        core_rate = self.core_rate(now)
         if shared > k.cores:
-            pace *= k.cores / shared
-        return pace / (1.0 + k.crowding * (n - k.cores)) if n > k.cores else pace
+            core_rate *= k.cores / shared
+        return core_rate / (1.0 + k.crowding * (n - k.cores)) if n > k.cores else core_rate
 
     def _advance(self, now: int) -> None:
         span, self._advanced_to = now - self._advanced_to, now
@@ -303,13 +310,13 @@
 
     def _start(self, now: int) -> None:
         """Starts queued jobs in order; a job that does not fit blocks those behind it."""
-        if not self.up or self.away or self._stalled:
+        if not self.up or self.vanished or self._stalled:
             return
         used = sum(job.slots for job in self.running)
         while self.queue and used + self.queue[0].slots <= self.spec.slots:
             job = self.queue.popleft()
             used += job.slots
-            job.started = job.noted = now
+            job.started = job.last_progress_at = now
             self.running.append(job)
             if self._scenario.notes:
                 self._send_update(job, "started")
@@ -330,7 +337,7 @@
             wait = min(
                 wait,
                 job.left / rate,
-                job.noted + self._scenario.progress - now if self._scenario.notes else wait,
+                job.last_progress_at + self._scenario.progress - now if self._scenario.notes else wait,
             )
         if self._pending_overhead > 0.0:
             wait = min(wait, self._pending_overhead / rate)
@@ -350,13 +357,13 @@
             self._start(now)
         if self._scenario.notes:
             for job in self.running:
-                if now - job.noted >= self._scenario.progress:
-                    job.noted = now
+                if now - job.last_progress_at >= self._scenario.progress:
+                    job.last_progress_at = now
                     self._send_update(job, "running", 1.0 - job.left / job.work)
         self._schedule_wake()
 
     def _finish(self, now: int, job: Job) -> None:
-        if self._errors is not None and self._errors[hash_of(job.id)] < self.spec.errors:
+        if self._errors is not None and self._errors[stable_number(job.id)] < self.spec.errors:
             self._failed_jobs += 1
             self._send_update(job, "failed")
             return
@@ -371,14 +378,14 @@
         if self._silent:
             self._withheld.append((job, update))
         else:
-            job.tell(update)
+            job.on_update(update)
 
     # ------------------------------------------------------------------ reports
 
     def _snapshot(self) -> None:
         now = self._timeline.now
         self._timeline.at(now + self._report_interval, self._snapshot)
-        if not self.up or self.away:
+        if not self.up or self.vanished:
             return
         self._advance(now)
         span, k = self._report_interval / SECOND, self.spec
@@ -421,7 +428,7 @@
             held, self._withheld = self._withheld, []
             for job, update in held:
                 if self.up:
-                    job.tell(update)
+                    job.on_update(update)
             self._start(now)
         self._schedule_wake()
 
@@ -445,9 +452,9 @@
 
     def vanish(self) -> None:
         """Makes the machine disappear: connections stay open and silent."""
-        if self.up and not self.away:
+        if self.up and not self.vanished:
             self._discard_work()
-            self.away = True
+            self.vanished = True
             self._notify_change("vanished")
 
     def _discard_work(self) -> None:
@@ -464,11 +471,11 @@
 
     def start(self) -> None:
         """Starts a new, cold process under the same id. A server that failed from overload stays down."""
-        if self.fallen or (self.up and not self.away):
+        if self.fallen or (self.up and not self.vanished):
             return
         now = self._timeline.now
-        returned = self.away
-        self.up, self.away, self.draining = True, False, False
+        returned = self.vanished
+        self.up, self.vanished, self.draining = True, False, False
         self.started_at = self._advanced_to = now
         self.connections = 0
         self._busy_core_time, self._failed_jobs = 0.0, 0
@@ -492,6 +499,6 @@
         self._schedule_wake()
 
 
-def hash_of(text: str) -> int:
+def stable_number(text: str) -> int:
     """Returns a number for a text that is the same in every process."""
     return int.from_bytes(text.encode()[-8:], "little")
--- a/heronstall/fleet/troubles.py
+++ b/heronstall/fleet/troubles.py
@@ -60,7 +60,12 @@
         dispatchers: Dispatchers | None,
     ) -> None:
         self._scenario, self._streams, self._timeline = scenario, streams, timeline
-        self._servers, self._network, self._discovery, self._dispatchers = servers, network, discovery, dispatchers
+        self._servers, self._network, self._discovery, self._dispatchers = (
+            servers,
+            network,
+            discovery,
+            dispatchers,
+        )
         self.log: list[tuple[int, str]] = []
         for nth, trouble in enumerate(scenario.troubles):
             timeline.at(trouble.at, lambda nth=nth, t=trouble: self._begin_trouble(nth, t))  # type: ignore[misc]
--- a/heronstall/lab/connection.py
+++ b/heronstall/lab/connection.py
@@ -173,7 +173,7 @@
 
     def _offer(self, job: Job) -> None:
         server = self.server
-        if server.up and not server.away and not self.gone:
+        if server.up and not server.vanished and not self.gone:
             server.offer(job)
 
     def _break(self, job: Job) -> None:
@@ -278,7 +278,7 @@
         self.host.closed(self)
 
     def _dropped(self, job: Job) -> None:
-        if self.server.up and not self.server.away:
+        if self.server.up and not self.server.vanished:
             self.server.drop(job)
 
     def reset(self) -> None:
--- a/heronstall/lab/world.py
+++ b/heronstall/lab/world.py
@@ -132,7 +132,7 @@
 
     def _listen(self, node: int, server: Server) -> None:
         listener = self._listeners[node, server.number]
-        if server.away or not self.ways.reachable(self._zones[node], server.zone):
+        if server.vanished or not self.ways.reachable(self._zones[node], server.zone):
             listener.set("mute")
         else:
             listener.set("open" if server.up else "refuse")
@@ -183,7 +183,7 @@
                     s.uid,
                     s.zone,
                     s.up,
-                    s.away,
+                    s.vanished,
                     s.draining,
                     s.answers,
                     len(s.running),
--- a/heronstall/model/wire.py
+++ b/heronstall/model/wire.py
@@ -167,12 +167,12 @@
         def too_late() -> None:
             none(Ending.UNSENT_IN_TIME if life.now >= until else Ending.REFUSED)
 
-        if not ways.reachable(self.zone, there) or physical.away or life.now + trip > limit:
+        if not ways.reachable(self.zone, there) or physical.vanished or life.now + trip > limit:
             life.at(limit, too_late)
             return
 
         def comes_up() -> None:
-            if physical.away or not ways.reachable(self.zone, there):
+            if physical.vanished or not ways.reachable(self.zone, there):
                 life.at(limit, too_late)
             elif not physical.connect():
                 none(Ending.REFUSED)
@@ -326,7 +326,7 @@
         server = self._physical
         if conn.dead and not self._ended:
             return  # reset on the way
-        if server.up and not server.away:
+        if server.up and not server.vanished:
             server.offer(job)
 
     def _told(self, word: AttemptUpdate) -> None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -45,11 +45,11 @@
         server.offer(job)
         return job
 
-    def updates_named(self, word: str) -> list[str]:
-        return [id for id, event, _ in self.updates if event == word]
+    def updates_named(self, name: str) -> list[str]:
+        return [id for id, event, _ in self.updates if event == name]
 
-    def at(self, id: str, word: str) -> int:
-        return next(at for who, event, at in self.updates if (who, event) == (id, word))
+    def at(self, id: str, name: str) -> int:
+        return next(at for job_id, event, at in self.updates if (job_id, event) == (id, name))
 
 
 def test_jobs_start_in_order_run_at_core_speed_and_the_queue_is_bounded() -> None:
@@ -121,7 +121,7 @@
     server.silence(True, True)
     server.silence(True, False)
     server.silence(False, True)
-    assert not server.answers and server.pace(0) > 0
+    assert not server.answers and server.core_rate(0) > 0
     server.kill()
     server.start()
     assert not server.answers  # the silence persists across the restart
@@ -140,7 +140,7 @@
     harness.time.run(10 * SECOND)
     server.kill()
     server.start()
-    assert server.warmth(harness.time.now) == 0.25
+    assert server.warm_share(harness.time.now) == 0.25
     harness.offer(server, "huge", 60 * SECOND)
     assert server.up
     harness.offer(server, "small", 1 * MS, node=1)
@@ -151,7 +151,7 @@
     other.kill()
     other.start()
     harness.time.run(12 * SECOND)
-    assert other.warmth(harness.time.now) == pytest.approx(0.625)
+    assert other.warm_share(harness.time.now) == pytest.approx(0.625)
 
 
 def test_drain_returns_waiting_jobs_finishes_running_ones_and_rejects_new_ones() -> None:
@@ -230,7 +230,8 @@
     healed: list[int] = []
     network.on_heal.append(healed.append)
     assert (
-        network.latency(0, 0, 1) == 1000 and 10_000 <= network.latency(0, 1, 1) == network.latency(1, 0, 9) <= 20_000
+        network.latency(0, 0, 1) == 1000
+        and 10_000 <= network.latency(0, 1, 1) == network.latency(1, 0, 9) <= 20_000
     )
     network.cut(0, True)
     network.cut(0, True)
@@ -261,7 +262,7 @@
     silences: list[bool] = []
     for n, (what, size) in enumerate(steps):
         now = harness.time.now
-        if what == "offer" and server.up and not server.away:
+        if what == "offer" and server.up and not server.vanished:
             jobs.append(harness.offer(server, f"j{n}", size * MS))
         elif what == "wait":
             harness.time.run(now + int(size * MS))
@@ -484,12 +485,12 @@
 def test_score_weighs_timely_worth_and_subtracts_prices() -> None:
     scenario = small_scenario("warm_s: 0")
     rows = Plan(scenario, 1).requests
-    fates = [RequestOutcome(r, r.aim_at, 0, r.aim_at, "served", 1) for r in rows]
-    best = score(scenario, fates, Costs(100.0, 100.0, len(rows), 0, 0))
+    outcomes = [RequestOutcome(r, r.aim_at, 0, r.aim_at, "served", 1) for r in rows]
+    best = score(scenario, outcomes, Costs(100.0, 100.0, len(rows), 0, 0))
     assert best.score == best.service == pytest.approx(1.0)
     late = [
         RequestOutcome(r, r.aim_at + 1, 0, r.aim_at + 1, "served", 1) if r.cls else f
-        for r, f in zip(rows, fates, strict=True)
+        for r, f in zip(rows, outcomes, strict=True)
     ]
     worse = score(scenario, late, Costs(100.0, 100.0, len(rows), len(rows), 0))
     assert worse.classes == {"keyed": pytest.approx(1.0), "unsafe": 0.0} and worse.worst_class == 0.0
