--- a/heronstall/__main__.py
+++ b/heronstall/__main__.py
@@ -16,10 +16,10 @@
 from heronstall import events
 from heronstall.config import Config, ConfigError, load, reload, restart_only_changes
 from heronstall.events import log_event
-from heronstall.net.backend import HttpBackend, Pool
+from heronstall.net.backend import ConnectionPool, HttpBackend
 from heronstall.net.dispatcher import Dispatcher
 from heronstall.net.frontend import Frontend
-from heronstall.net.loop import READ, Coroutine, Loop, clock
+from heronstall.net.loop import READ, Coroutine, Loop, monotonic_us
 from heronstall.net.server_table import ServerTable
 from heronstall.net.shutdown import GracefulShutdown
 from heronstall.operator import (
@@ -62,7 +62,7 @@
         snapshot: SnapshotSettings | None = None,
         takeover: TakeoverSettings | None = None,
     ) -> None:
-        offset = time.time_ns() // 1000 - clock()
+        offset = time.time_ns() // 1000 - monotonic_us()
         started_at = loop.now
         self.config, self.dispatcher = config, Dispatcher(config, loop)
         self._loop, self._offset = loop, offset
@@ -82,14 +82,14 @@
 
             self.peers = PeerService(config, peers_file, loop)
         descriptors = self._descriptors_per_side()
-        pool = Pool(loop, config, descriptors)
+        pool = ConnectionPool(loop, config, descriptors)
         self.table = table = ServerTable(config, loop, offset, self.dispatcher.post, bans)
         self.dispatcher.table = table
-        table.moved = pool.forget
+        table.moved = pool.drop_idle
         self.dispatcher.backend = HttpBackend(config, loop, self.dispatcher, pool)
 
         def list_wait_over() -> bool:
-            return table.heard or loop.now - started_at > LIST_WAIT
+            return table.answered or loop.now - started_at > LIST_WAIT
 
         def ready() -> bool:
             return table.any_serving() and list_wait_over()
@@ -109,11 +109,11 @@
             self.operator_interface.inherited_server_list if self.operator_interface is not None else None
         )
         if snapshot is not None:
-            from heronstall.net.snapshots import Snapshots
+            from heronstall.net.snapshots import SnapshotStore
 
-            snapshots = Snapshots(config, snapshot, loop, offset)
-            initial_list = initial_list or snapshots.start_from()
-            snapshots.begin(table)
+            snapshots = SnapshotStore(config, snapshot, loop, offset)
+            initial_list = initial_list or snapshots.load()
+            snapshots.start(table)
         table.start(initial_list)
         listener = self.operator_interface.inherited_listener if self.operator_interface is not None else None
         self.frontend = Frontend(config, loop, self.dispatcher, ready, descriptors, self.shutdown, listener)
@@ -146,15 +146,15 @@
         logging.getLogger("heronstall").addHandler(AlarmCounter(detail))
 
         def measure_lag(due: int) -> None:
-            now = clock()
+            now = monotonic_us()
             detail.record_loop_delay(max(0, now - due))
             loop.at(now + LOOP_LAG_INTERVAL, lambda: measure_lag(now + LOOP_LAG_INTERVAL))
 
-        measure_lag(clock())
+        measure_lag(monotonic_us())
         return detail
 
     def _begin_shutdown(self) -> None:
-        self.shutdown.begin()
+        self.shutdown.stop()
         if self.peers is not None:
             self.peers.leave()
         if self.operator_interface is not None:
@@ -187,7 +187,7 @@
         for key in restart_only_changes(self.config, config):
             log_event(log, events.RESTART_REQUIRED, key=key)
         log_event(log, events.RELOADED, host=config.discovery[0], port=config.discovery[1])
-        self.table.follow(config.discovery)
+        self.table.switch_discovery(config.discovery)
 
 
 def _catch_signals() -> socket.socket:
--- a/heronstall/net/admin_endpoint.py
+++ b/heronstall/net/admin_endpoint.py
@@ -11,7 +11,7 @@
 from heronstall import events
 from heronstall.config import Address
 from heronstall.events import log_event
-from heronstall.net.connection import Ended, Ending, Stream, listen
+from heronstall.net.connection import ConnectionEnded, Ending, Stream, listen
 from heronstall.net.loop import READ, Coroutine, Loop, Task, sleep
 from heronstall.net.operations import Operations, Reply
 
@@ -86,7 +86,7 @@
                 command = line.decode("ascii", "backslashreplace").strip()
                 log_event(log, events.ADMIN_COMMAND, call=command[:MAX_LINE_BYTES], reply=reply.strip())
             yield from stream.write(reply.encode(), self._loop.now + REPLY_TIMEOUT_US)
-        except Ended:
+        except ConnectionEnded:
             pass  # the client has disconnected
         finally:
             self._release(stream)
@@ -99,16 +99,16 @@
                 received = stream.buffer.fill(stream.sock)
             except BlockingIOError:
                 if not (yield stream.sock.fileno(), READ, deadline):
-                    return stream.buffer.rest()
+                    return stream.buffer.take_all()
             except OSError as error:
-                raise Ended(Ending.BROKEN, str(error)) from None
+                raise ConnectionEnded(Ending.BROKEN, str(error)) from None
             else:
-                line = stream.buffer.line()
+                line = stream.buffer.take_line()
                 if line is not None:
                     return line
                 if not received:  # some tools close their sending side instead of ending the line
-                    return stream.buffer.rest() or None
-        return stream.buffer.rest()[:MAX_LINE_BYTES]
+                    return stream.buffer.take_all() or None
+        return stream.buffer.take_all()[:MAX_LINE_BYTES]
 
     def reply(self, line: bytes) -> str:
         """Executes a command line and returns the reply."""
--- a/heronstall/net/peers/followers.py
+++ b/heronstall/net/peers/followers.py
@@ -10,7 +10,7 @@
 import h11
 
 from heronstall.membership.relays import EMPTY_RELAY_HOLD_US, HEARTBEAT_INTERVAL_US
-from heronstall.net.connection import Connection, Ended
+from heronstall.net.connection import Connection, ConnectionEnded
 from heronstall.net.loop import READ, Coroutine, Loop, Task
 
 MAX_QUEUED_MESSAGES = 64  # a follower that falls further behind is disconnected
@@ -64,7 +64,7 @@
         connection, loop = self._connection, self._loop
         started = loop.now
         try:
-            request = yield from connection.event(loop.now + REQUEST_TIMEOUT_US)
+            request = yield from connection.next_event(loop.now + REQUEST_TIMEOUT_US)
             if not isinstance(request, h11.Request):
                 return
             if request.target.startswith(KNOWLEDGE_PATH):
@@ -91,7 +91,7 @@
                 yield from self._send(h11.Data(data=line))
                 if not self._queue:
                     yield from self._wait(loop.now + HEARTBEAT_INTERVAL_US)
-        except Ended:
+        except ConnectionEnded:
             pass
         finally:
             on_closed(self)
--- a/heronstall/net/peers/service.py
+++ b/heronstall/net/peers/service.py
@@ -36,7 +36,7 @@
     RevisionFilter,
 )
 from heronstall.membership.swim import Member, Outgoing, Swim
-from heronstall.net.connection import Connection, Ended, Ending, listen
+from heronstall.net.connection import Connection, ConnectionEnded, Ending, listen
 from heronstall.net.dispatcher import Dispatcher
 from heronstall.net.loop import READ, Coroutine, Loop, sleep
 from heronstall.net.peers.followers import Follower
@@ -216,7 +216,7 @@
             if duty not in SERVING_DUTIES:
                 self._close_followers()
             if (duty is Duty.RELAY) != (before is Duty.RELAY) or duty is Duty.BRANCH:
-                self._table.again()
+                self._table.restart_watch()
         elif self._following is not None:
             source = self._source
             if source == self._highest_revision_from and self.revisions.is_fabricated(
@@ -224,14 +224,14 @@
             ):
                 log_event(log, events.PEERS_SOURCE_AVOIDED, source=source, rev=self.revisions.highest)
                 self.relaying.mark_failed(source, now, AVOID_MISLEADING_US)
-                self._table.again()
+                self._table.restart_watch()
             elif self._lags(now, FOLLOWER_LAG_US):
-                self.ended(self._following)
-                self._table.again()
-            elif self._table.beyond and self._may_ask_directly():
-                self._table.again()
+                self.relay_ended(self._following)
+                self._table.restart_watch()
+            elif self._table.foreign_entries and self._may_ask_directly():
+                self._table.restart_watch()
         elif self._asking_since is not None and self._direct_request_done(now) and self._relays():
-            self._table.again()
+            self._table.restart_watch()
 
     def _lags(self, now: int, limit: int) -> bool:
         """Returns whether others have had a newer list than this process for longer than `limit`."""
@@ -267,7 +267,7 @@
         now, swim = self._loop.now, self.swim
         return self.relaying.sources(now, swim.me, swim.living(), swim.ahead(now))
 
-    def next(self) -> Coroutine[Address | None]:
+    def next_source(self) -> Coroutine[Address | None]:
         """Waits for and returns the relay that the table is to ask; None for the list service itself."""
         self._following = self._asking_since = None
         while True:
@@ -279,7 +279,7 @@
                 continue
             if not self.relaying.is_gathering(now, swim.me, swim.living()):
                 relays = self._relays()
-                if relays and not (self._table.beyond and self._may_ask_directly()):
+                if relays and not (self._table.foreign_entries and self._may_ask_directly()):
                     self._following = relays[0].host, relays[0].port
                     self._set_source(relays[0].name)
                     self.revisions.start_watch()
@@ -300,11 +300,11 @@
             self._source = source
             log_event(log, events.PEERS_FOLLOWS, source=source)
 
-    def askers(self) -> int:
+    def client_count(self) -> int:
         """Returns how many ask the list service: the relays and this process; others rarely do."""
         return 1 + sum(row.duty is Duty.RELAY for row in self.swim.living() if row.name != self.swim.me.name)
 
-    def ended(self, relay: Address) -> None:
+    def relay_ended(self, relay: Address) -> None:
         """Notes that a relay's list has ended: another one is asked next, and the relay is probed."""
         self._following = None
         for row in self.swim.living():
@@ -312,8 +312,8 @@
                 self.relaying.mark_failed(row.name, self._loop.now)
                 self._send(self.swim.ask(row.name, self._loop.now))
 
-    def news(self, message: Any, rev: int, relay: Address | None) -> list[Any]:
-        """Returns the messages to apply now. Raises Ended for a relay's list that is too old."""
+    def accept(self, message: Any, rev: int, relay: Address | None) -> list[Any]:
+        """Returns the messages to apply now. Raises ConnectionEnded for a relay's list that is too old."""
         now = self._loop.now
         if relay is None:
             self._direct_message_at = self._fresh_at = now
@@ -325,13 +325,13 @@
         else:
             age = max(0, int(message["age_ms"])) * 1000
             if age > MAX_LIST_AGE_US:
-                raise Ended(Ending.FAILED, f"the list there is {age / 1e6:.1f} s old")
+                raise ConnectionEnded(Ending.FAILED, f"the list there is {age / 1e6:.1f} s old")
             before = self.revisions.highest
             accepted = self.revisions.accept(rev, message, now - age, now)
             if self.revisions.highest != before:
                 self._highest_revision_from = self._source
             self._fresh_at = max(self._fresh_at or 0, now - age)
-            self._may_ask_at = None if not self._table.beyond else self._may_ask_at
+            self._may_ask_at = None if not self._table.foreign_entries else self._may_ask_at
         if self.relaying.duty is (Duty.RELAY if relay is None else Duty.BRANCH):
             for one in accepted:
                 self._forward(one.message)
@@ -353,7 +353,7 @@
         rev = self._table.rev
         if rev is None or self._fresh_at is None or not self._list_is_current():
             return b"\n"
-        message = self._table.whole(True) if whole else {"rev": rev, "all": False, "targets": []}
+        message = self._table.full_list(True) if whole else {"rev": rev, "all": False, "targets": []}
         message["age_ms"] = self._age_ms()
         return ujson.dumps(message, escape_forward_slashes=False).encode() + b"\n"
 
--- a/heronstall/net/takeover/coordinator.py
+++ b/heronstall/net/takeover/coordinator.py
@@ -20,7 +20,7 @@
 from heronstall.config import Config
 from heronstall.events import log_event
 from heronstall.net.backend import Job
-from heronstall.net.connection import OUTCOME, Ended, Ending
+from heronstall.net.connection import STATUS_BY_ENDING, ConnectionEnded, Ending
 from heronstall.net.dispatcher import Answer, Dispatcher, Session
 from heronstall.net.loop import Coroutine, Loop, Task
 from heronstall.net.server_table import BackendServer
@@ -109,7 +109,7 @@
 
     # ------------------------------------------------------------------ own jobs
 
-    def taken(self, session: Session) -> None:
+    def session_created(self, session: Session) -> None:
         """Registers a new session's job. The first message is sent after the next turn of the decisions."""
         job: Job = session.job
         identity = _identity(job, self._settings.identity_header)
@@ -161,7 +161,7 @@
             return False
         kind, body = (state.answer, state.body) if state.phase is Phase.ENDED else ("failed", "")
         protected = ProtectedSession(session, Holder(key, (), self._name, self._life, 0, state.digest, None))
-        self._dispatcher.lend(session)
+        self._dispatcher.hand_off(session)
         self._loop.soon(lambda: self._settle(protected, kind, body))
         return True
 
@@ -186,14 +186,14 @@
         self.counts["returned"] += 1
         first = self._owned[key]
         if first.holder.state.digest != digest:
-            self._loop.soon(lambda: self._dispatcher.settle(session, Answer("unusable")))
+            self._loop.soon(lambda: self._dispatcher.deliver_answer(session, Answer("unusable")))
             return
-        self._dispatcher.lend(session)
+        self._dispatcher.hand_off(session)
         waiting = ProtectedSession(session, first.holder)
         waiting.delegated = True
         self._by_session[session.number] = waiting
 
-    def writing(self, session: Session, server: BackendServer, index: int) -> None:
+    def attempt_starting(self, session: Session, server: BackendServer, index: int) -> None:
         """Announces that an attempt is about to be made."""
         protected = self._by_session.get(session.number)
         if protected is not None and not protected.delegated:
@@ -201,18 +201,18 @@
                 protected.holder.put(Phase.WRITING, server=server.uid, attempt=index), protected.holder
             )
 
-    def may_write(self, session: Session, task: Task | None, until: int) -> Coroutine[None]:
-        """Waits until a majority knows that an attempt begins. Raises Ended where it must not begin."""
+    def wait_until_writable(self, session: Session, task: Task | None, until: int) -> Coroutine[None]:
+        """Waits until a majority knows that an attempt begins. Raises ConnectionEnded if it must not."""
         protected = self._by_session.get(session.number)
         if protected is None:
             if session.over:
-                raise Ended(Ending.WITHDRAWN, "the session was answered in the meantime")
+                raise ConnectionEnded(Ending.WITHDRAWN, "the session was answered in the meantime")
             return
         holder = protected.holder
         alone_at = self._loop.now + self._majority_timeout
         while True:
             if protected.delegated or session.over or holder.verdict in ("known", "lost"):
-                raise Ended(Ending.WITHDRAWN, "another process has the job")
+                raise ConnectionEnded(Ending.WITHDRAWN, "another process has the job")
             if holder.verdict == "go":
                 return
             repeatable = self._config.settings.classes[session.cls].effect != "unsafe"
@@ -224,12 +224,12 @@
                 self._delegate(protected)
                 continue
             if self._loop.now >= until:
-                raise Ended(Ending.UNSENT_IN_TIME)
+                raise ConnectionEnded(Ending.UNSENT_IN_TIME)
             protected.task = task
             yield -1, 0, min(until, alone_at) if self._loop.now < alone_at else until
             protected.task = None
 
-    def ended(self, session: Session, ending: Ending) -> None:
+    def attempt_ended(self, session: Session, ending: Ending) -> None:
         """Handles an attempt's end. One that certainly did not run is undone in the job's register."""
         protected = self._by_session.get(session.number)
         if (
@@ -239,11 +239,11 @@
             or protected.holder.verdict in ("known", "lost")
         ):
             return
-        if OUTCOME[ending] in i.PROVES_NOT_RUN:
+        if STATUS_BY_ENDING[ending] in i.PROVES_NOT_RUN:
             phase = Phase.CONFIRMED if protected.holder.confirmed else Phase.ACCEPTED
             self._broadcast(protected.holder.put(phase, server="", attempt=0), protected.holder)
 
-    def answers(self, session: Session, answer: Answer) -> bool:
+    def defers_answer(self, session: Session, answer: Answer) -> bool:
         """Records a session's answer and returns whether the answer has to wait.
 
         A refusal states that nothing was done, so it is held back until no other process can run the job any
@@ -269,7 +269,7 @@
         self._close_register(protected, kind, body)
         return False
 
-    def gone(self, session: Session) -> None:
+    def client_gone(self, session: Session) -> None:
         """Handles the departure of a session's client."""
         protected = self._by_session.get(session.number)
         if protected is not None and not protected.delegated:
@@ -302,7 +302,7 @@
             protected.refusal = None
             self.counts["unsure"] += 1
             self._settle_joined(protected, "failed", "")
-            self._dispatcher.settle(protected.session, Answer("failed"))
+            self._dispatcher.deliver_answer(protected.session, Answer("failed"))
 
     # ------------------------------------------------------------------ messages
 
@@ -349,7 +349,7 @@
         if verdict == "go" and protected.refusal is not None:
             answer, protected.refusal = protected.refusal, None
             self._settle_joined(protected, "refused", "")
-            self._dispatcher.settle(protected.session, answer)
+            self._dispatcher.deliver_answer(protected.session, answer)
         elif verdict in ("known", "lost") and protected.refusal is not None:
             self._fail_unconfirmed_refusal(protected)
         elif verdict in ("known", "lost") and not protected.delegated:
@@ -369,9 +369,9 @@
             del self._owned[holder.key]
         if holder.verdict == "known" and other is not None and other.digest != holder.state.digest:
             self._remove(protected)
-            self._dispatcher.settle(protected.session, Answer("unusable"))
+            self._dispatcher.deliver_answer(protected.session, Answer("unusable"))
             return
-        self._dispatcher.lend(protected.session)
+        self._dispatcher.hand_off(protected.session)
         if other is not None and other.phase is Phase.ENDED:
             self._settle(protected, other.answer, other.body)
 
@@ -379,7 +379,7 @@
         """Answers a delegated session."""
         self._remove(protected)
         answers: dict[str, Any] = {"served": "served", "refused": "refused", "unusable": "unusable"}
-        self._dispatcher.settle(
+        self._dispatcher.deliver_answer(
             protected.session, Answer(answers.get(kind, "failed"), body.encode("latin-1"))
         )
 
@@ -478,7 +478,7 @@
         self._protect(session, holder)
         if returned is not None:
             returned.delegated, returned.holder = True, holder
-            self._dispatcher.lend(returned.session)
+            self._dispatcher.hand_off(returned.session)
             returned.wake()
         log_event(log, events.JOB_TAKEN_OVER, owner=latest.owner, job=request.id)
 
--- a/heronstall/net/takeover/links.py
+++ b/heronstall/net/takeover/links.py
@@ -20,7 +20,7 @@
 from heronstall.events import log_event
 from heronstall.membership.messages import State as MemberState
 from heronstall.membership.swim import Swim
-from heronstall.net.connection import Connection, Ended, Lines, connect
+from heronstall.net.connection import Connection, ConnectionEnded, LineSplitter, connect
 from heronstall.net.loop import READ, Coroutine, Loop, Task, sleep
 from heronstall.net.takeover.coordinator import TakeoverCoordinator
 from heronstall.takeover.messages import MAX_LINE_BYTES, Message, UnreadableMessage, pack, unpack
@@ -78,7 +78,7 @@
                     )
                     yield from connection.write(data, deadline)
                     yield from self._receive(connection)
-                except Ended:
+                except ConnectionEnded:
                     pass
                 finally:
                     self.up = False
@@ -92,13 +92,13 @@
 
     def _receive(self, connection: Connection) -> Coroutine[None]:
         lines, sender = (
-            Lines(MAX_LINE_BYTES),
+            LineSplitter(MAX_LINE_BYTES),
             self._loop.spawn(self._send_queued(connection), "takeover's words"),
         )
         self._sender, self.up = sender, True
         try:
             while True:
-                event = yield from connection.event(None)
+                event = yield from connection.next_event(None)
                 if isinstance(event, h11.Data):
                     for line in lines.feed(bytes(event.data)):
                         self._links.handle_line(self._name, line)
@@ -121,7 +121,7 @@
                 yield from connection.write(
                     connection.parser.send(h11.Data(data=data)) or b"", loop.now + WRITE_TIMEOUT_US
                 )
-            except Ended:
+            except ConnectionEnded:
                 connection.close()
                 return
 
@@ -173,14 +173,14 @@
             log_event(log, events.TAKEOVER_UNREADABLE, peer=name, reason=str(error))
 
     def serve(self, connection: Connection) -> Coroutine[None]:
-        """Answers an owner's messages until its connection ends. Raises Ended."""
-        loop, lines, owner = self.loop, Lines(MAX_LINE_BYTES), ("", 0)
+        """Answers an owner's messages until its connection ends. Raises ConnectionEnded."""
+        loop, lines, owner = self.loop, LineSplitter(MAX_LINE_BYTES), ("", 0)
         headers = [("Transfer-Encoding", "chunked")]
         response = connection.parser.send(h11.Response(status_code=200, headers=headers)) or b""
         yield from connection.write(response, loop.now + WRITE_TIMEOUT_US)
         try:
             while True:
-                event = yield from connection.event(None)
+                event = yield from connection.next_event(None)
                 if not isinstance(event, h11.Data):
                     return
                 replies = []
--- a/tests/test_replacement.py
+++ b/tests/test_replacement.py
@@ -20,7 +20,16 @@
 
 from heronstall.ops.bans import MAX_RECORDS, Bans, TimedFlag
 from heronstall.ops.state_files import InvalidFile, State, StateDirectory, pack, unpack
-from tests.test_net import PATIENCE, ROOT, SETTINGS, STREAM, Peer, at, listener, raw_config
+from tests.test_net import (
+    ROOT,
+    SETTINGS,
+    STREAM,
+    STUCK_TIMEOUT_S,
+    RawConnection,
+    address_of,
+    open_listener,
+    raw_config,
+)
 
 MANY_CLIENTS = 400  # more connections than the socket between two processes queues at a time
 
@@ -30,21 +39,21 @@
 
     def setUp(self) -> None:
         self.directory = Path(self.enterContext(tempfile.TemporaryDirectory()))
-        self.server, self.discovery = listener(), listener()
-        with listener() as free:
+        self.server, self.discovery = open_listener(), open_listener()
+        with open_listener() as free:
             self.address = free.getsockname()
-        self.server_connections: list[Peer] = []  # accepted by the backend server
-        self.clients: list[Peer] = []
+        self.server_connections: list[RawConnection] = []  # accepted by the backend server
+        self.clients: list[RawConnection] = []
         self.logs: dict[int, Path] = {}
 
     def start(self, **environ: str) -> tuple[Any, Any]:
         """Starts a process; returns it and the address of its admin endpoint."""
-        with listener() as free:
+        with open_listener() as free:
             admin = free.getsockname()
         targets = [
             {
                 "uid": "s-0",
-                "endpoint": at(self.server),
+                "endpoint": address_of(self.server),
                 "az": "a",
                 "model": "m",
                 "state": "SERVING",
@@ -55,7 +64,7 @@
         known = {"rev": 1, "all": True, "targets": targets}
         raw = raw_config(
             listen="{}:{}".format(*self.address),
-            discovery=at(self.discovery),
+            discovery=address_of(self.discovery),
             known=known,
             operator="127.0.0.1:1",
             settings={
@@ -84,17 +93,20 @@
         return process, admin
 
     def spin(self, done: Callable[[], Any]) -> Any:
-        deadline = time.monotonic() + PATIENCE
+        deadline = time.monotonic() + STUCK_TIMEOUT_S
         while not (result := done()):
             if time.monotonic() > deadline:
-                state = [client.got for client in self.clients], [p.read_text() for p in self.logs.values()]
+                state = (
+                    [client.received for client in self.clients],
+                    [p.read_text() for p in self.logs.values()],
+                )
                 self.fail(f"timed out: {state}")
             time.sleep(0.005)
         return result
 
     def call(self, admin: tuple[str, int], line: str) -> str:
         try:
-            with socket.create_connection(admin, PATIENCE) as client:
+            with socket.create_connection(admin, STUCK_TIMEOUT_S) as client:
                 client.sendall(line.encode() + b"\n")
                 return client.makefile().read()
         except OSError:
@@ -105,51 +117,51 @@
         assert found is not None
         return int(found[1])
 
-    def client(self) -> Peer:
-        self.clients.append(Peer(socket.create_connection(self.address)))
+    def client(self) -> RawConnection:
+        self.clients.append(RawConnection(socket.create_connection(self.address)))
         return self.clients[-1]
 
-    def ask(self, client: Peer, name: str) -> None:
-        client.got = b""
+    def ask(self, client: RawConnection, name: str) -> None:
+        client.received = b""
         client.sock.sendall(
             b"POST /api HTTP/1.1\r\nHost: o\r\nReq-Id: %s\r\nReq-Kind: unsafe\r\nReq-Owner: acme\r\n"
             b"Req-Deadline: 9.0\r\nContent-Length: 3\r\n\r\npay" % name.encode()
         )
 
-    def dispatched(self, name: str) -> Peer:
+    def dispatched(self, name: str) -> RawConnection:
         """Waits for and returns the backend server's connection that carries a job."""
 
-        def find_attempt() -> Peer | None:
+        def find_attempt() -> RawConnection | None:
             while select.select([self.server], [], [], 0)[0]:
-                self.server_connections.append(Peer(self.server.accept()[0]))
+                self.server_connections.append(RawConnection(self.server.accept()[0]))
             for connection in self.server_connections:
                 if connection.read().startswith(b"GET "):
-                    connection.got = b""
+                    connection.received = b""
                     with contextlib.suppress(OSError):
                         connection.sock.sendall(b'HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\n{"x0":4}')
-                elif connection.got.endswith(b"pay") and name.encode() in connection.got:
-                    connection.got = b""
+                elif connection.received.endswith(b"pay") and name.encode() in connection.received:
+                    connection.received = b""
                     return connection
             return None
 
         found = self.spin(find_attempt)
-        assert isinstance(found, Peer)
+        assert isinstance(found, RawConnection)
         return found
 
-    def serve(self, client: Peer, name: str, attempt: Peer) -> None:
+    def serve(self, client: RawConnection, name: str, attempt: RawConnection) -> None:
         attempt.sock.sendall(STREAM)
-        attempt.say(f'{{"id":"{name}","state":"done","result":"of {name}"}}')
+        attempt.send_chunks(f'{{"id":"{name}","state":"done","result":"of {name}"}}')
         attempt.sock.sendall(b"0\r\n\r\n")
         self.spin(lambda: client.read().endswith(f"of {name}".encode()))
-        self.assertIn(b" 200 ", client.got)
-        self.assertNotIn(b"connection: close", client.got.lower())
+        self.assertIn(b" 200 ", client.received)
+        self.assertNotIn(b"connection: close", client.received.lower())
 
-    def complete_job(self, client: Peer, name: str) -> None:
+    def complete_job(self, client: RawConnection, name: str) -> None:
         """Sends a job and answers it."""
         self.ask(client, name)
         self.serve(client, name, self.dispatched(name))
 
-    def two_clients(self) -> tuple[Peer, Peer, Peer]:
+    def two_clients(self) -> tuple[RawConnection, RawConnection, RawConnection]:
         """Returns an idle client, one whose job id-2 is running, and the server's connection of that job."""
         idle, busy = self.client(), self.client()
         self.complete_job(idle, "id-1")
@@ -170,7 +182,7 @@
         self.complete_job(self.client(), "id-4")
         self.assertIsNone(first.poll())
         self.serve(busy, "id-2", attempt)  # by the first process, which accepted it
-        self.assertEqual(first.wait(PATIENCE), 0)
+        self.assertEqual(first.wait(STUCK_TIMEOUT_S), 0)
         self.complete_job(busy, "id-5")
         self.assertEqual(self.figure(next_admin, "succeeded.unsafe"), 3)
         self.ask(idle, "id-1")  # the first process has had this id
@@ -182,7 +194,7 @@
         self.complete_job(clients[0], "id-1")
         _, next_admin = self.start()
         first.send_signal(signal.SIGTERM)
-        self.assertEqual(first.wait(PATIENCE), 0)
+        self.assertEqual(first.wait(STUCK_TIMEOUT_S), 0)
         self.assertFalse(any(self.gone(client) for client in clients[::30]))
         self.complete_job(clients[0], "id-2")
         log = next(path for pid, path in self.logs.items() if pid != first.pid)
@@ -196,18 +208,18 @@
         first.send_signal(signal.SIGTERM)
         third, _ = self.start()
         second.send_signal(signal.SIGTERM)
-        self.assertEqual(second.wait(PATIENCE), 0)
+        self.assertEqual(second.wait(STUCK_TIMEOUT_S), 0)
         self.complete_job(idle, "id-3")
         self.complete_job(self.client(), "id-4")
         # The first process has outlived its successor: it answers its own jobs, and the client reconnects.
         attempt.sock.sendall(STREAM)
-        attempt.say('{"id":"id-2","state":"done","result":"of id-2"}')
+        attempt.send_chunks('{"id":"id-2","state":"done","result":"of id-2"}')
         attempt.sock.sendall(b"0\r\n\r\n")
         self.spin(lambda: busy.read().endswith(b"of id-2"))
-        self.assertEqual(first.wait(PATIENCE), 0)
+        self.assertEqual(first.wait(STUCK_TIMEOUT_S), 0)
         self.start()  # succeeds the third process, although the first one has lost its successor since
         third.send_signal(signal.SIGTERM)
-        self.assertEqual(third.wait(PATIENCE), 0)
+        self.assertEqual(third.wait(STUCK_TIMEOUT_S), 0)
         self.complete_job(idle, "id-5")
 
     def test_a_drain_is_handed_over_and_can_be_ended_at_either_process(self) -> None:
@@ -220,7 +232,7 @@
         self.assertEqual(self.call(admin, "LAMEDUCK"), "YES draining\n")
         self.spin(lambda: self.call(next_admin, "PING") == "YES drained\n")
         first.send_signal(signal.SIGTERM)  # a later process learns of the drain from the second one
-        self.assertEqual(first.wait(PATIENCE), 0)
+        self.assertEqual(first.wait(STUCK_TIMEOUT_S), 0)
         _, last_admin = self.start()
         self.assertEqual(self.call(last_admin, "PING"), "YES drained\n")
 
@@ -257,7 +269,7 @@
         _, last_admin = self.start()  # no other process runs, and the ban lasts until it is lifted
         self.assertEqual(self.figure(last_admin, "ejected"), 1)
 
-    def gone(self, peer: Peer) -> bool:
+    def gone(self, peer: RawConnection) -> bool:
         time.sleep(0.05)
         peer.read()
         return peer.closed
