--- a/heronstall/fleet/audit.py
+++ b/heronstall/fleet/audit.py
@@ -189,8 +189,8 @@
             session.left = session.left or (session.answered is None and c.at < limit)
             return
         if isinstance(c, b.Unanswered):
-            # A dispatcher stopped by SIGTERM may lose requests that came too late; a killed one loses all it
-            # held.
+            # A dispatcher stopped by SIGTERM may lose requests that came too late; a killed one loses all of
+            # its requests.
             if session.answered is None and not session.left and not self._excused(session, c.at):
                 self._report_breach(
                     "one-answer", c.at, c.node, f"{c.id} lost: closed without a complete answer", session
--- a/heronstall/fleet/discovery.py
+++ b/heronstall/fleet/discovery.py
@@ -41,10 +41,10 @@
         self._pending_changes: list[list[tuple[int, int, str, int]]] = [
             [] for _ in range(scenario.dispatchers)
         ]
-        self.held: list[dict[int, tuple[str, int]]] = [
+        self.agent_states: list[dict[int, tuple[str, int]]] = [
             {s.number: (SERVING, 0) for s in servers} for _ in range(scenario.dispatchers)
         ]
-        self.held_rev = [1] * scenario.dispatchers
+        self.agent_revisions = [1] * scenario.dispatchers
         self._last_delivery: list[int] = [0] * scenario.dispatchers  # a change must not overtake an older one
         self.on_update: list[UpdateListener] = []
         self.origin_ms = 0  # Unix time of the start of the run; boot times are relative to it
@@ -95,10 +95,10 @@
             return
         latest: dict[int, tuple[str, int]] = {}
         for rev, number, state, boot in changes:
-            latest[number] = self.held[node][number] = (state, boot)
-            self.held_rev[node] = rev
+            latest[number] = self.agent_states[node][number] = (state, boot)
+            self.agent_revisions[node] = rev
         update = {
-            "rev": self.held_rev[node],
+            "rev": self.agent_revisions[node],
             "all": False,
             "targets": [self._entry(node, number, *latest[number]) for number in latest],
         }
@@ -132,6 +132,6 @@
 
     def full_state(self, node: int) -> dict[str, Any]:
         """Returns the full state of a dispatcher's agent in discovery's format."""
-        held = self.held[node]
-        rows = [self._entry(node, n, state, boot) for n, (state, boot) in held.items() if state != DELETED]
-        return {"rev": self.held_rev[node], "all": True, "targets": rows}
+        states = self.agent_states[node]
+        rows = [self._entry(node, n, state, boot) for n, (state, boot) in states.items() if state != DELETED]
+        return {"rev": self.agent_revisions[node], "all": True, "targets": rows}
--- a/heronstall/lab/watch.py
+++ b/heronstall/lab/watch.py
@@ -112,7 +112,7 @@
             self._send(head, h11.Data(data=body), h11.EndOfMessage())
             return
         self._send(h11.Response(status_code=200, headers=[("Transfer-Encoding", "chunked")]))
-        rev = agent.roster.held_rev[agent.node]
+        rev = agent.roster.agent_revisions[agent.node]
         known = query.get("after", [""])[0] == str(rev)
         self.line({"rev": rev, "all": False, "targets": []} if known else agent.whole())
         agent.watches[self] = None
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -378,9 +378,7 @@
     return [breach.rule for breach in found]
 
 
-def attempt_crossings(
-    at: int, server: int, attempt: int, how: str | None = None, over: int = 0
-) -> list[b.Crossing]:
+def attempted(at: int, server: int, attempt: int, how: str | None = None, over: int = 0) -> list[b.Crossing]:
     rows: list[b.Crossing] = [b.Written(at, 0, server, "r", attempt), b.Arrived(at, 0, server, "r", attempt)]
     if how is not None:
         rows.append(b.Over(over or at + 1, 0, server, "r", attempt, how))  # type: ignore[arg-type]
@@ -391,9 +389,9 @@
 
 
 def test_bytes_that_arrive_after_their_dispatcher_was_killed_break_no_rule() -> None:
-    """A server may read bytes written by a dispatcher that was then killed, after the client's recall."""
+    """A server may read bytes of a killed dispatcher after the client has assumed the request unread."""
     killed, asked = b.NodeDown(90 * MS, 0), b.NodeDown(90 * MS, 0, 50 * MS)
-    late = [b.Recalled(91 * MS, 0, "r"), *attempt_crossings(130 * MS, 1, 1, "reset")]
+    late = [b.Recalled(91 * MS, 0, "r"), *attempted(130 * MS, 1, 1, "reset")]
     assert broken_rules(killed, *late) == []
     assert broken_rules(asked, *late) == [
         "one-answer"
@@ -404,7 +402,7 @@
 
 
 def test_audit_reports_missing_duplicate_late_and_foreign_answers() -> None:
-    done = attempt_crossings(1, 0, 0, "done")
+    done = attempted(1, 0, 0, "done")
     assert broken_rules(*done, b.Answered(5, 0, "r", 200, True)) == []
     assert broken_rules(*done, b.Answered(5, 0, "r", 200, False)) == ["one-answer"]
     assert broken_rules(*done, b.Answered(5, 0, "r", 200, True), b.Answered(6, 0, "r", 500)) == ["one-answer"]
@@ -425,28 +423,19 @@
 
 def test_audit_reports_concurrent_attempts_repeats_and_wrong_refusals() -> None:
     refused = b.Answered(SECOND, 0, "r", 503)
-    assert (
-        broken_rules(*attempt_crossings(1, 0, 0, "rejected"), *attempt_crossings(9, 1, 1, "done"), FINE) == []
-    )
-    assert broken_rules(*attempt_crossings(1, 0, 0, "returned"), refused) == []
-    assert broken_rules(*attempt_crossings(1, 0, 0, "broken"), *attempt_crossings(9, 1, 1, "done"), FINE) == [
+    assert broken_rules(*attempted(1, 0, 0, "rejected"), *attempted(9, 1, 1, "done"), FINE) == []
+    assert broken_rules(*attempted(1, 0, 0, "returned"), refused) == []
+    assert broken_rules(*attempted(1, 0, 0, "broken"), *attempted(9, 1, 1, "done"), FINE) == ["one-effect"]
+    assert broken_rules(*attempted(1, 0, 0, "broken"), refused) == ["one-effect"]
+    assert broken_rules(*attempted(1, 0, 0, "closed"), *attempted(9, 1, 1, "done"), FINE, cls="keyed") == []
+    assert broken_rules(*attempted(1, 0, 0, "closed"), *attempted(9, 2, 1, "done"), FINE, cls="keyed") == [
         "one-effect"
     ]
-    assert broken_rules(*attempt_crossings(1, 0, 0, "broken"), refused) == ["one-effect"]
-    assert (
-        broken_rules(
-            *attempt_crossings(1, 0, 0, "closed"), *attempt_crossings(9, 1, 1, "done"), FINE, cls="keyed"
-        )
-        == []
-    )
-    assert broken_rules(
-        *attempt_crossings(1, 0, 0, "closed"), *attempt_crossings(9, 2, 1, "done"), FINE, cls="keyed"
-    ) == ["one-effect"]
-    late = attempt_crossings(11 * SECOND, 1, 1, "done")
-    assert "one-effect" in broken_rules(*attempt_crossings(1, 0, 0, "closed"), *late, FINE, cls="keyed")
+    late = attempted(11 * SECOND, 1, 1, "done")
+    assert "one-effect" in broken_rules(*attempted(1, 0, 0, "closed"), *late, FINE, cls="keyed")
     both = [
-        *attempt_crossings(1, 0, 0),
-        *attempt_crossings(5, 1, 1, "done", 20),
+        *attempted(1, 0, 0),
+        *attempted(5, 1, 1, "done", 20),
         b.Over(9, 0, 0, "r", 0, "returned"),
         FINE,
     ]
@@ -457,12 +446,10 @@
 def test_audit_reports_work_sent_to_draining_servers_and_overload_of_cold_servers() -> None:
     told = b.ToldOf(0, 0, 0, "DRAINING")
     assert (
-        broken_rules(
-            told, *attempt_crossings(2 * SECOND, 0, 0, "done"), b.Answered(2 * SECOND + 5, 0, "r", 500)
-        )
+        broken_rules(told, *attempted(2 * SECOND, 0, 0, "done"), b.Answered(2 * SECOND + 5, 0, "r", 500))
         == []
     )
-    late = [*attempt_crossings(2 * SECOND + 1, 0, 0, "done"), b.Answered(2 * SECOND + 5, 0, "r", 500)]
+    late = [*attempted(2 * SECOND + 1, 0, 0, "done"), b.Answered(2 * SECOND + 5, 0, "r", 500)]
     assert broken_rules(told, *late) == ["drain"]
     assert broken_rules(told, b.ToldOf(SECOND, 0, 0, "SERVING"), *late) == []
     assert (
