--- a/tests/tier/test_pulling.py
+++ b/tests/tier/test_pulling.py
@@ -235,7 +235,7 @@
         async def run() -> None:
             nodes = ControlNodes("abc")
             puller = await self.start_puller(nodes)
-            with mock.patch.object(ControlStateView, "take", side_effect=ValueError("malformed")):
+            with mock.patch.object(ControlStateView, "apply", side_effect=ValueError("malformed")):
                 await asyncio.sleep(1.0)
             nodes.version = 2
             self.assertLess(await self.seconds_to(puller, 2), POLL_HOLD + 0.3)
